--- a/daemon/src/settings/calls.rs
+++ b/daemon/src/settings/calls.rs
@@ -28,26 +28,26 @@
         let time = |pick: fn(&Terms) -> f64| base.map(pick);
         let truth = |pick: fn(&Terms) -> bool, usual| base.map_or(usual, pick);
         let number = |pick: fn(&Terms) -> f64, usual| base.map_or(usual, |base| Some(pick(base)));
-        let shots = self.whole(rows, "max_shots", 1, 100, base.map(|base| base.max_shots));
+        let shots = self.whole(rows, "max_shots", 1, 100, base.map(|base| base.max_attempts));
         let over_share = number(|t| t.over_share, Some(1.0));
-        let cold_from = number(|t| t.cold_from, Some(0.0));
-        let fall_multiple = number(|t| t.fall_multiple, None);
-        let repeats = self.truth(rows, "setups_repeat", truth(|t| t.repeat > 0.0, true));
+        let cold_from = number(|t| t.initial_capacity_share, Some(0.0));
+        let fall_multiple = number(|t| t.overload_factor, None);
+        let repeats = self.truth(rows, "setups_repeat", truth(|t| t.resend_after > 0.0, true));
         Terms {
             over_share: self.number(rows, "over_share", 0.0, 1.0, over_share).unwrap_or(1.0),
-            max_shots: shots.unwrap_or(1),
-            longest_advice: advice.or(base.and_then(|base| base.longest_advice)),
+            max_attempts: shots.unwrap_or(1),
+            max_retry_after: advice.or(base.and_then(|base| base.max_retry_after)),
             may_cancel: self.truth(rows, "cancel", truth(|t| t.may_cancel, true)).unwrap_or(true),
             may_probe: self.truth(rows, "probe", truth(|t| t.may_probe, true)).unwrap_or(true),
             release: self.time(rows, "release", time(|t| t.release)).unwrap_or(1.0),
-            repeat: if repeats.unwrap_or(true) { resend } else { 0.0 },
-            nacks_name_wait: self
-                .truth(rows, "nacks_name_wait", truth(|t| t.nacks_name_wait, false))
+            resend_after: if repeats.unwrap_or(true) { resend } else { 0.0 },
+            respect_retry_after: self
+                .truth(rows, "nacks_name_wait", truth(|t| t.respect_retry_after, false))
                 .unwrap_or(false),
-            cold: self.time(rows, "cold", time(|t| t.cold)).unwrap_or(1.0),
-            cold_from: self.number(rows, "cold_from", 0.0, 1.0, cold_from).unwrap_or(0.0),
-            fall_multiple: self.number(rows, "fall_multiple", 1.0, 1000.0, fall_multiple).unwrap_or(2.0),
-            fall_span: self.time(rows, "fall_span", time(|t| t.fall_span)).unwrap_or(1.0),
+            cold_duration: self.time(rows, "cold", time(|t| t.cold_duration)).unwrap_or(1.0),
+            initial_capacity_share: self.number(rows, "cold_from", 0.0, 1.0, cold_from).unwrap_or(0.0),
+            overload_factor: self.number(rows, "fall_multiple", 1.0, 1000.0, fall_multiple).unwrap_or(2.0),
+            overload_duration: self.time(rows, "fall_span", time(|t| t.overload_duration)).unwrap_or(1.0),
             ..terms
         }
     }
@@ -98,7 +98,7 @@
                     limit,
                     hold: self.time(&mut rows, "hold", None).unwrap_or(1.0),
                     earnings: self.number(&mut rows, "earnings", 0.0, 1e9, None).unwrap_or(1.0),
-                    late: self.number(&mut rows, "late", 0.0, 1.0, Some(0.0)).unwrap_or(0.0),
+                    late_share: self.number(&mut rows, "late", 0.0, 1.0, Some(0.0)).unwrap_or(0.0),
                     repeatable: self.truth(&mut rows, "repeatable", true).unwrap_or(true),
                     pools: pools.unwrap_or_default(),
                 },
--- a/daemon/tests/settings.rs
+++ b/daemon/tests/settings.rs
@@ -11,7 +11,7 @@
     let plan = settings::read(EXAMPLE).expect("fit");
     assert_eq!(plan.terms.terms.grades.len(), 2);
     assert_eq!(plan.terms.terms.release, 300.0);
-    assert_eq!(plan.terms.terms.longest_advice, Some(2000.0));
+    assert_eq!(plan.terms.terms.max_retry_after, Some(2000.0));
     assert_eq!(plan.terms.patience, [3000.0, 9000.0]);
     assert_eq!(plan.terms.routes.find("", "255"), Some((1, 1)));
     assert_eq!(plan.terms.routes.tenant("north", ""), Some(0));
@@ -86,10 +86,19 @@
     let watch = "[watch]\nprobe = false\nsetups_repeat = false\ncold_from = 0.3\n";
     let plan = settings::read(&EXAMPLE.replace("[iax2]\n", &format!("{watch}[iax2]\n"))).expect("fit");
     let (now, then) = (&plan.terms.terms, &plan.to_come.as_ref().expect("watched").terms);
-    assert_eq!((now.may_probe, now.repeat, now.cold_from, now.nacks_name_wait), (true, 500.0, 0.0, false));
-    assert_eq!((then.may_probe, then.repeat, then.cold_from, then.nacks_name_wait), (false, 0.0, 0.3, false));
-    assert_eq!((then.longest_advice, then.max_shots), (now.longest_advice, now.max_shots));
-    assert_eq!((then.release, then.cold, then.proxies), (now.release, now.cold, now.proxies));
+    assert_eq!(
+        (now.may_probe, now.resend_after, now.initial_capacity_share, now.respect_retry_after),
+        (true, 500.0, 0.0, false)
+    );
+    assert_eq!(
+        (then.may_probe, then.resend_after, then.initial_capacity_share, then.respect_retry_after),
+        (false, 0.0, 0.3, false)
+    );
+    assert_eq!((then.max_retry_after, then.max_attempts), (now.max_retry_after, now.max_attempts));
+    assert_eq!(
+        (then.release, then.cold_duration, then.proxies),
+        (now.release, now.cold_duration, now.proxies)
+    );
     assert!(settings::read(EXAMPLE).expect("fit").to_come.is_none());
 }
 
--- a/lab/src/stand_ins/baseline.rs
+++ b/lab/src/stand_ins/baseline.rs
@@ -6,7 +6,9 @@
 
 use border::Decisions;
 use frostthread::Proxy;
-use frostthread::host::{Call, Ending, Handle, Host, Listed, Report, Server, State, Suspicion, Terms, View};
+use frostthread::host::{
+    Call, Ending, Handle, Host, Report, Server, ServerEntry, ServerView, State, Suspicion, Terms,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -139,7 +141,7 @@
         self.now = now;
     }
 
-    fn listed(&mut self, lines: &[Listed], whole: bool, _host: &mut impl Host) {
+    fn listed(&mut self, lines: &[ServerEntry], whole: bool, _host: &mut impl Host) {
         if whole {
             self.servers.iter_mut().flatten().for_each(|server| server.0 = State::Gone);
         }
@@ -149,7 +151,7 @@
                 self.servers.resize(index + 1, None);
             }
             let out = self.servers[index].map_or(0, |server| server.1);
-            self.servers[index] = Some((line.state, out, line.started.unwrap_or(f64::NEG_INFINITY)));
+            self.servers[index] = Some((line.state, out, line.started_at.unwrap_or(f64::NEG_INFINITY)));
         }
     }
 
@@ -195,13 +197,13 @@
             kept.rest_until = self.now + self.terms.release + 1.0;
         }
         let again =
-            kept.shots < self.terms.max_shots && kept.rest_until < kept.until && self.now < kept.until;
+            kept.shots < self.terms.max_attempts && kept.rest_until < kept.until && self.now < kept.until;
         if self.broken.forgets {
         } else if again && ending != Ending::Busy {
             self.held.push(handle);
         } else {
             self.kept[handle.0 as usize] = None;
-            host.refuse(handle, self.terms.longest_advice);
+            host.refuse(handle, self.terms.max_retry_after);
         }
     }
 
@@ -227,7 +229,7 @@
             let chosen = if until > self.now { self.choose() } else { None };
             let Some(server) = chosen else {
                 self.kept[handle.0 as usize] = None;
-                host.refuse(handle, self.terms.longest_advice);
+                host.refuse(handle, self.terms.max_retry_after);
                 continue;
             };
             let kept = self.kept[handle.0 as usize].as_mut().expect("just seen");
@@ -237,15 +239,15 @@
                 *out += 1;
             }
             // An even share of what is left for each shot that it may have.
-            let left = f64::from(self.terms.max_shots + 1 - kept.shots);
-            host.shoot(handle, Server(server as u32), (until - self.now) / left);
+            let left = f64::from(self.terms.max_attempts + 1 - kept.shots);
+            host.send_attempt(handle, Server(server as u32), (until - self.now) / left);
         }
         if due.is_finite() {
             host.wake(due);
         }
     }
 
-    fn view(&self, _server: Server) -> Option<View> {
+    fn view(&self, _server: Server) -> Option<ServerView> {
         None
     }
 }
@@ -279,7 +281,7 @@
     fn at(&mut self, now: f64) {
         pass_on!(self, at(now));
     }
-    fn listed(&mut self, lines: &[Listed], whole: bool, host: &mut impl Host) {
+    fn listed(&mut self, lines: &[ServerEntry], whole: bool, host: &mut impl Host) {
         pass_on!(self, listed(lines, whole, host));
     }
     fn reported(&mut self, server: Server, report: Report) {
@@ -312,7 +314,7 @@
     fn settle(&mut self, host: &mut impl Host) {
         pass_on!(self, settle(host));
     }
-    fn view(&self, server: Server) -> Option<View> {
+    fn view(&self, server: Server) -> Option<ServerView> {
         match self {
             Self::Ours(module) => Proxy::view(module, server),
             Self::Plain(plain) => plain.view(server),
--- a/proxy/src/border/callers.rs
+++ b/proxy/src/border/callers.rs
@@ -68,7 +68,7 @@
         let call = Call {
             grade,
             tenant: self.routes.tenant(text(element::USERNAME), context),
-            first,
+            preferred_pool: first,
             number: (!calling.is_empty()).then(|| self.number(calling, called)),
             remaining: patience.min(self.patience[grade]) - waited - self.answer_lead,
             redial: hints.redial,
--- a/proxy/src/border/hands.rs
+++ b/proxy/src/border/hands.rs
@@ -125,12 +125,12 @@
 }
 
 impl Host for Hands {
-    fn shoot(&mut self, handle: Handle, server: Server, time_out: f64) {
+    fn send_attempt(&mut self, handle: Handle, server: Server, time_out: f64) {
         let (now, peer) = (self.now, self.pool.address(server));
         let Some(conversation) = self.conversation(handle) else { return };
         let carried = conversation.carried.clone();
         let Some(leg) = self.servers.call(now, peer, &carried) else {
-            return self.timers.unheard(handle, Ending::Moot);
+            return self.timers.unheard(handle, Ending::NotSent);
         };
         self.tally.shots += 1;
         if let Some(limits) = &mut self.limits {
@@ -176,9 +176,9 @@
         self.servers.poke(now, peer);
     }
 
-    fn tell(&mut self, _message: &[u8]) {}
+    fn broadcast(&mut self, _message: &[u8]) {}
 
-    fn note(&mut self, line: &str) {
+    fn log(&mut self, line: &str) {
         self.notes.push_back(line.to_owned());
     }
 }
--- a/proxy/src/border/mod.rs
+++ b/proxy/src/border/mod.rs
@@ -328,9 +328,9 @@
                 }
                 .to_owned(),
                 cold: view.cold,
-                out: view.out,
-                allowance: view.allowance,
-                resting: view.resting,
+                out: view.in_flight,
+                allowance: view.concurrency_limit,
+                resting: view.cooling_down,
                 samples: view.samples,
                 mean_ratio: view.mean_ratio,
                 delay_ms: view.delay,
--- a/proxy/src/border/servers.rs
+++ b/proxy/src/border/servers.rs
@@ -109,7 +109,7 @@
     pub(super) fn ended(&mut self, handle: Handle, ending: Ending) {
         let tally = &mut self.hands.tally;
         match ending {
-            Ending::Nacked | Ending::NoLine => tally.nacked += 1,
+            Ending::Rejected | Ending::NoFreeLine => tally.nacked += 1,
             Ending::TimedOut => tally.timed_out += 1,
             Ending::Reset => tally.reset += 1,
             _ => {}
--- a/proxy/src/causes.rs
+++ b/proxy/src/causes.rs
@@ -21,9 +21,9 @@
     match end {
         End::Peer { rejected, elements } => match elements.cause() {
             Some(cause::USER_BUSY) => Ending::Busy,
-            Some(cause::NO_CIRCUIT) => Ending::NoLine,
-            Some(cause::REJECTED | 38 | cause::CONGESTION | 47) => Ending::Nacked,
-            _ if *rejected => Ending::Nacked,
+            Some(cause::NO_CIRCUIT) => Ending::NoFreeLine,
+            Some(cause::REJECTED | 38 | cause::CONGESTION | 47) => Ending::Rejected,
+            _ if *rejected => Ending::Rejected,
             _ => Ending::Error,
         },
         End::Unknown => Ending::Reset,
--- a/proxy/src/decisions.rs
+++ b/proxy/src/decisions.rs
@@ -2,14 +2,14 @@
 //! deliberately broken ones, which live in the laboratory, stand in for it there.
 
 use frostthread::Proxy;
-use frostthread::host::{Call, Ending, Handle, Host, Listed, Report, Server, Suspicion, View};
+use frostthread::host::{Call, Ending, Handle, Host, Report, Server, ServerEntry, ServerView, Suspicion};
 
 use crate::differences::Differences;
 
 /// The calls of [`frostthread::Proxy`] and its handles; see there for each.
 pub trait Decisions {
     fn at(&mut self, now: f64);
-    fn listed(&mut self, lines: &[Listed], whole: bool, host: &mut impl Host);
+    fn listed(&mut self, lines: &[ServerEntry], whole: bool, host: &mut impl Host);
     fn reported(&mut self, server: Server, report: Report);
     fn suspected(&mut self, server: Server, suspicion: Option<Suspicion>);
     /// A limit of the whole fleet; gives how many conversations the former word alone kept away.
@@ -24,7 +24,7 @@
     fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host);
     fn left(&mut self, handle: Handle);
     fn settle(&mut self, host: &mut impl Host);
-    fn view(&self, server: Server) -> Option<View>;
+    fn view(&self, server: Server) -> Option<ServerView>;
     /// Where other terms would have decided otherwise, if any are watched.
     fn differences(&self) -> Option<Differences> {
         None
@@ -33,42 +33,42 @@
 
 impl Decisions for Proxy {
     fn at(&mut self, now: f64) {
-        self.at(now);
+        self.advance_clock(now);
     }
-    fn listed(&mut self, lines: &[Listed], whole: bool, host: &mut impl Host) {
-        self.listed(lines, whole, host);
+    fn listed(&mut self, lines: &[ServerEntry], whole: bool, host: &mut impl Host) {
+        self.update_server_list(lines, whole, host);
     }
     fn reported(&mut self, server: Server, report: Report) {
         self.reported(server, report);
     }
     fn suspected(&mut self, server: Server, suspicion: Option<Suspicion>) {
-        self.suspected(server, suspicion);
+        self.set_suspicion(server, suspicion);
     }
     fn allotted(&mut self, server: Server, shots: Option<u32>) -> u32 {
-        self.allotted(server, shots)
+        self.set_fleet_limit(server, shots)
     }
     fn shared(&mut self, tenant: usize, within: Option<bool>) {
-        self.shared(tenant, within);
+        self.set_within_share(tenant, within);
     }
     fn take(&mut self, call: &Call) -> Handle {
-        self.take(call)
+        self.accept(call)
     }
     fn place(&mut self, handle: Handle) {
-        handle.place(self);
+        handle.enqueue(self);
     }
     fn stood(&mut self, handle: Handle) {
-        handle.stood(self);
+        handle.established(self);
     }
     fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
-        handle.ended(self, ending, finished, host);
+        handle.attempt_ended(self, ending, finished, host);
     }
     fn left(&mut self, handle: Handle) {
-        handle.left(self);
+        handle.caller_gone(self);
     }
     fn settle(&mut self, host: &mut impl Host) {
-        self.settle(host);
+        self.run_pending(host);
     }
-    fn view(&self, server: Server) -> Option<View> {
+    fn view(&self, server: Server) -> Option<ServerView> {
         self.view(server)
     }
 }
--- a/proxy/src/earned.rs
+++ b/proxy/src/earned.rs
@@ -27,8 +27,8 @@
         let Some(grade) = self.grades.get(grade) else { return };
         self.conversations = self.conversations.saturating_add(1);
         self.could += grade.earnings;
-        self.kept += grade.earnings * if took <= grade.quoted { 1.0 } else { grade.late };
-        self.delays.count(took / grade.limit);
+        self.kept += grade.earnings * if took <= grade.quoted { 1.0 } else { grade.late_share };
+        self.delays.record(took / grade.limit);
     }
 
     /// One was refused, failed or cut; or, of no known grade, had no route.
--- a/proxy/src/hints.rs
+++ b/proxy/src/hints.rs
@@ -97,7 +97,7 @@
             lines: self.lines.map(f64::from),
             rate: self.rate.map(|rate| f64::from(rate) / 1000.0),
             wait: self.wait.map(f64::from),
-            stay_away: self.come_back.map(f64::from),
+            retry_after: self.come_back.map(f64::from),
         }
     }
 }
--- a/proxy/src/pool.rs
+++ b/proxy/src/pool.rs
@@ -8,7 +8,7 @@
 use std::hash::Hasher;
 use std::net::SocketAddr;
 
-use frostthread::host::{Listed, Server, State};
+use frostthread::host::{Server, ServerEntry, State};
 use gossip::wire::Life;
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
@@ -182,16 +182,16 @@
     }
 
     /// The fleet has decided which servers get nothing new; gives the lines that are others now.
-    pub fn drain(&mut self, drained: &BTreeSet<String>) -> Vec<Listed> {
+    pub fn drain(&mut self, drained: &BTreeSet<String>) -> Vec<ServerEntry> {
         let former = std::mem::replace(&mut self.drained, drained.clone());
         let changed = former.symmetric_difference(drained).filter_map(|name| self.known.get(name));
         let running = changed.filter(|known| known.entry.state == Readiness::Running);
         running.map(|known| self.line(known)).collect()
     }
 
-    fn line(&self, known: &Known) -> Listed {
+    fn line(&self, known: &Known) -> ServerEntry {
         let state = self.effective(&known.entry);
-        Listed { server: known.server, state, pool: known.entry.pool, started: known.started }
+        ServerEntry { server: known.server, state, pool: known.entry.pool, started_at: known.started }
     }
 
     /// The server at an address, the latest to be listed there.
@@ -214,7 +214,7 @@
     }
 
     /// Takes news in. `now` is the proxy's clock and `unix` the wall clock, both in milliseconds.
-    pub fn apply(&mut self, news: &News, now: f64, unix: f64) -> Result<Vec<Listed>, Unfit> {
+    pub fn apply(&mut self, news: &News, now: f64, unix: f64) -> Result<Vec<ServerEntry>, Unfit> {
         if !news.whole {
             let last = self.version.ok_or(Unfit::NoWhole(news.version))?;
             if news.version != last + 1 {
@@ -230,7 +230,7 @@
         Ok(news.servers.iter().map(|entry| self.take(entry, now, unix)).collect())
     }
 
-    fn take(&mut self, entry: &Entry, now: f64, unix: f64) -> Listed {
+    fn take(&mut self, entry: &Entry, now: f64, unix: f64) -> ServerEntry {
         let local = |at: f64| now - (unix - at).max(0.0);
         let known = self.known.entry(entry.name.clone()).or_insert_with(|| {
             self.names.push(entry.name.clone());
--- a/proxy/src/watch.rs
+++ b/proxy/src/watch.rs
@@ -8,7 +8,9 @@
 use std::collections::{HashMap, HashSet};
 
 use frostthread::Proxy;
-use frostthread::host::{Call, Ending, Handle, Host, Listed, Report, Server, Suspicion, Terms, View};
+use frostthread::host::{
+    Call, Ending, Handle, Host, Report, Server, ServerEntry, ServerView, Suspicion, Terms,
+};
 
 use crate::decisions::Decisions;
 use crate::differences::Differences;
@@ -32,10 +34,10 @@
 }
 
 impl<H: Host> Host for Requests<'_, H> {
-    fn shoot(&mut self, handle: Handle, server: Server, time_out: f64) {
+    fn send_attempt(&mut self, handle: Handle, server: Server, time_out: f64) {
         self.shots.insert(handle, (server, time_out));
         if let Some(to) = &mut self.to {
-            to.shoot(handle, server, time_out);
+            to.send_attempt(handle, server, time_out);
         }
     }
     fn refuse(&mut self, handle: Handle, come_back: Option<f64>) {
@@ -67,14 +69,14 @@
             to.probe(server);
         }
     }
-    fn tell(&mut self, message: &[u8]) {
+    fn broadcast(&mut self, message: &[u8]) {
         if let Some(to) = &mut self.to {
-            to.tell(message);
+            to.broadcast(message);
         }
     }
-    fn note(&mut self, line: &str) {
+    fn log(&mut self, line: &str) {
         if let Some(to) = &mut self.to {
-            to.note(line);
+            to.log(line);
         }
     }
 }
@@ -137,7 +139,7 @@
             return decide(&mut self.module, &mut Requests::of(Some(host)));
         };
         self.credit -= 1.0;
-        let mut copy = self.module.under(terms.clone());
+        let mut copy = self.module.with_terms(terms.clone());
         let mut other = Requests::of(None);
         decide(&mut copy, &mut other);
         let mut now = Requests::of(Some(host));
@@ -148,42 +150,42 @@
 
 impl Decisions for Watched {
     fn at(&mut self, now: f64) {
-        self.module.at(now);
+        self.module.advance_clock(now);
     }
-    fn listed(&mut self, lines: &[Listed], whole: bool, host: &mut impl Host) {
-        self.module.listed(lines, whole, host);
+    fn listed(&mut self, lines: &[ServerEntry], whole: bool, host: &mut impl Host) {
+        self.module.update_server_list(lines, whole, host);
     }
     fn reported(&mut self, server: Server, report: Report) {
         self.module.reported(server, report);
     }
     fn suspected(&mut self, server: Server, suspicion: Option<Suspicion>) {
-        self.module.suspected(server, suspicion);
+        self.module.set_suspicion(server, suspicion);
     }
     fn allotted(&mut self, server: Server, shots: Option<u32>) -> u32 {
-        self.module.allotted(server, shots)
+        self.module.set_fleet_limit(server, shots)
     }
     fn shared(&mut self, tenant: usize, within: Option<bool>) {
-        self.module.shared(tenant, within);
+        self.module.set_within_share(tenant, within);
     }
     fn take(&mut self, call: &Call) -> Handle {
-        self.module.take(call)
+        self.module.accept(call)
     }
     fn place(&mut self, handle: Handle) {
-        handle.place(&mut self.module);
+        handle.enqueue(&mut self.module);
     }
     fn stood(&mut self, handle: Handle) {
-        handle.stood(&mut self.module);
+        handle.established(&mut self.module);
     }
     fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
-        self.twice(host, |module, host| handle.ended(module, ending, finished, host));
+        self.twice(host, |module, host| handle.attempt_ended(module, ending, finished, host));
     }
     fn left(&mut self, handle: Handle) {
-        handle.left(&mut self.module);
+        handle.caller_gone(&mut self.module);
     }
     fn settle(&mut self, host: &mut impl Host) {
-        self.twice(host, |module, host| module.settle(host));
+        self.twice(host, |module, host| module.run_pending(host));
     }
-    fn view(&self, server: Server) -> Option<View> {
+    fn view(&self, server: Server) -> Option<ServerView> {
         self.module.view(server)
     }
     fn differences(&self) -> Option<Differences> {
--- a/proxy/tests/stories.rs
+++ b/proxy/tests/stories.rs
@@ -12,7 +12,7 @@
 use fixture::{Story, address, entry};
 use fleet::{FleetTerms, LoanTerms};
 use frostthread::Proxy;
-use frostthread::host::{Call, Ending, Handle, Host, Listed, Report, Server, State, Terms};
+use frostthread::host::{Call, Ending, Handle, Host, Report, Server, ServerEntry, State, Terms};
 use gossip::keys::{Roster, Secrets};
 use gossip::{GossipTerms, Node};
 use iax2::element::{self, Elements};
@@ -270,8 +270,8 @@
     let mut list = PoolList::default();
     let news =
         |version| News { version, whole: true, servers: vec![entry(0, Readiness::Running, Some(5_000.0))] };
-    let first = list.apply(&news(1), 100.0, 60_000.0).expect("fits")[0].started;
-    let again = list.apply(&news(2), 200.0, 3_660_000.0).expect("fits")[0].started;
+    let first = list.apply(&news(1), 100.0, 60_000.0).expect("fits")[0].started_at;
+    let again = list.apply(&news(2), 200.0, 3_660_000.0).expect("fits")[0].started_at;
     assert_eq!(first, again);
 }
 
@@ -347,7 +347,7 @@
 struct Shots(Vec<(Handle, Server)>);
 
 impl Host for Shots {
-    fn shoot(&mut self, handle: Handle, server: Server, _: f64) {
+    fn send_attempt(&mut self, handle: Handle, server: Server, _: f64) {
         self.0.push((handle, server));
     }
     fn refuse(&mut self, _: Handle, _: Option<f64>) {}
@@ -355,26 +355,31 @@
     fn cancel(&mut self, _: Handle, _: u16) {}
     fn wake(&mut self, _: f64) {}
     fn probe(&mut self, _: Server) {}
-    fn tell(&mut self, _: &[u8]) {}
-    fn note(&mut self, _: &str) {}
+    fn broadcast(&mut self, _: &[u8]) {}
+    fn log(&mut self, _: &str) {}
 }
 
 /// Two servers; the first turns a shot back and names a wait, then two callers come who want it first.
 fn play(to_come: Option<ToCome>) -> (Shots, Option<Differences>) {
     let mut watched = Watched::new(Proxy::new(fixture::terms().terms, 7, 0.0), to_come);
     let mut shots = Shots::default();
-    let line =
-        |server| Listed { server: Server(server), state: State::Running, pool: server as u16, started: None };
+    let line = |server| ServerEntry {
+        server: Server(server),
+        state: State::Running,
+        pool: server as u16,
+        started_at: None,
+    };
     watched.listed(&[line(0), line(1)], true, &mut shots);
-    let call = Call { grade: 0, tenant: None, first: 0, number: None, remaining: 3000.0, redial: false };
+    let call =
+        Call { grade: 0, tenant: None, preferred_pool: 0, number: None, remaining: 3000.0, redial: false };
     for now in [0.0, 10.0, 20.0] {
         watched.at(now);
         let handle = watched.take(&call);
         watched.place(handle);
         watched.settle(&mut shots);
         if now == 0.0 {
-            watched.reported(Server(0), Report { stay_away: Some(500.0), ..Report::default() });
-            watched.ended(handle, Ending::Nacked, false, &mut shots);
+            watched.reported(Server(0), Report { retry_after: Some(500.0), ..Report::default() });
+            watched.ended(handle, Ending::Rejected, false, &mut shots);
             watched.settle(&mut shots);
         }
         watched.stood(handle);
@@ -394,7 +399,7 @@
     #[case] differing: std::ops::RangeInclusive<u64>,
 ) {
     let now = fixture::terms().terms;
-    let terms = Terms { nacks_name_wait: other, ..now };
+    let terms = Terms { respect_retry_after: other, ..now };
     let (shots, watch) = play(Some(ToCome { terms, share }));
     let (unwatched, none) = play(None);
     assert_eq!(shots.0, unwatched.0, "the same is done, watched or not");
--- a/simhost/src/instance.rs
+++ b/simhost/src/instance.rs
@@ -3,9 +3,9 @@
 use std::collections::HashMap;
 
 use anyhow::{Context, Result, bail, ensure};
-use frostthread::host::{Call, Ending, Host, Listed, Server, State};
+use frostthread::host::{Call, Ending, Host, Server, ServerEntry, State};
 use frostthread::{Handle, Proxy};
-use terms::{Pairs, ReportOrder};
+use terms::{ReportLayout, SettingsMap};
 
 use crate::wire::{Address, Fields, Reply};
 
@@ -92,7 +92,7 @@
 }
 
 impl Host for Answers<'_> {
-    fn shoot(&mut self, handle: Handle, server: Server, time_out: f64) {
+    fn send_attempt(&mut self, handle: Handle, server: Server, time_out: f64) {
         let address = self.names.addresses[server.0 as usize];
         self.put(5, &[&self.req(handle), &address, &seconds(time_out)]);
     }
@@ -120,11 +120,11 @@
         self.put(6, &[&address]);
     }
 
-    fn tell(&mut self, message: &[u8]) {
+    fn broadcast(&mut self, message: &[u8]) {
         self.put(2, &[&u16::MAX.to_le_bytes(), &(message.len() as u16).to_le_bytes(), message]);
     }
 
-    fn note(&mut self, line: &str) {
+    fn log(&mut self, line: &str) {
         let line = &line.as_bytes()[..line.len().min(usize::from(u16::MAX))];
         self.put(3, &[&(line.len() as u16).to_le_bytes(), line]);
     }
@@ -135,7 +135,7 @@
     who: u32,
     proxy: Proxy,
     names: Names,
-    order: ReportOrder,
+    order: ReportLayout,
     grades: usize,
     tenants: usize,
 }
@@ -144,33 +144,33 @@
     pub fn launch(who: u32, now: f64, fields: &mut Fields) -> Result<Self> {
         let seed = fields.u64("salt")?;
         let length = fields.u32("setup")? as usize;
-        let pairs = Pairs::of_lines(fields.bytes("setup", length)?).context("launch")?;
+        let pairs = SettingsMap::from_lines(fields.bytes("setup", length)?).context("launch")?;
         let terms = pairs.terms().context("launch")?;
-        let order = pairs.report_order().context("launch")?;
+        let order = pairs.report_layout().context("launch")?;
         let (grades, tenants) = (terms.grades.len(), terms.tenants.len());
         Ok(Self { who, proxy: Proxy::new(terms, seed, now), names: Names::default(), order, grades, tenants })
     }
 
     /// The time of what follows.
     pub fn at(&mut self, now: f64) {
-        self.proxy.at(now);
+        self.proxy.advance_clock(now);
     }
 
     /// The list changed; `entries` is `None` where the news only tells that the list could not be had.
     pub fn membership(&mut self, entries: &[Entry], whole: bool, reply: &mut Reply) {
-        let line = |e: &Entry| Listed {
+        let line = |e: &Entry| ServerEntry {
             server: self.names.server(e.server),
             state: e.state,
             pool: e.pool,
-            started: e.started,
+            started_at: e.started,
         };
-        let lines: Vec<Listed> = entries.iter().map(line).collect();
-        self.with(reply, |proxy, host| proxy.listed(&lines, whole, host));
+        let lines: Vec<ServerEntry> = entries.iter().map(line).collect();
+        self.with(reply, |proxy, host| proxy.update_server_list(&lines, whole, host));
     }
 
     /// All that came for the instance at this time is told.
     pub fn settle(&mut self, reply: &mut Reply) {
-        self.with(reply, |proxy, host| proxy.settle(host));
+        self.with(reply, |proxy, host| proxy.run_pending(host));
     }
 
     /// Another proxy's message: the decisions send none, so none is owed attention.
@@ -194,10 +194,10 @@
         let first = fields.f32("far_end")? as u16;
         fields.f32("width")?;
         let tenant = Some(tenant).filter(|&t| t < self.tenants);
-        let call = Call { grade, tenant, first, number, remaining, redial: opts & 2 != 0 };
-        let handle = self.proxy.take(&call);
+        let call = Call { grade, tenant, preferred_pool: first, number, remaining, redial: opts & 2 != 0 };
+        let handle = self.proxy.accept(&call);
         self.names.taken(req, handle);
-        handle.place(&mut self.proxy);
+        handle.enqueue(&mut self.proxy);
         Ok(())
     }
 
@@ -207,7 +207,7 @@
         fields.address("server")?;
         fields.millis("time_taken")?;
         if let Some(&handle) = self.names.handles.get(&req) {
-            handle.stood(&mut self.proxy);
+            handle.established(&mut self.proxy);
         }
         Ok(())
     }
@@ -218,7 +218,7 @@
         let (cause, wait) = (code & 15, code >> 4);
         let ending = match (ending("reply", fields.u8("rc")?)?, cause) {
             (Ending::Error, 4) => Ending::Busy,
-            (Ending::Nacked, 1) => Ending::NoLine,
+            (Ending::Rejected, 1) => Ending::NoFreeLine,
             (ending, _) => ending,
         };
         fields.millis("time_taken")?;
@@ -226,10 +226,10 @@
         let server = self.names.server(fields.address("server")?);
         fields.u16("send_no")?;
         let mut report = self.order.read(&fields.values("report")?);
-        report.stay_away = Some(f64::from(wait)).filter(|&wait| ending == Ending::Nacked && wait > 0.0);
+        report.retry_after = Some(f64::from(wait)).filter(|&wait| ending == Ending::Rejected && wait > 0.0);
         self.proxy.reported(server, report);
         if let Some(&handle) = self.names.handles.get(&req) {
-            self.with(reply, |proxy, host| handle.ended(proxy, ending, finished, host));
+            self.with(reply, |proxy, host| handle.attempt_ended(proxy, ending, finished, host));
             self.drop_if_done(req, handle);
         }
         Ok(())
@@ -238,7 +238,7 @@
     pub fn withdrawn(&mut self, fields: &mut Fields) -> Result<()> {
         let req = fields.u64("req")?;
         if let Some(&handle) = self.names.handles.get(&req) {
-            handle.left(&mut self.proxy);
+            handle.caller_gone(&mut self.proxy);
             self.drop_if_done(req, handle);
         }
         Ok(())
@@ -255,7 +255,7 @@
     }
 
     fn drop_if_done(&mut self, req: u64, handle: Handle) {
-        if !self.proxy.holds(handle) {
+        if !self.proxy.contains(handle) {
             self.names.handles.remove(&req);
         }
     }
@@ -269,12 +269,12 @@
     Ok(match rc {
         1 => Ending::Ok,
         2 => Ending::Error,
-        3 => Ending::Nacked,
+        3 => Ending::Rejected,
         4 => Ending::TimedOut,
         5 => Ending::NoConnection,
         6 => Ending::Reset,
         7 => Ending::Cancelled,
-        8 => Ending::Moot,
+        8 => Ending::NotSent,
         other => return Err(anyhow::anyhow!("{other} is no outcome")).context(format!("{record}: field rc")),
     })
 }
--- a/src/choice/central.rs
+++ b/src/choice/central.rs
@@ -67,11 +67,11 @@
 }
 
 impl Central {
-    pub(super) fn new(line: &Listed, now: f64, weight: f64, entry: (f64, f64), allowance: f64) -> Self {
+    pub(super) fn new(line: &ServerEntry, now: f64, weight: f64, entry: (f64, f64), allowance: f64) -> Self {
         Self {
             state: line.state,
             pool: line.pool,
-            started: line.started.unwrap_or(f64::NEG_INFINITY),
+            started: line.started_at.unwrap_or(f64::NEG_INFINITY),
             entry,
             probe_at: f64::NEG_INFINITY,
             allowance,
@@ -111,7 +111,7 @@
 
     pub(super) fn sample(&mut self, now: f64, ratio: f64) {
         self.samples.push_back((now, ratio));
-        self.histogram.count(ratio);
+        self.histogram.record(ratio);
     }
 
     /// Whether it has ever said how many set-ups it can take.
--- a/src/choice/cold.rs
+++ b/src/choice/cold.rs
@@ -24,10 +24,10 @@
         // Departure: under a limit of the whole fleet no proxy need keep to an equal part, which starves busy
         // ones.
         let limited = central.allotted.is_some() && central.tells_rate();
-        if self.now - central.started >= self.terms.cold || limited {
+        if self.now - central.started >= self.terms.cold_duration || limited {
             return false;
         }
-        let quick = COLD_QUICK * (self.terms.fall_multiple - 1.0) * self.terms.fall_span;
+        let quick = COLD_QUICK * (self.terms.overload_factor - 1.0) * self.terms.overload_duration;
         let quick = central.out.is_empty() && !central.samples.is_empty() && central.latest <= quick;
         if central.tells_rate() {
             let part = central.rate / f64::from(self.terms.proxies) * if quick { COLD_MORE } else { 1.0 };
@@ -46,9 +46,9 @@
     /// rate comes only with a conversation's end; holds for any start. Hurts one with far more lines than its
     /// processor can serve, and of that `COLD_PART` takes account.
     pub(super) fn cold_gap(&self, lines: f64) -> f64 {
-        let (terms, span) = (&self.terms, self.terms.fall_span);
-        let setups = COLD_PART * terms.cold_from * lines / self.mean_hold * span;
-        span * f64::from(terms.proxies) / (terms.fall_multiple * setups.max(COLD_SETUPS))
+        let (terms, span) = (&self.terms, self.terms.overload_duration);
+        let setups = COLD_PART * terms.initial_capacity_share * lines / self.mean_hold * span;
+        span * f64::from(terms.proxies) / (terms.overload_factor * setups.max(COLD_SETUPS))
     }
 
     /// Departure: where rates are told, a cold central server is probed now and then, and one whose line has
@@ -58,7 +58,7 @@
         if !self.terms.may_probe || !self.centrals.iter().flatten().any(Central::tells_rate) {
             return;
         }
-        let (now, window, cold) = (self.now, self.window, self.terms.cold);
+        let (now, window, cold) = (self.now, self.window, self.terms.cold_duration);
         for (i, central) in self.centrals.iter_mut().enumerate() {
             let Some(central) = central else { continue };
             let span = if now - central.started < cold {
--- a/src/choice/histogram.rs
+++ b/src/choice/histogram.rs
@@ -20,7 +20,7 @@
         ((ratio.clamp(0.0, 1.0) * BINS as f64) as usize).min(BINS - 1)
     }
 
-    pub fn count(&mut self, ratio: f64) {
+    pub fn record(&mut self, ratio: f64) {
         self.bins[Self::bin(ratio)] += 1;
         self.samples += 1;
     }
--- a/src/choice/hold.rs
+++ b/src/choice/hold.rs
@@ -10,7 +10,7 @@
 impl Proxy {
     /// To be called when all that has come at one time is told: shoots what can be shot, best earners first,
     /// and gives up at once what can no longer stand in time.
-    pub fn settle(&mut self, host: &mut impl Host) {
+    pub fn run_pending(&mut self, host: &mut impl Host) {
         let then = self.now - self.window;
         for central in self.centrals.iter_mut().flatten() {
             central.forget_before(then);
@@ -64,7 +64,7 @@
                 let Some(conversation) = self.conversations.get(shot.handle.key()) else { continue };
                 let grade = &self.grades[conversation.grade];
                 let end = self.now + self.terms.release + central.delay.max(self.standing * 0.1);
-                let again = conversation.shots < self.terms.max_shots && grade.repeatable;
+                let again = conversation.shots < self.terms.max_attempts && grade.repeatable;
                 if again && self.now - shot.at > self.standing && end < conversation.taken + grade.quoted {
                     (shot.cancelled, shot.overtaken) = (true, true);
                     host.cancel(shot.handle, conversation.shots as u16 - 1);
@@ -94,7 +94,7 @@
         let away = running.map(|c| self.away(c)).fold(f64::INFINITY, f64::min);
         let away = if away.is_finite() { away } else { 0.0 };
         let spread = 0.5 + 0.5 * self.rng.random::<f64>();
-        let advice = self.terms.longest_advice.map(|most| (most * spread).max(away).min(most));
+        let advice = self.terms.max_retry_after.map(|most| (most * spread).max(away).min(most));
         host.refuse(handle, advice);
     }
 }
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -1,9 +1,10 @@
 //! The decisions: which central server a conversation is shot at, and when it is held or given up.
 //!
-//! How to call it: make one [`Proxy`] for each border proxy and hand it the list with [`Proxy::listed`].
-//! [`Proxy::take`] gives a [`Handle`] for a conversation; everything later is a call on that handle:
-//! [`Handle::place`] once, then [`Handle::stood`], [`Handle::ended`], [`Handle::left`]. Say the time with
-//! [`Proxy::at`] before whatever comes at that time, and [`Proxy::settle`] after it. What the decisions ask
+//! How to call it: make one [`Proxy`] for each border proxy and hand it the list with [`Proxy::update_server_list`].
+//! [`Proxy::accept`] gives a [`Handle`] for a conversation; everything later is a call on that handle:
+//! [`Handle::enqueue`] once, then [`Handle::established`],
+//! [`Handle::attempt_ended`], [`Handle::caller_gone`]. Say the time with
+//! [`Proxy::advance_clock`] before whatever comes at that time, and [`Proxy::run_pending`] after it. What the decisions ask
 //! for in return is the trait [`Host`] in `host.rs`. `docs/design.md` says why each step is taken.
 
 mod central;
@@ -28,7 +29,7 @@
 use number::Number;
 
 use crate::host::{
-    Call, Ending, GradeTerms, Handle, Host, Listed, Report, Server, State, Suspicion, Terms, View,
+    Call, Ending, GradeTerms, Handle, Host, Report, Server, ServerEntry, ServerView, State, Suspicion, Terms,
 };
 
 /// The histogram's window, in longest time limits.
@@ -131,7 +132,7 @@
 /// The delay that a line may have: past it set-ups are sent again, or stand late.
 fn standing(terms: &Terms, shortest_quoted: f64) -> f64 {
     let quoted = STANDING_QUOTED * shortest_quoted;
-    if terms.repeat > 0.0 { quoted.min(STANDING * terms.repeat) } else { quoted }
+    if terms.resend_after > 0.0 { quoted.min(STANDING * terms.resend_after) } else { quoted }
 }
 
 impl Proxy {
@@ -142,7 +143,7 @@
             quoted: g.quoted,
             limit: g.limit,
             earnings: g.earnings,
-            late: g.late,
+            late: g.late_share,
             violation: (VIOLATION * g.earnings / mean).clamp(VIOLATION / 10.0, 0.5),
             repeatable: g.repeatable,
             pools: g.pools.clone(),
@@ -176,12 +177,12 @@
     }
 
     /// This proxy as it is now, but under other terms with the same grades and tenants: what would it do?
-    pub fn under(&self, terms: Terms) -> Self {
+    pub fn with_terms(&self, terms: Terms) -> Self {
         Self { standing: standing(&terms, self.shortest_quoted), terms, ..self.clone() }
     }
 
     /// The time of what follows.
-    pub fn at(&mut self, now: f64) {
+    pub fn advance_clock(&mut self, now: f64) {
         if now > self.now {
             // The host's clock may round a time to just below the one asked for.
             if now + 1.0 >= self.wake_at {
@@ -195,14 +196,14 @@
     }
 
     /// What this proxy makes of a central server, for operators to look at.
-    pub fn view(&self, server: Server) -> Option<View> {
+    pub fn view(&self, server: Server) -> Option<ServerView> {
         let central = self.centrals.get(server.0 as usize)?.as_ref()?;
-        Some(View {
+        Some(ServerView {
             state: central.state,
-            cold: self.now - central.started < self.terms.cold,
-            out: central.waiting().count(),
-            allowance: central.allowance,
-            resting: self.now - central.rests < central.rest,
+            cold: self.now - central.started < self.terms.cold_duration,
+            in_flight: central.waiting().count(),
+            concurrency_limit: central.allowance,
+            cooling_down: self.now - central.rests < central.rest,
             samples: central.histogram.samples(),
             mean_ratio: central.histogram.mean(),
             delay: central.delay,
@@ -211,7 +212,7 @@
     }
 
     /// Whether the handle is still of use.
-    pub fn holds(&self, handle: Handle) -> bool {
+    pub fn contains(&self, handle: Handle) -> bool {
         self.conversations.contains(handle.key())
     }
 }
--- a/src/choice/outcome.rs
+++ b/src/choice/outcome.rs
@@ -68,13 +68,13 @@
         self.0 as usize
     }
 
-    /// Lets the conversation in: [`Proxy::settle`] finds its first way, or holds it, or gives it up.
-    pub fn place(self, proxy: &mut Proxy) {
+    /// Lets the conversation in: [`Proxy::run_pending`] finds its first way, or holds it, or gives it up.
+    pub fn enqueue(self, proxy: &mut Proxy) {
         proxy.held.push(self);
     }
 
     /// The conversation stands.
-    pub fn stood(self, proxy: &mut Proxy) {
+    pub fn established(self, proxy: &mut Proxy) {
         let Some(conversation) = proxy.conversations.get_mut(self.key()) else { return };
         conversation.stands = true;
         let fault = conversation.fault.take();
@@ -96,7 +96,7 @@
     }
 
     /// The shot, or the conversation that stood by it, has ended; `finished` when no answer is owed.
-    pub fn ended(self, proxy: &mut Proxy, ending: Ending, finished: bool, host: &mut impl Host) {
+    pub fn attempt_ended(self, proxy: &mut Proxy, ending: Ending, finished: bool, host: &mut impl Host) {
         let now = proxy.now;
         let Some(conversation) = proxy.conversations.get_mut(self.key()) else { return };
         let shot = conversation.shot.take();
@@ -109,7 +109,8 @@
         if matches!(ending, Ending::TimedOut | Ending::Reset | Ending::Cancelled) {
             conversation.rest_until = now + proxy.terms.release + 1.0;
         }
-        let ran = !matches!(ending, Ending::Nacked | Ending::NoLine | Ending::NoConnection | Ending::Moot);
+        let ran =
+            !matches!(ending, Ending::Rejected | Ending::NoFreeLine | Ending::NoConnection | Ending::NotSent);
         // Two servers say that it can't be set up: they are not asked again.
         let shot_at = shot.as_ref().map(|shot| shot.server);
         let fault = conversation.fault.filter(|_| ending == Ending::Error);
@@ -119,7 +120,7 @@
         }
         let again = !over
             && !own
-            && conversation.shots < proxy.terms.max_shots
+            && conversation.shots < proxy.terms.max_attempts
             && conversation.until > now
             && (!ran || proxy.grades[conversation.grade].repeatable);
         if let Some(shot) = shot.filter(|_| !stands) {
@@ -127,7 +128,7 @@
                 conversation.failed_at = Some(shot.server);
             }
             // What never left, or was called off, was not answered either.
-            let unheard = [Ending::TimedOut, Ending::NoConnection, Ending::Cancelled, Ending::Moot];
+            let unheard = [Ending::TimedOut, Ending::NoConnection, Ending::Cancelled, Ending::NotSent];
             if let Some(central) = proxy.centrals[shot.server].as_mut().filter(|_| !unheard.contains(&ending))
             {
                 central.heard = now;
@@ -137,10 +138,10 @@
                 Ending::Ok | Ending::Cancelled | Ending::Busy => {
                     proxy.answered(shot.server, self, Some(age), limit, Some(0.0))
                 }
-                Ending::Moot | Ending::NoLine => {
+                Ending::NotSent | Ending::NoFreeLine => {
                     if let Some(central) = &mut proxy.centrals[shot.server] {
                         central.out.retain(|out| out.handle != self);
-                        if ending == Ending::NoLine {
+                        if ending == Ending::NoFreeLine {
                             (central.free, central.told_free, central.lineless) = (0.0, now, now);
                         }
                     }
@@ -168,7 +169,7 @@
         if let Some(number) = busy
             && proxy.space(number, true)
         {
-            host.note(&format!("number {number} is busy, gapped"));
+            host.log(&format!("number {number} is busy, gapped"));
         }
         if over {
             let conversation = proxy.conversations.remove(self.key());
@@ -185,7 +186,7 @@
     }
 
     /// The caller has gone.
-    pub fn left(self, proxy: &mut Proxy) {
+    pub fn caller_gone(self, proxy: &mut Proxy) {
         let Some(conversation) = proxy.conversations.get_mut(self.key()) else { return };
         conversation.over = true;
         if conversation.shot.is_none() {
--- a/src/choice/passes.rs
+++ b/src/choice/passes.rs
@@ -70,7 +70,7 @@
     /// such waits are kept. Guards full processors from shots that would only cost them more work; hurts
     /// where one names too long a wait.
     pub(super) fn away(&self, central: &Central) -> f64 {
-        if self.terms.nacks_name_wait { central.back_at - self.now } else { 0.0 }
+        if self.terms.respect_retry_after { central.back_at - self.now } else { 0.0 }
     }
 
     /// Departure: no shot whose caller will have gone before an answer like the latest one there has come,
@@ -161,7 +161,7 @@
         let central = self.centrals[index].as_mut().expect("listed");
         // Leaves room to wait out the release and be answered elsewhere within the quoted time.
         let early = conversation.taken + grade.quoted - now - self.terms.release - self.standing;
-        let last = conversation.shots + 1 >= self.terms.max_shots || alone || !grade.repeatable;
+        let last = conversation.shots + 1 >= self.terms.max_attempts || alone || !grade.repeatable;
         let time_out = if last || early < 2.0 * self.standing { left } else { early.min(left) };
         // Departure: where waits are told and the latest answer was in time, a shot ends with the quoted
         // time, so that what would stand late does not keep its place in a processor's queue. Guards against
@@ -179,7 +179,7 @@
         if central.suspicion.is_some() {
             central.trial = now + gap * (0.5 + self.rng.random::<f64>());
         }
-        host.shoot(handle, Server(index as u32), time_out);
+        host.send_attempt(handle, Server(index as u32), time_out);
     }
 
     /// The latest moment at which a shot can still be answered within the quoted time.
--- a/src/choice/taken.rs
+++ b/src/choice/taken.rs
@@ -6,8 +6,8 @@
 const SAME_PATIENCE: f64 = 0.002;
 
 impl Proxy {
-    /// Takes a conversation; it is placed with [`Handle::place`].
-    pub fn take(&mut self, call: &Call) -> Handle {
+    /// Takes a conversation; it is placed with [`Handle::enqueue`].
+    pub fn accept(&mut self, call: &Call) -> Handle {
         let in_share = call.tenant.map_or(1.0, |tenant| self.in_share(tenant));
         let waited = self.waited(call);
         let grade = &self.grades[call.grade];
@@ -22,7 +22,7 @@
         }
         let conversation = Conversation {
             grade: call.grade,
-            first: call.first,
+            first: call.preferred_pool,
             number: call.number,
             taken,
             chance: self.rng.random(),
--- a/src/choice/told.rs
+++ b/src/choice/told.rs
@@ -4,13 +4,13 @@
 
 impl Proxy {
     /// News of the list. A whole list replaces the old one.
-    pub fn listed(&mut self, lines: &[Listed], whole: bool, host: &mut impl Host) {
+    pub fn update_server_list(&mut self, lines: &[ServerEntry], whole: bool, host: &mut impl Host) {
         if whole {
             let named = |i: usize| lines.iter().any(|line| line.server.0 as usize == i);
             for (i, central) in self.centrals.iter_mut().enumerate() {
                 if let Some(central) = central.as_mut().filter(|c| c.state != State::Gone && !named(i)) {
                     central.state = State::Gone;
-                    host.note(&format!("central server {i} is Gone"));
+                    host.log(&format!("central server {i} is Gone"));
                 }
             }
         }
@@ -22,18 +22,18 @@
             let weight = self.lowest_weight();
             let span = self.cold_gap(0.0);
             let entry = (self.now + self.rng.random::<f64>() * span, span);
-            let started = line.started.unwrap_or(f64::NEG_INFINITY);
+            let started = line.started_at.unwrap_or(f64::NEG_INFINITY);
             let first = FIRST_OUT / f64::from(self.terms.proxies);
             let fresh = Central::new(line, self.now, weight, entry, first);
             let central = self.centrals[index].get_or_insert_with(|| fresh.clone());
             if central.state != line.state {
                 central.state = line.state;
-                host.note(&format!("central server {index} is {:?}", line.state));
+                host.log(&format!("central server {index} is {:?}", line.state));
             }
             if started > central.started {
                 // A new processor: what the old one took so long for says nothing of it.
                 *central = Central { out: std::mem::take(&mut central.out), ..fresh };
-                host.note(&format!("central server {index} has started anew"));
+                host.log(&format!("central server {index} has started anew"));
             }
             central.pool = line.pool;
         }
@@ -59,7 +59,7 @@
         }
         central.tells_wait |= report.wait.is_some();
         // A wait over any time limit is not believed.
-        if let Some(wait) = report.stay_away.filter(|&wait| wait <= self.longest_limit) {
+        if let Some(wait) = report.retry_after.filter(|&wait| wait <= self.longest_limit) {
             central.back_at = now + wait;
         }
         if let Some(rate) = report.rate {
@@ -74,7 +74,7 @@
     }
 
     /// Others' word on a central server, or that they have taken it back.
-    pub fn suspected(&mut self, server: Server, suspicion: Option<Suspicion>) {
+    pub fn set_suspicion(&mut self, server: Server, suspicion: Option<Suspicion>) {
         let gap = self.trial_gap();
         let Some(Some(central)) = self.centrals.get_mut(server.0 as usize) else { return };
         if central.suspicion.is_none() && suspicion.is_some() {
@@ -98,17 +98,17 @@
     }
 
     /// How many shots may go to a central server now by a limit that holds for the whole fleet, or none where
-    /// there is no limit; to be told before each [`Proxy::settle`]. Gives how many conversations the former
+    /// there is no limit; to be told before each [`Proxy::run_pending`]. Gives how many conversations the former
     /// word alone kept away.
-    pub fn allotted(&mut self, server: Server, shots: Option<u32>) -> u32 {
+    pub fn set_fleet_limit(&mut self, server: Server, shots: Option<u32>) -> u32 {
         let Some(Some(central)) = self.centrals.get_mut(server.0 as usize) else { return 0 };
         central.allotted = shots;
         std::mem::take(&mut central.short)
     }
 
     /// Whether a tenant's next conversation is within its share of all proxies' traffic, or none where that
-    /// is not known; to be told before each [`Proxy::take`].
-    pub fn shared(&mut self, tenant: usize, within: Option<bool>) {
+    /// is not known; to be told before each [`Proxy::accept`].
+    pub fn set_within_share(&mut self, tenant: usize, within: Option<bool>) {
         self.shares[tenant] = within;
     }
 }
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,6 +1,8 @@
 //! The interface between the decisions and the program around them: plain types and [`Host`].
 //! Times are milliseconds on the host's clock, which only goes forward.
 
+use std::fmt;
+
 /// A conversation that this proxy has taken. What can be done with it is in `choice/`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Handle(pub u32);
@@ -18,24 +20,24 @@
     pub tenants: Vec<TenantTerms>,
     /// The part of its earnings that a conversation over its tenant's share keeps.
     pub over_share: f64,
-    pub max_shots: u32,
+    pub max_attempts: u32,
     /// The longest wait that a refused caller can be told, where advice is allowed at all.
-    pub longest_advice: Option<f64>,
+    pub max_retry_after: Option<f64>,
     pub may_cancel: bool,
     pub may_probe: bool,
     /// After a time-out, reset or cancel the conversation rests for this long.
     pub release: f64,
     /// A set-up that waits at a processor is sent again after this; 0 for never.
-    pub repeat: f64,
+    pub resend_after: f64,
     /// Whether the wait that a nack names is kept.
-    pub nacks_name_wait: bool,
+    pub respect_retry_after: bool,
     /// A central server is warm this long after its start.
-    pub cold: f64,
+    pub cold_duration: f64,
     /// It starts at this share of its capacity or more; 0 where that is not known.
-    pub cold_from: f64,
-    /// A cold one falls over at this multiple of its present capacity, kept up for `fall_span`.
-    pub fall_multiple: f64,
-    pub fall_span: f64,
+    pub initial_capacity_share: f64,
+    /// A cold one falls over at this multiple of its present capacity, kept up for `overload_duration`.
+    pub overload_factor: f64,
+    pub overload_duration: f64,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -46,7 +48,7 @@
     pub hold: f64,
     pub earnings: f64,
     /// The part of the earnings that is left after the quoted time.
-    pub late: f64,
+    pub late_share: f64,
     /// Whether a shot that may have run can be followed by another.
     pub repeatable: bool,
     pub pools: Vec<u16>,
@@ -64,7 +66,7 @@
     pub grade: usize,
     pub tenant: Option<usize>,
     /// The pool of first choice.
-    pub first: u16,
+    pub preferred_pool: u16,
     /// The number that is called; a caller that dials again calls the same.
     pub number: Option<u64>,
     /// How long the caller still waits.
@@ -82,12 +84,12 @@
 
 /// A line of the list of central servers.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ServerEntry {
     pub server: Server,
     pub state: State,
     pub pool: u16,
     /// When it last started, if that is known.
-    pub started: Option<f64>,
+    pub started_at: Option<f64>,
 }
 
 /// What a central server says of itself, as far as it is used.
@@ -101,25 +103,43 @@
     /// How long a set-up waits at its processor before it is begun.
     pub wait: Option<f64>,
     /// How long it asks the sender of a shot that it turned back to wait.
-    pub stay_away: Option<f64>,
+    pub retry_after: Option<f64>,
 }
 
 /// How a shot, or the conversation that it set up, came to its end.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
     Ok,
     Error,
     /// All lines of the number that is called are busy.
     Busy,
-    Nacked,
+    Rejected,
     /// Turned back because the pool had no free line.
-    NoLine,
+    NoFreeLine,
     TimedOut,
     NoConnection,
     Reset,
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
+}
+
+/// These names are written to the log under the label `ending`; they stay when a variant is renamed.
+impl fmt::Debug for Ending {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            Self::Ok => "Ok",
+            Self::Error => "Error",
+            Self::Busy => "Busy",
+            Self::Rejected => "Nacked",
+            Self::NoFreeLine => "NoLine",
+            Self::TimedOut => "TimedOut",
+            Self::NoConnection => "NoConnection",
+            Self::Reset => "Reset",
+            Self::Cancelled => "Cancelled",
+            Self::NotSent => "Moot",
+        })
+    }
 }
 
 /// Others' word that a central server answers nobody.
@@ -133,14 +153,14 @@
 
 /// What a proxy makes of a central server at present.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct View {
+pub struct ServerView {
     pub state: State,
     pub cold: bool,
     /// Shots out and still waited for, and how many may be; under one, the share of the time that one may.
-    pub out: usize,
-    pub allowance: f64,
+    pub in_flight: usize,
+    pub concurrency_limit: f64,
     /// No shot but of high earnings for now.
-    pub resting: bool,
+    pub cooling_down: bool,
     /// Samples of set-up delay over time limit in the window, and their mean.
     pub samples: usize,
     pub mean_ratio: f64,
@@ -152,17 +172,17 @@
 
 /// What the decisions ask of the program around them.
 pub trait Host {
-    /// Send the conversation's set-up, to be given up after `time_out`.
-    fn shoot(&mut self, handle: Handle, server: Server, time_out: f64);
+    /// Send the conversation's set-up, to be given up after `timeout`.
+    fn send_attempt(&mut self, handle: Handle, server: Server, timeout: f64);
     /// Refuse the conversation, with advice when to come back.
-    fn refuse(&mut self, handle: Handle, come_back: Option<f64>);
+    fn refuse(&mut self, handle: Handle, retry_after: Option<f64>);
     fn fail(&mut self, handle: Handle);
-    fn cancel(&mut self, handle: Handle, shot: u16);
-    /// Call [`crate::Proxy::at`] and [`crate::Proxy::settle`] at this time.
+    fn cancel(&mut self, handle: Handle, attempt: u16);
+    /// Call [`crate::Proxy::advance_clock`] and [`crate::Proxy::run_pending`] at this time.
     fn wake(&mut self, at: f64);
     fn probe(&mut self, server: Server);
     /// Send a short message to every other proxy.
-    fn tell(&mut self, message: &[u8]);
+    fn broadcast(&mut self, message: &[u8]);
     /// Write a line to the log.
-    fn note(&mut self, line: &str);
+    fn log(&mut self, line: &str);
 }
--- a/terms/src/lib.rs
+++ b/terms/src/lib.rs
@@ -1,6 +1,6 @@
 //! A deployment's settings as the platform gives them, turned into the module's terms. The simulator tells them as
-//! `path=value` lines, [`Pairs::of_lines`]; a border proxy on sockets finds the same ones nested in JSON,
-//! [`Pairs::of_json`]. [`Pairs::terms`] and [`Pairs::report_order`] read both.
+//! `path=value` lines, [`SettingsMap::from_lines`]; a border proxy on sockets finds the same ones nested in JSON,
+//! [`SettingsMap::from_json`]. [`SettingsMap::terms`] and [`SettingsMap::report_layout`] read both.
 
 #![forbid(unsafe_code)]
 
@@ -19,11 +19,11 @@
 const DEEPEST: usize = 16;
 
 /// The settings as they came; keys that are not asked for are ignored.
-pub struct Pairs(HashMap<String, String>);
+pub struct SettingsMap(HashMap<String, String>);
 
-impl Pairs {
+impl SettingsMap {
     /// One `path=value` a line.
-    pub fn of_lines(text: &[u8]) -> Result<Self> {
+    pub fn from_lines(text: &[u8]) -> Result<Self> {
         let text = std::str::from_utf8(text).context("field setup is no text")?;
         let pairs = text.lines().filter_map(|line| line.split_once('='));
         Ok(Self(pairs.map(|(key, value)| (key.to_owned(), value.to_owned())).collect()))
@@ -31,7 +31,7 @@
 
     /// Nested objects and lists. They are laid flat as the lines are: a list of plain values joined by commas,
     /// any other list as its length and its items by number.
-    pub fn of_json(settings: &Value) -> Result<Self> {
+    pub fn from_json(settings: &Value) -> Result<Self> {
         let mut pairs = HashMap::new();
         ensure!(settings.is_object(), "field settings is no object");
         lay_flat(settings, &mut String::new(), 0, &mut pairs)?;
@@ -98,7 +98,7 @@
 
 /// The place of each figure in a report.
 #[derive(Clone, Debug, Default)]
-pub struct ReportOrder {
+pub struct ReportLayout {
     free: Option<usize>,
     lines: Option<usize>,
     rate: Option<usize>,
@@ -106,7 +106,7 @@
     names: Vec<String>,
 }
 
-impl ReportOrder {
+impl ReportLayout {
     /// The figures of a report that names each, as in `idle:12;circuits:40`.
     pub fn read_named(&self, text: &str) -> Report {
         let mut values = vec![-1.0; self.names.len()];
@@ -129,18 +129,18 @@
             lines: figure(self.lines),
             rate: figure(self.rate),
             wait: figure(self.wait),
-            stay_away: None,
+            retry_after: None,
         }
     }
 }
 
-impl Pairs {
+impl SettingsMap {
     /// What a report holds, in order.
-    pub fn report_order(&self) -> Result<ReportOrder> {
+    pub fn report_layout(&self) -> Result<ReportLayout> {
         let names: Vec<String> =
             if self.0.contains_key("feedback.names") { self.list("feedback.names")? } else { Vec::new() };
         let place = |wanted: &str| names.iter().position(|name| name == wanted);
-        Ok(ReportOrder {
+        Ok(ReportLayout {
             free: place("idle"),
             lines: place("circuits"),
             rate: place("max_rate"),
@@ -179,8 +179,8 @@
             grades,
             tenants: (0..tenants).map(tenant).collect::<Result<_>>()?,
             over_share: if tenants > 0 { self.number("over_share_worth")? } else { 1.0 },
-            max_shots: self.some("bounds.max_attempts")?,
-            longest_advice: if self.flag("bounds.retry_after")? {
+            max_attempts: self.some("bounds.max_attempts")?,
+            max_retry_after: if self.flag("bounds.retry_after")? {
                 Some(self.millis("bounds.max_retry_after")?)
             } else {
                 None
@@ -188,22 +188,22 @@
             may_cancel: self.flag("bounds.cancel")?,
             may_probe: self.flag("bounds.may_probe")?,
             release: self.millis("domain.clear_wait")?,
-            repeat: self.millis("domain.repeat")?,
-            nacks_name_wait: self.flag("domain.gives_wait")?,
-            cold: self.millis("rules.cold")?,
-            cold_from: self.number("rules.cold_from")?,
-            fall_multiple: self.number("rules.overload_factor")?,
-            fall_span: self.span("rules.fall")?,
+            resend_after: self.millis("domain.repeat")?,
+            respect_retry_after: self.flag("domain.gives_wait")?,
+            cold_duration: self.millis("rules.cold")?,
+            initial_capacity_share: self.number("rules.cold_from")?,
+            overload_factor: self.number("rules.overload_factor")?,
+            overload_duration: self.span("rules.fall")?,
         })
     }
 
     /// How long a connection to a central server may take to come up.
-    pub fn connect_time_out(&self) -> Result<f64> {
+    pub fn connect_timeout(&self) -> Result<f64> {
         self.span("bounds.connect_timeout")
     }
 
     /// How many conversations a proxy may have open.
-    pub fn most_open(&self) -> Result<usize> {
+    pub fn max_open_calls(&self) -> Result<usize> {
         self.whole("bounds.open_cap")
     }
 }
@@ -251,7 +251,7 @@
     Ok(())
 }
 
-fn grade(pairs: &Pairs, i: usize, holds: &[f64]) -> Result<GradeTerms> {
+fn grade(pairs: &SettingsMap, i: usize, holds: &[f64]) -> Result<GradeTerms> {
     let key = |name: &str| format!("profiles.{i}.{name}");
     let effect = key("effect");
     let repeatable = match pairs.text(&effect)? {
@@ -265,7 +265,7 @@
         limit: pairs.span(&key("deadline"))?,
         hold: hold.with_context(|| format!("setting domain.mean_hold: none for grade {i}"))? * 1000.0,
         earnings: pairs.number(&key("worth"))?,
-        late: pairs.number(&key("late_worth"))?,
+        late_share: pairs.number(&key("late_worth"))?,
         repeatable,
         pools: pairs.list(&format!("domain.pools_by_class.{i}"))?,
     })
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -28,7 +28,7 @@
     story.pass(2000.0);
     assert_eq!(story.went(handle).len(), 1);
     let other = story.call(0, 1);
-    story.ended(other, Ending::Nacked);
+    story.ended(other, Ending::Rejected);
     assert_eq!(story.went(other).len(), 2, "at once");
     assert_eq!(story.went(handle).len(), 1, "the one still out is left alone");
 }
@@ -39,13 +39,13 @@
     let handle = story.call(0, 0);
     for _ in 0..4 {
         if story.went(handle).len() <= 4 && story.host.failed.is_empty() {
-            story.ended(handle, Ending::Nacked);
+            story.ended(handle, Ending::Rejected);
             story.pass(5.0);
         }
     }
     assert!(story.went(handle).len() <= 4);
     assert_eq!(story.host.failed.len() + story.host.refused.len(), 1, "one final answer");
-    assert!(!story.proxy.holds(handle));
+    assert!(!story.proxy.contains(handle));
 }
 
 #[rstest]
@@ -109,7 +109,7 @@
         story.pass(10.0);
         story.answer(0, 20.0);
         story.ended(unheard, Ending::TimedOut);
-        unheard.left(&mut story.proxy);
+        unheard.caller_gone(&mut story.proxy);
     }
     let handle = story.call(0, 0);
     story.pass(390.0);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -58,7 +58,7 @@
 
 impl World {
     fn new(proxies: u32, warm: f64, tells: Tells, seed: u64) -> Self {
-        let terms = Terms { proxies, cold_from: 0.3, fall_multiple: 2.5, ..terms() };
+        let terms = Terms { proxies, initial_capacity_share: 0.3, overload_factor: 2.5, ..terms() };
         let chance = Pcg64Mcg::seed_from_u64(seed);
         let mut world = Self {
             terms,
@@ -88,8 +88,8 @@
 
     /// Set-ups a second that it can do.
     fn rate(&self) -> f64 {
-        let warmth = (self.now / self.terms.cold).min(1.0);
-        self.warm * (self.terms.cold_from + (1.0 - self.terms.cold_from) * warmth)
+        let warmth = (self.now / self.terms.cold_duration).min(1.0);
+        self.warm * (self.terms.initial_capacity_share + (1.0 - self.terms.initial_capacity_share) * warmth)
     }
 
     fn report(&mut self, with_rate: bool) -> Report {
@@ -114,26 +114,32 @@
             let calls = calls as usize + usize::from(self.chance.random::<f64>() < calls.fract());
             let life = self.lives[index];
             let One { proxy, host, seen, told, out, .. } = &mut self.all[index];
-            proxy.at(now);
+            proxy.advance_clock(now);
             if heard && !*told {
                 *told = true;
-                proxy.listed(&[line(0, State::Running, Some(0.0))], true, host);
+                proxy.update_server_list(&[line(0, State::Running, Some(0.0))], true, host);
                 proxy.reported(Server(0), first);
             }
             for (_, _, _, handle) in due.iter().filter(|due| due.1 == index && due.2 == life) {
                 proxy.reported(Server(0), report);
                 if out.contains(handle) {
-                    handle.stood(proxy);
-                    handle.ended(proxy, Ending::Ok, true, host);
+                    handle.established(proxy);
+                    handle.attempt_ended(proxy, Ending::Ok, true, host);
                     out.retain(|other| other != handle);
                 }
             }
             for _ in 0..calls {
-                let call =
-                    Call { grade: 0, tenant: None, first: 0, number: None, remaining: 9000.0, redial: false };
-                proxy.take(&call).place(proxy);
+                let call = Call {
+                    grade: 0,
+                    tenant: None,
+                    preferred_pool: 0,
+                    number: None,
+                    remaining: 9000.0,
+                    redial: false,
+                };
+                proxy.accept(&call).enqueue(proxy);
             }
-            proxy.settle(host);
+            proxy.run_pending(host);
             let sent: Vec<Handle> = host.shots[*seen..].iter().map(|shot| shot.0).collect();
             *seen = host.shots.len();
             out.extend(&sent);
@@ -157,10 +163,10 @@
 
     /// The worst span of a fall while it is cold: what came in it over what may.
     fn worst(&mut self, restart_at: Option<f64>) -> f64 {
-        let span = self.terms.fall_span;
+        let span = self.terms.overload_duration;
         let mut worst = 0.0;
         // What comes as the cold time ends comes to a warm one.
-        while self.now < self.terms.cold - TICK {
+        while self.now < self.terms.cold_duration - TICK {
             self.tick();
             if restart_at.is_some_and(|at| (self.now - at).abs() < TICK / 2.0) {
                 self.restart(0.7);
@@ -168,7 +174,7 @@
             while self.came.front().is_some_and(|at| *at <= self.now - span) {
                 self.came.pop_front();
             }
-            let allowed = self.terms.fall_multiple * self.rate() * span / 1000.0;
+            let allowed = self.terms.overload_factor * self.rate() * span / 1000.0;
             worst = f64::max(worst, self.came.len() as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0));
         }
         worst
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -4,7 +4,7 @@
 
 use std::collections::HashMap;
 
-use frostthread::host::{Call, Ending, GradeTerms, Host, Listed, Server, State, TenantTerms, Terms};
+use frostthread::host::{Call, Ending, GradeTerms, Host, Server, ServerEntry, State, TenantTerms, Terms};
 use frostthread::{Handle, Proxy};
 
 #[derive(Debug, Default)]
@@ -19,7 +19,7 @@
 }
 
 impl Host for Fake {
-    fn shoot(&mut self, handle: Handle, server: Server, time_out: f64) {
+    fn send_attempt(&mut self, handle: Handle, server: Server, time_out: f64) {
         self.shots.push((handle, server.0, time_out));
     }
     fn refuse(&mut self, handle: Handle, come_back: Option<f64>) {
@@ -37,8 +37,8 @@
     fn probe(&mut self, server: Server) {
         self.probes.push(server.0);
     }
-    fn tell(&mut self, _: &[u8]) {}
-    fn note(&mut self, line: &str) {
+    fn broadcast(&mut self, _: &[u8]) {}
+    fn log(&mut self, line: &str) {
         self.notes.push(line.to_owned());
     }
 }
@@ -58,7 +58,7 @@
         limit: 9000.0,
         hold: 8000.0,
         earnings,
-        late: 0.25,
+        late_share: 0.25,
         repeatable: true,
         pools: vec![0, 1, 2],
     };
@@ -67,22 +67,22 @@
         grades: vec![grade(2000.0, 1.0), grade(2000.0, 3.0)],
         tenants: vec![TenantTerms { quota: 1000.0 }, TenantTerms { quota: 0.1 }],
         over_share: 0.2,
-        max_shots: 4,
-        longest_advice: Some(2000.0),
+        max_attempts: 4,
+        max_retry_after: Some(2000.0),
         may_cancel: true,
         may_probe: true,
         release: 300.0,
-        repeat: 500.0,
-        nacks_name_wait: false,
-        cold: 14_000.0,
-        cold_from: 0.0,
-        fall_multiple: 2.0,
-        fall_span: 1000.0,
+        resend_after: 500.0,
+        respect_retry_after: false,
+        cold_duration: 14_000.0,
+        initial_capacity_share: 0.0,
+        overload_factor: 2.0,
+        overload_duration: 1000.0,
     }
 }
 
-pub fn line(server: u32, state: State, started: Option<f64>) -> Listed {
-    Listed { server: Server(server), state, pool: server as u16, started }
+pub fn line(server: u32, state: State, started: Option<f64>) -> ServerEntry {
+    ServerEntry { server: Server(server), state, pool: server as u16, started_at: started }
 }
 
 impl Story {
@@ -92,16 +92,16 @@
     }
 
     pub fn among(servers: u32, terms: Terms) -> Self {
-        let lines: Vec<Listed> = (0..servers).map(|s| line(s, State::Running, None)).collect();
+        let lines: Vec<ServerEntry> = (0..servers).map(|s| line(s, State::Running, None)).collect();
         let proxy = Proxy::new(terms, 7, 0.0);
         let mut story = Self { proxy, host: Fake::default(), now: 0.0, began: HashMap::new() };
         story.list(&lines);
         story
     }
 
-    pub fn list(&mut self, lines: &[Listed]) {
-        self.proxy.listed(lines, false, &mut self.host);
-        self.proxy.settle(&mut self.host);
+    pub fn list(&mut self, lines: &[ServerEntry]) {
+        self.proxy.update_server_list(lines, false, &mut self.host);
+        self.proxy.run_pending(&mut self.host);
     }
 
     /// Time goes on; the wakes that fall due are called.
@@ -110,11 +110,11 @@
         while let Some(at) = self.host.wakes.iter().copied().filter(|&at| at <= end).reduce(f64::min) {
             self.host.wakes.retain(|&w| w != at);
             self.now = self.now.max(at);
-            self.proxy.at(self.now);
-            self.proxy.settle(&mut self.host);
+            self.proxy.advance_clock(self.now);
+            self.proxy.run_pending(&mut self.host);
         }
         self.now = end;
-        self.proxy.at(end);
+        self.proxy.advance_clock(end);
     }
 
     pub fn call(&mut self, grade: usize, first: u16) -> Handle {
@@ -125,7 +125,7 @@
         self.take(&Call {
             grade,
             tenant: Some(tenant),
-            first,
+            preferred_pool: first,
             number: None,
             remaining: 3000.0,
             redial: false,
@@ -134,39 +134,46 @@
 
     pub fn call_number(&mut self, number: u64) -> Handle {
         let number = Some(number);
-        self.take(&Call { grade: 0, tenant: None, first: 0, number, remaining: 3000.0, redial: false })
+        self.take(&Call {
+            grade: 0,
+            tenant: None,
+            preferred_pool: 0,
+            number,
+            remaining: 3000.0,
+            redial: false,
+        })
     }
 
     /// A call that its caller gives up after `remaining`.
     pub fn call_left(&mut self, remaining: f64) -> Handle {
-        self.take(&Call { grade: 0, tenant: None, first: 0, number: None, remaining, redial: false })
+        self.take(&Call { grade: 0, tenant: None, preferred_pool: 0, number: None, remaining, redial: false })
     }
 
     fn take(&mut self, call: &Call) -> Handle {
-        let handle = self.proxy.take(call);
+        let handle = self.proxy.accept(call);
         self.began.insert(handle, self.host.shots.len());
-        handle.place(&mut self.proxy);
-        self.proxy.settle(&mut self.host);
+        handle.enqueue(&mut self.proxy);
+        self.proxy.run_pending(&mut self.host);
         handle
     }
 
     pub fn stood(&mut self, handle: Handle) {
-        handle.stood(&mut self.proxy);
-        self.proxy.settle(&mut self.host);
+        handle.established(&mut self.proxy);
+        self.proxy.run_pending(&mut self.host);
     }
 
     pub fn ended(&mut self, handle: Handle, ending: Ending) {
-        handle.ended(&mut self.proxy, ending, ending == Ending::Ok, &mut self.host);
-        self.proxy.settle(&mut self.host);
+        handle.attempt_ended(&mut self.proxy, ending, ending == Ending::Ok, &mut self.host);
+        self.proxy.run_pending(&mut self.host);
     }
 
     /// One conversation, answered `delay` after its shot, unless it is given up before it has one.
     pub fn answer(&mut self, first: u16, delay: f64) {
         let handle = self.call(0, first);
-        while self.went(handle).is_empty() && self.proxy.holds(handle) {
+        while self.went(handle).is_empty() && self.proxy.contains(handle) {
             self.pass(10.0);
         }
-        if self.proxy.holds(handle) {
+        if self.proxy.contains(handle) {
             self.pass(delay);
             self.stood(handle);
             self.ended(handle, Ending::Ok);
--- a/tests/first_choice.rs
+++ b/tests/first_choice.rs
@@ -20,8 +20,8 @@
     // bin's edge, 0.02. With one sample spread over all bins the total is 41, of which 38.95 are wanted;
     // 38.02 lie in the first bin and 0.02 more in each that follows, until the eleventh: 0.22.
     let mut histogram = Histogram::default();
-    (0..38).for_each(|_| histogram.count(0.01));
-    (0..2).for_each(|_| histogram.count(0.21));
+    (0..38).for_each(|_| histogram.record(0.01));
+    (0..2).for_each(|_| histogram.record(0.21));
     let mixed = quantile_after(&histogram, 0.05, 0.25);
     assert!((mixed - (0.25 * 0.22 + 0.75 * 0.02)).abs() < 1e-9, "{mixed}");
 }
@@ -29,8 +29,8 @@
 #[test]
 fn no_uniform_share_is_mixed_in_below_one_over_p_samples() {
     let mut histogram = Histogram::default();
-    (0..38).for_each(|_| histogram.count(0.01));
-    (0..2).for_each(|_| histogram.count(0.21));
+    (0..38).for_each(|_| histogram.record(0.01));
+    (0..2).for_each(|_| histogram.record(0.21));
     // At 0.02 fewer than 50 samples are too few: the old quantile alone decides.
     assert!((quantile_after(&histogram, 0.02, 1.0) - 0.22).abs() < 1e-9);
 }
@@ -66,7 +66,7 @@
     (0..10).for_each(|_| story.answer(0, 1.0));
     assert_eq!(story.shots_at(0), 10, "few are enough while none comes back");
     let handle = story.call(0, 0);
-    story.ended(handle, Ending::NoLine);
+    story.ended(handle, Ending::NoFreeLine);
     let before = story.shots_at(0);
     // Some 50 lines change hands from one word to the next, and 10 are free.
     (0..8).for_each(|_| {
@@ -90,18 +90,18 @@
     let mut sent = [0, 0];
     for _ in 0..8 {
         let storm = story.call(1, 0);
-        while story.went(storm).is_empty() && story.proxy.holds(storm) {
+        while story.went(storm).is_empty() && story.proxy.contains(storm) {
             say(&mut story);
-            story.proxy.settle(&mut story.host);
+            story.proxy.run_pending(&mut story.host);
         }
-        story.ended(storm, Ending::NoLine);
-        storm.left(&mut story.proxy);
+        story.ended(storm, Ending::NoFreeLine);
+        storm.caller_gone(&mut story.proxy);
         for _ in 0..8 {
             say(&mut story);
             for (grade, sent) in sent.iter_mut().enumerate() {
                 let handle = story.call(grade, 0);
                 if story.went(handle).is_empty() {
-                    handle.left(&mut story.proxy);
+                    handle.caller_gone(&mut story.proxy);
                 } else {
                     *sent += 1;
                     story.stood(handle);
--- a/tests/fleet_evidence.rs
+++ b/tests/fleet_evidence.rs
@@ -8,7 +8,7 @@
 
 fn suspect(story: &mut Story, strength: f64) {
     let since = story.now;
-    story.proxy.suspected(Server(0), Some(Suspicion { strength, since }));
+    story.proxy.set_suspicion(Server(0), Some(Suspicion { strength, since }));
 }
 
 #[test]
@@ -51,7 +51,7 @@
     let mut story = Story::with(2);
     suspect(&mut story, 1.0);
     let since = story.now;
-    story.proxy.suspected(Server(0), strength.map(|strength| Suspicion { strength, since }));
+    story.proxy.set_suspicion(Server(0), strength.map(|strength| Suspicion { strength, since }));
     let handle = story.call(0, 0);
     assert_eq!(story.went(handle), [0]);
 }
@@ -72,7 +72,7 @@
         story.stood(handle);
         story.ended(handle, Ending::Ok);
     }
-    story.ended(trial.expect("a trial shot"), Ending::Moot);
+    story.ended(trial.expect("a trial shot"), Ending::NotSent);
     let handle = story.call(0, 0);
     assert_eq!(story.went(handle), [1]);
 }
@@ -80,13 +80,13 @@
 #[test]
 fn no_more_shots_go_than_the_fleets_limit_leaves_and_those_kept_away_are_counted_once() {
     let mut story = Story::with(2);
-    assert_eq!(story.proxy.allotted(Server(0), Some(1)), 0);
-    assert_eq!(story.proxy.allotted(Server(1), Some(0)), 0);
+    assert_eq!(story.proxy.set_fleet_limit(Server(0), Some(1)), 0);
+    assert_eq!(story.proxy.set_fleet_limit(Server(1), Some(0)), 0);
     let (first, second) = (story.call(0, 0), story.call(0, 0));
     assert_eq!((story.went(first), story.went(second)), (vec![0], vec![]));
     story.pass(200.0);
-    assert_eq!(story.proxy.allotted(Server(0), Some(0)), 1, "though it was tried in each beat");
-    assert_eq!(story.proxy.allotted(Server(0), Some(1)), 0);
+    assert_eq!(story.proxy.set_fleet_limit(Server(0), Some(0)), 1, "though it was tried in each beat");
+    assert_eq!(story.proxy.set_fleet_limit(Server(0), Some(1)), 0);
     story.ended(first, Ending::Ok);
     assert_eq!(story.went(second), [0]);
 }
@@ -94,10 +94,10 @@
 #[test]
 fn what_the_limit_keeps_from_its_first_choice_goes_elsewhere() {
     let mut story = Story::with(2);
-    story.proxy.allotted(Server(0), Some(0));
+    story.proxy.set_fleet_limit(Server(0), Some(0));
     let handle = story.call(0, 0);
     assert_eq!(story.went(handle), [1]);
-    assert_eq!(story.proxy.allotted(Server(0), Some(0)), 1);
+    assert_eq!(story.proxy.set_fleet_limit(Server(0), Some(0)), 1);
 }
 
 #[test]
@@ -109,7 +109,7 @@
         let report = Report { rate: Some(10.0), ..Report::default() };
         story.proxy.reported(Server(0), report);
         for _ in 0..40 {
-            story.proxy.allotted(Server(0), allotted.then_some(1));
+            story.proxy.set_fleet_limit(Server(0), allotted.then_some(1));
             story.answer(0, 20.0);
             story.pass(80.0);
         }
@@ -123,19 +123,19 @@
 fn an_allotment_opens_nothing_that_the_rules_or_the_test_close() {
     let mut story = Story::with(2);
     story.list(&[line(0, State::Draining, None)]);
-    story.proxy.allotted(Server(0), Some(100));
+    story.proxy.set_fleet_limit(Server(0), Some(100));
     let handle = story.call(0, 0);
     assert_eq!(story.went(handle), [1]);
-    assert_eq!(story.proxy.allotted(Server(0), Some(100)), 0, "the limit is not what keeps it away");
+    assert_eq!(story.proxy.set_fleet_limit(Server(0), Some(100)), 0, "the limit is not what keeps it away");
 }
 
 #[test]
 fn a_limit_that_is_withdrawn_while_shots_are_out_leaves_them_and_all_else_as_it_was() {
     let mut story = Story::with(1);
-    story.proxy.allotted(Server(0), Some(1));
+    story.proxy.set_fleet_limit(Server(0), Some(1));
     let out = story.call(0, 0);
     let held = story.call(0, 0);
-    story.proxy.allotted(Server(0), None);
+    story.proxy.set_fleet_limit(Server(0), None);
     story.stood(out);
     assert_eq!((story.went(out), story.went(held)), (vec![0], vec![0]));
 }
--- a/tests/holding.rs
+++ b/tests/holding.rs
@@ -46,7 +46,7 @@
 ) {
     let mut story = Story::with(1);
     let full: Vec<_> = (0..2).map(|_| story.call(1, 0)).collect();
-    story.proxy.shared(1, within);
+    story.proxy.set_within_share(1, within);
     let of_tenant = story.call_of(0, 0, 1);
     let other = story.call_of(0, 0, 0);
     story.pass(50.0);
@@ -63,10 +63,10 @@
     let mut story = Story::with(1);
     story.list(&[line(0, State::Gone, None)]);
     let handle = story.call(0, 0);
-    handle.left(&mut story.proxy);
+    handle.caller_gone(&mut story.proxy);
     story.pass(5000.0);
     assert!(story.host.refused.is_empty() && story.host.failed.is_empty());
-    assert!(!story.proxy.holds(handle));
+    assert!(!story.proxy.contains(handle));
 }
 
 #[test]
@@ -91,7 +91,7 @@
     story.list(&[line(0, State::Draining, None)]);
     let given_up = story.call_number(5);
     story.pass(2500.0);
-    assert!(!story.proxy.holds(given_up));
+    assert!(!story.proxy.contains(given_up));
     story.list(&[line(0, State::Running, None)]);
     let full = [story.call(0, 0), story.call(0, 0)];
     story.call_number(5);
@@ -112,7 +112,7 @@
         "one with little patience has not waited: the proxy had its turns"
     );
     story.now += 2500.0;
-    story.proxy.at(story.now);
+    story.proxy.advance_clock(story.now);
     story.call_left(3000.0);
     assert_eq!(story.host.refused.len(), 1, "the first is over, a new one is held");
     story.call_left(900.0);
@@ -126,11 +126,11 @@
     #[case] wait: f64,
     #[case] advised: f64,
 ) {
-    let mut story = Story::among(1, Terms { nacks_name_wait: true, max_shots: 9, ..terms() });
+    let mut story = Story::among(1, Terms { respect_retry_after: true, max_attempts: 9, ..terms() });
     let handle = story.call(0, 0);
     let stay_away = Some(wait);
-    story.proxy.reported(Server(0), Report { stay_away, ..Report::default() });
-    story.ended(handle, Ending::Nacked);
+    story.proxy.reported(Server(0), Report { retry_after: stay_away, ..Report::default() });
+    story.ended(handle, Ending::Rejected);
     // No answer could reach it any more, so it is given up at once.
     let late = story.call_left(10.0);
     let told = story.host.refused.iter().find(|(refused, _)| *refused == late).expect("refused").1;
--- a/tests/lines.rs
+++ b/tests/lines.rs
@@ -102,7 +102,7 @@
         let handle = story.call(1, 0);
         story.pass(20.0);
         if story.went(handle).is_empty() {
-            return handle.left(&mut story.proxy);
+            return handle.caller_gone(&mut story.proxy);
         }
         story.stood(handle);
         story.ended(handle, Ending::Ok);
@@ -110,7 +110,7 @@
     answer(&mut story);
     let handle = story.call(1, 0);
     story.ended(handle, Ending::NoConnection);
-    handle.left(&mut story.proxy);
+    handle.caller_gone(&mut story.proxy);
     story.pass(2000.0);
     answer(&mut story);
     assert_eq!(story.shots_at(0), 2, "not at once");
@@ -146,19 +146,19 @@
 
 #[test]
 fn a_wait_over_any_time_limit_is_not_believed() {
-    let mut story = Story::among(1, Terms { nacks_name_wait: true, ..terms() });
-    story.proxy.reported(Server(0), Report { stay_away: Some(9001.0), ..Report::default() });
+    let mut story = Story::among(1, Terms { respect_retry_after: true, ..terms() });
+    story.proxy.reported(Server(0), Report { retry_after: Some(9001.0), ..Report::default() });
     story.answer(0, 20.0);
     assert_eq!(story.shots_at(0), 1);
 }
 
 #[test]
 fn a_server_that_turned_a_shot_back_is_left_alone_for_as_long_as_it_asked() {
-    let mut story = Story::among(2, Terms { nacks_name_wait: true, ..terms() });
+    let mut story = Story::among(2, Terms { respect_retry_after: true, ..terms() });
     let handle = story.call(0, 0);
     let stay_away = Some(800.0);
-    story.proxy.reported(Server(0), Report { stay_away, ..Report::default() });
-    story.ended(handle, Ending::Nacked);
+    story.proxy.reported(Server(0), Report { retry_after: stay_away, ..Report::default() });
+    story.ended(handle, Ending::Rejected);
     assert_eq!(story.went(handle), [0, 1], "the other is sound");
     story.answer(0, 20.0);
     assert_eq!(story.shots_at(0), 1);
@@ -171,7 +171,7 @@
 fn a_nack_for_want_of_lines_fails_the_server_until_lines_are_told() {
     let mut story = Story::with(2);
     let handle = story.call(0, 0);
-    story.ended(handle, Ending::NoLine);
+    story.ended(handle, Ending::NoFreeLine);
     assert_eq!(story.went(handle), [0, 1]);
     let next = story.call(0, 0);
     assert_eq!(story.went(next), [1]);
--- a/tests/server_states.rs
+++ b/tests/server_states.rs
@@ -24,7 +24,7 @@
 #[test]
 fn a_whole_list_drops_what_it_does_not_name() {
     let mut story = Story::with(2);
-    story.proxy.listed(&[line(1, State::Running, None)], true, &mut story.host);
+    story.proxy.update_server_list(&[line(1, State::Running, None)], true, &mut story.host);
     let handle = story.call(0, 0);
     assert_eq!(story.went(handle), [1]);
 }
@@ -42,7 +42,7 @@
     }
     // Five proxies; twice what one doing two set-ups a second bears: one in 1.25 s from each at most.
     assert!(story.shots_at(0) <= 5, "{} shots in 5 s", story.shots_at(0));
-    let answered = slow.iter().copied().find(|&h| !story.went(h).is_empty() && story.proxy.holds(h));
+    let answered = slow.iter().copied().find(|&h| !story.went(h).is_empty() && story.proxy.contains(h));
     assert!(answered.is_some(), "but it is entered");
 }
 
@@ -53,7 +53,10 @@
     #[case] cold_from: f64,
     #[case] shots: RangeInclusive<usize>,
 ) {
-    let mut story = Story::among(1, Terms { proxies: 25, cold_from, may_probe: false, ..terms() });
+    let mut story = Story::among(
+        1,
+        Terms { proxies: 25, initial_capacity_share: cold_from, may_probe: false, ..terms() },
+    );
     story.pass(20_000.0);
     story.list(&[line(0, State::Running, Some(19_900.0))]);
     let lines = Some(800.0);
