--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use anyhow::{Context, Result};
-use border::decided::{Answer, CouncilStatus, OutsStatus, Wish};
+use border::decided::{AvailabilityStatus, CommandOutcome, CouncilStatus, OperatorCommand};
 use border::distributed::{ChangeStatus, DistributionStatus};
 use border::status::{GossipStatus, LimitsStatus, Status};
 use serde::de::DeserializeOwned;
@@ -30,13 +30,13 @@
     Limits(oneshot::Sender<Option<LimitsStatus>>),
     /// None where nothing is decided for all.
     Council(oneshot::Sender<Option<CouncilStatus>>),
-    Outs(oneshot::Sender<Option<OutsStatus>>),
+    Outs(oneshot::Sender<Option<AvailabilityStatus>>),
     /// None where nothing is distributed by scope.
     Distribution(oneshot::Sender<Option<DistributionStatus>>),
     /// None where this proxy serves no subscribers.
     Changes(oneshot::Sender<Option<Vec<ChangeStatus>>>),
     /// Have something decided, or see what it would come to.
-    Wish(Wished, oneshot::Sender<Result<Answer, String>>),
+    Wish(Wished, oneshot::Sender<Result<CommandOutcome, String>>),
     /// Read the key files again; what is wrong with them, if anything.
     Rekey(oneshot::Sender<Result<(), String>>),
     Stop,
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Wished {
-    pub wish: Wish,
+    pub wish: OperatorCommand,
     /// Only what it would come to by what this proxy knows.
     #[serde(default)]
     pub dry: bool,
--- a/daemon/src/distribution.rs
+++ b/daemon/src/distribution.rs
@@ -9,7 +9,8 @@
 use agree::seal::FleetKeys;
 use anyhow::{Context, Result};
 use border::distributed::{
-    ControlAddress, Distributed, STATE_WRITE_INTERVAL, Service, ServiceTerms, Subscription, SubscriptionTerms,
+    ControlAddress, Distribution, STATE_WRITE_INTERVAL, Service, ServiceTerms, Subscription,
+    SubscriptionTerms,
 };
 use border::{BorderProxy, Decisions};
 use distribution::placement::ControlMachine;
@@ -44,7 +45,7 @@
 
     /// Keeps what the proxy holds now, at most once in [`STATE_WRITE_INTERVAL`].
     pub fn turn(&mut self, now: f64, proxy: &mut BorderProxy<impl Decisions>) {
-        if let Some(bytes) = proxy.distribution_to_keep() {
+        if let Some(bytes) = proxy.distribution_state_to_save() {
             self.unwritten = Some(bytes);
         }
         if now >= self.write_at
@@ -101,7 +102,7 @@
                 let (scopes, unproved) = (restored.scopes, restored.unproved);
                 tracing::info!(scopes, unproved, "distribution.restored");
             }
-            proxy.distribute(Distributed::Subscribes(Box::new(subscription)));
+            proxy.enable_distribution(Distribution::Subscribes(Box::new(subscription)));
             Ok(Some(file))
         }
         (DistributionRole::Control(served), Some(gossip)) => {
@@ -109,7 +110,7 @@
             let roster = keys::read_roster(&served.subscribers).context("distribution.subscribers")?;
             let terms = service_terms(served, distribution.heartbeat);
             let service = Service::new(terms, secrets, roster, seed, now, unix);
-            proxy.distribute(Distributed::Serves(Box::new(service)));
+            proxy.enable_distribution(Distribution::Serves(Box::new(service)));
             Ok(None)
         }
         (DistributionRole::Control(_), None) => Ok(None),
@@ -119,7 +120,7 @@
 fn service_terms(served: &ServedPlan, heartbeat: f64) -> ServiceTerms {
     ServiceTerms {
         heartbeat,
-        most_subscribers: served.most_subscribers,
+        max_subscribers: served.most_subscribers,
         bytes_per_second: served.bytes_per_second,
         subscriber_bytes_per_second: served.subscriber_bytes_per_second,
         snapshots_at_once: served.snapshots_at_once,
@@ -144,7 +145,7 @@
     let terms = SubscriptionTerms {
         region: plan.region,
         controls: controls.collect::<Result<_>>()?,
-        founders: founders.collect::<Result<_>>()?,
+        bootstrap_members: founders.collect::<Result<_>>()?,
         scopes: plan.scopes.clone(),
         heartbeat: distribution.heartbeat,
     };
--- a/daemon/src/feed.rs
+++ b/daemon/src/feed.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::{Context, Result, bail};
-use border::pool::{Ask, LONGEST_LINE, News};
+use border::pool::{MAX_LINE_BYTES, PoolRequest, PoolUpdates};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
@@ -21,7 +21,7 @@
 pub async fn follow(
     feed: SocketAddr,
     seed: u64,
-    news: mpsc::Sender<News>,
+    news: mpsc::Sender<PoolUpdates>,
     mut have: watch::Receiver<Option<u64>>,
 ) {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
@@ -43,20 +43,20 @@
 
 async fn subscription(
     feed: SocketAddr,
-    news: &mpsc::Sender<News>,
+    news: &mpsc::Sender<PoolUpdates>,
     have: &mut watch::Receiver<Option<u64>>,
 ) -> Result<()> {
     let stream =
         tokio::time::timeout(CONNECT_WAIT, TcpStream::connect(feed)).await.context("connecting")??;
     let (from, mut to) = stream.into_split();
-    let mut ask = serde_json::to_vec(&Ask { have: *have.borrow_and_update() })?;
+    let mut ask = serde_json::to_vec(&PoolRequest { have: *have.borrow_and_update() })?;
     ask.push(b'\n');
     to.write_all(&ask).await?;
     let mut from = BufReader::new(from);
     let mut line = Vec::new();
     loop {
         // What of a line was read before `have` changed stays in it.
-        let mut bounded = (&mut from).take(LONGEST_LINE as u64);
+        let mut bounded = (&mut from).take(MAX_LINE_BYTES as u64);
         tokio::select! {
             read = bounded.read_until(b'\n', &mut line) => {
                 if read? == 0 {
@@ -72,10 +72,10 @@
             }
         }
         if line.last() != Some(&b'\n') {
-            bail!("a line longer than {LONGEST_LINE} bytes, or cut off");
+            bail!("a line longer than {MAX_LINE_BYTES} bytes, or cut off");
         }
         let text = std::str::from_utf8(&line).context("a line that is no text")?;
-        news.send(News::read(text)?).await?;
+        news.send(PoolUpdates::read(text)?).await?;
         line.clear();
     }
 }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use anyhow::{Context, Result};
-use border::decided::{Answer, CouncilStatus, OutsStatus, Wish};
+use border::decided::{AvailabilityStatus, CommandOutcome, CouncilStatus, OperatorCommand};
 use border::distributed::{ChangeStatus, DistributionStatus};
 use border::status::{GossipStatus, LimitsStatus, Status};
 use clap::{Args, Parser, Subcommand, ValueEnum};
@@ -347,15 +347,15 @@
             tell(json, &council, || show_council(&council))?;
         }
         Command::Council { what: CouncilCommand::Add { proxy, life, order } } => {
-            return wish(Wish::Add { proxy, life }, &order);
+            return wish(OperatorCommand::Add { proxy, generation: life }, &order);
         }
         Command::Council { what: CouncilCommand::Remove { proxy, order } } => {
-            return wish(Wish::Remove { proxy }, &order);
+            return wish(OperatorCommand::Remove { proxy }, &order);
         }
-        Command::Drain { server, why, order } => return wish(Wish::Drain { server, why }, &order),
-        Command::Undrain { server, order } => return wish(Wish::Undrain { server }, &order),
+        Command::Drain { server, why, order } => return wish(OperatorCommand::Drain { server, why }, &order),
+        Command::Undrain { server, order } => return wish(OperatorCommand::Undrain { server }, &order),
         Command::Outs { config, json } => {
-            let Some(outs) = ask::<OutsStatus>(&config, "outs")? else { return Ok(wrong) };
+            let Some(outs) = ask::<AvailabilityStatus>(&config, "outs")? else { return Ok(wrong) };
             tell(json, &outs, || show_outs(&outs))?;
         }
         Command::Distribution { config, json } => {
@@ -409,14 +409,18 @@
             let Some(plan) = plan(&order.config)? else { return Ok(ExitCode::from(2)) };
             let sum = release::stage(&plan.state, &file)?;
             eprintln!("each proxy looks for it in its state directory as staged/{}", hex::encode(sum));
-            wish(Wish::Stage { kind: kind.into(), sum: hex::encode(sum), why }, &order)
+            wish(OperatorCommand::Stage { kind: kind.into(), sum: hex::encode(sum), why }, &order)
+        }
+        ReleaseCommand::Start { order } => wish(OperatorCommand::Start, &order),
+        ReleaseCommand::Halt { why, order } => wish(OperatorCommand::Halt { why }, &order),
+        ReleaseCommand::Back { order } => wish(OperatorCommand::Back, &order),
+        ReleaseCommand::WriteOff { proxy, why, order } => {
+            wish(OperatorCommand::WriteOff { proxy, why }, &order)
         }
-        ReleaseCommand::Start { order } => wish(Wish::Start, &order),
-        ReleaseCommand::Halt { why, order } => wish(Wish::Halt { why }, &order),
-        ReleaseCommand::Back { order } => wish(Wish::Back, &order),
-        ReleaseCommand::WriteOff { proxy, why, order } => wish(Wish::WriteOff { proxy, why }, &order),
         ReleaseCommand::State { config, json } => {
-            let Some(outs) = ask::<OutsStatus>(&config, "outs")? else { return Ok(ExitCode::from(2)) };
+            let Some(outs) = ask::<AvailabilityStatus>(&config, "outs")? else {
+                return Ok(ExitCode::from(2));
+            };
             tell(json, &outs.release, || show_release(outs.release.as_ref()))?;
             Ok(ExitCode::SUCCESS)
         }
@@ -424,18 +428,18 @@
 }
 
 /// Has something decided, or tells what it would come to.
-fn wish(wish: Wish, order: &Order) -> Result<ExitCode> {
+fn wish(wish: OperatorCommand, order: &Order) -> Result<ExitCode> {
     let wished = Wished { wish, dry: order.dry_run };
-    let Some(answer) = ask::<Answer>(&order.config, &serde_json::to_string(&wished)?)? else {
+    let Some(answer) = ask::<CommandOutcome>(&order.config, &serde_json::to_string(&wished)?)? else {
         return Ok(ExitCode::from(2));
     };
     tell(order.json, &answer, || match &answer {
-        Answer::Done { .. } if order.dry_run => println!("would be decided"),
-        Answer::Done { decision } => println!("decided, as decision {decision}"),
-        Answer::Already => println!("it is so already"),
-        Answer::Refused { why } => println!("refused: {why}"),
+        CommandOutcome::Done { .. } if order.dry_run => println!("would be decided"),
+        CommandOutcome::Done { decision } => println!("decided, as decision {decision}"),
+        CommandOutcome::Already => println!("it is so already"),
+        CommandOutcome::Refused { why } => println!("refused: {why}"),
     })?;
-    Ok(if matches!(answer, Answer::Refused { .. }) { ExitCode::from(3) } else { ExitCode::SUCCESS })
+    Ok(if matches!(answer, CommandOutcome::Refused { .. }) { ExitCode::from(3) } else { ExitCode::SUCCESS })
 }
 
 /// Asks the proxy that runs by some settings; nothing where those are unfit.
--- a/daemon/src/replacing.rs
+++ b/daemon/src/replacing.rs
@@ -48,12 +48,12 @@
             self.looks = None;
             if let Some(fit) = fit {
                 tracing::info!(fit = fit.is_ok(), "release.checked");
-                decided.checked(sum, fit);
+                decided.release_checked(sum, fit);
             }
         }
         if self.looks.is_none() && now >= self.look_at {
             self.look_at = now + AGAIN;
-            if let Some((kind, sum)) = decided.to_check() {
+            if let Some((kind, sum)) = decided.release_to_check() {
                 let (told, looks) = channel();
                 self.looks = Some(looks);
                 let (state, config) = (self.state.clone(), self.config.clone());
@@ -61,14 +61,14 @@
                     let _ = told.send((sum, release::check(&state, &config, kind, &sum)));
                 });
             }
-            if self.release > 0 && !self.well && decided.is_well() {
+            if self.release > 0 && !self.well && decided.is_healthy() {
                 self.well = true;
                 if let Err(error) = release::well(&self.state) {
                     tracing::warn!("release.unnoted: {error:#}");
                 }
             }
         }
-        match decided.replace() {
+        match decided.next_replacement() {
             Some(replace) if self.leaving.is_none() => {
                 tracing::info!(release = replace.release, forward = replace.forward, "release.leaving");
                 self.leaving = Some(replace);
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -12,9 +12,9 @@
 use agree::AgreeTerms;
 use agree::seal::FleetKeys;
 use anyhow::{Context, Result};
-use border::decided::Life;
-use border::pool::{News, PoolList};
-use border::scribe::Scribe;
+use border::decided::ProcessInfo;
+use border::journal_writer::JournalWriter;
+use border::pool::{PoolList, PoolUpdates};
 use border::{BorderProxy, Decisions, Outbound, Side, Watched};
 use frostthread::Proxy;
 use frostthread::host::Terms;
@@ -70,7 +70,7 @@
     }
 }
 
-fn cached(plan: &Plan) -> Option<News> {
+fn cached(plan: &Plan) -> Option<PoolUpdates> {
     let text = fs::read_to_string(plan.pool_cache()).ok()?;
     match PoolList::from_cache(&text) {
         Ok(news) => Some(news),
@@ -88,7 +88,7 @@
     plan: &CouncilPlan,
     gossip: &GossipPlan,
     name: &str,
-    life: Life,
+    life: ProcessInfo,
     seed: u64,
     now: f64,
     told: mpsc::Sender<io::Result<()>>,
@@ -103,7 +103,7 @@
     let (keeper, found) = opened?;
     let terms = AgreeTerms { founders, beat: plan.beat, lease: plan.lease };
     let keys = FleetKeys { secrets, roster };
-    proxy.decide((terms, plan.outs), life, keys, found, seed, now).context("council.file")?;
+    proxy.enable_decisions((terms, plan.outs), life, keys, found, seed, now).context("council.file")?;
     Ok(keeper)
 }
 
@@ -122,10 +122,10 @@
     let seed: u64 = rand::rng().random();
     let clock = Clock(Instant::now());
     let module = decide(plan.terms.terms.clone(), seed, clock.now());
-    let mut proxy = BorderProxy::deciding(module, plan.terms.clone(), seed, clock.now());
+    let mut proxy = BorderProxy::with_decisions(module, plan.terms.clone(), seed, clock.now());
     if let Some(news) = cached(&plan) {
         tracing::info!(version = news.version, servers = news.servers.len(), "pool.cached");
-        proxy.listed(clock.now(), unix(), &news)?;
+        proxy.update_server_list(clock.now(), unix(), &news)?;
     }
 
     let (arrivals_in, mut arrivals) = mpsc::channel(QUEUE);
@@ -147,10 +147,14 @@
         proxy.join(Node::new(terms, secrets, roster, seed, clock.now(), unix()));
         if let Some(limits) = plan.fleet {
             let shares = plan.terms.terms.tenants.iter().map(|tenant| tenant.quota);
-            proxy.limit(limits, plan.names.1.iter().cloned().zip(shares), seed, clock.now());
+            proxy.enable_fleet_limits(limits, plan.names.1.iter().cloned().zip(shares), seed, clock.now());
         }
         if let Some(council) = &plan.council {
-            let life = Life { runs: plan.runs.release, failed: plan.runs.failed.clone(), callers: address };
+            let life = ProcessInfo {
+                running_release: plan.runs.release,
+                failed_release: plan.runs.failed.clone(),
+                caller_address: address,
+            };
             let now = clock.now();
             keeper = Some(agree_on(&mut proxy, council, gossip, &plan.name, life, seed, now, kept_in)?);
         }
@@ -171,7 +175,7 @@
         let begun = Journal::begin(records, author, clock.now(), synced_in.clone());
         journal = Some(begun.with_context(|| format!("records.folder {}", records.folder.display()))?);
         let (grades, tenants) = plan.names.clone();
-        proxy.record(Scribe::new(grades, tenants, unix() - clock.now()));
+        proxy.start_recording(JournalWriter::new(grades, tenants, unix() - clock.now()));
     }
     // Datagrams to callers that wait for the journal, with the position that they wait for.
     let mut waiting: VecDeque<(u64, Outbound)> = VecDeque::new();
@@ -208,7 +212,7 @@
             arrival = arrivals.recv() => first = arrival,
             Some(change) = news.recv() => {
                 let now = clock.now();
-                match proxy.listed(now, unix(), &change) {
+                match proxy.update_server_list(now, unix(), &change) {
                     Ok(()) => {
                         tracing::info!(version = change.version, whole = change.whole, "pool.changed");
                         let _ = have.send(proxy.pool().version());
@@ -232,7 +236,7 @@
                 if let Err(error) = &result {
                     tracing::error!("council.unwritten: {error}");
                 }
-                proxy.kept(clock.now(), result.is_ok());
+                proxy.state_write_finished(clock.now(), result.is_ok());
             }
             _ = terminate.recv() => asked = Some(Ask::Stop),
             _ = interrupt.recv() => asked = Some(Ask::Stop),
@@ -246,7 +250,7 @@
             Some(Ask::Gossip(to)) => drop(to.send(proxy.gossip())),
             Some(Ask::Limits(to)) => drop(to.send(proxy.limits())),
             Some(Ask::Council(to)) => drop(to.send(proxy.council())),
-            Some(Ask::Outs(to)) => drop(to.send(proxy.outs())),
+            Some(Ask::Outs(to)) => drop(to.send(proxy.availability())),
             Some(Ask::Distribution(to)) => drop(to.send(proxy.distribution())),
             Some(Ask::Changes(to)) => drop(to.send(proxy.changes())),
             Some(Ask::Wish(wished, to)) => wishes.ask(now, &mut proxy, &wished, to),
@@ -258,7 +262,7 @@
             Some(Ask::Stop) if replacing.leaving.take().is_some() => {}
             Some(Ask::Stop) if stop_at.is_none() => {
                 tracing::info!(conversations = proxy.conversations(), "proxy.stopping");
-                proxy.stop_taking();
+                proxy.stop_accepting();
                 stop_at = Some(now + plan.standing);
             }
             _ => {}
@@ -275,24 +279,25 @@
                     let arrived = clock.at(came).clamp(0.0, now);
                     proxy.receive(now, arrived, side, peer, &bytes);
                 }
-                Arrival::Refused(side, peer) => proxy.refused(now, side, peer),
+                Arrival::Refused(side, peer) => proxy.connection_refused(now, side, peer),
             }
         }
         looked = now;
         if let Some(journal) = &journal {
-            proxy.unrecordable(match journal.admit(now) {
+            proxy.set_recording_unavailable(match journal.admit(now) {
                 Admit::Take => None,
                 Admit::Refuse { come_back } => Some(come_back),
             });
         }
         proxy.turn(now);
-        proxy.settle();
+        proxy.run_pending();
         wishes.answer(now, &mut proxy);
         if replacing.turn(now, &mut proxy) && stop_at.is_none() {
-            proxy.stop_taking();
+            proxy.stop_accepting();
             stop_at = Some(now + plan.standing);
         }
-        if let Some((keeper, write)) = keeper.as_ref().and_then(|keeper| Some((keeper, proxy.to_keep(now)?)))
+        if let Some((keeper, write)) =
+            keeper.as_ref().and_then(|keeper| Some((keeper, proxy.next_state_write(now)?)))
         {
             keeper.write(write);
         }
@@ -300,7 +305,7 @@
             file.turn(now, &mut proxy);
         }
         if let Some(journal) = &mut journal {
-            journal.write(now, std::iter::from_fn(|| proxy.entry()));
+            journal.write(now, std::iter::from_fn(|| proxy.next_journal_entry()));
             journal.turn(now);
         }
         while let Some(out) = proxy.outbound() {
@@ -327,7 +332,7 @@
             proxy.leave(now);
             distributed.iter_mut().for_each(StateFile::finish);
             if let Some(journal) = &mut journal {
-                journal.finish(now, std::iter::from_fn(|| proxy.entry()));
+                journal.finish(now, std::iter::from_fn(|| proxy.next_journal_entry()));
             }
             for (_, out) in waiting {
                 backlog.send(out, |out| sockets.try_send(out));
--- a/daemon/src/settings/fleet.rs
+++ b/daemon/src/settings/fleet.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use ::outs::holder::HolderTerms;
-use border::decided::OutTerms;
+use border::decided::AvailabilityTerms;
 use border::limits::LimitTerms;
 use fleet::{FleetTerms, LoanTerms};
 
@@ -84,7 +84,7 @@
             self.fault(line, key, format!("{lease} ms, with a beat of {beat} ms"), "two beats or more");
         }
         let loans = LoanTerms { lease, drift: drift?, spread: spread?, floor: floor? };
-        Some(LimitTerms { fleet: FleetTerms { loans, beat }, window, most, share_window })
+        Some(LimitTerms { fleet: FleetTerms { loans, beat }, window, max_rate: most, share_window })
     }
 
     /// Names of the roster, each once, of which there are so many.
@@ -142,11 +142,11 @@
         Some(CouncilPlan { members, file, beat, lease, outs: outs? })
     }
 
-    fn outs(&mut self, top: &mut Rows, lease: f64) -> Option<OutTerms> {
+    fn outs(&mut self, top: &mut Rows, lease: f64) -> Option<AvailabilityTerms> {
         let mut rows = self.rows(top, "outs", false);
         if rows.table.is_none() {
             let holder = HolderTerms { part: PROXY_PART, witnesses: 1, well: WELL, lease };
-            return Some(OutTerms { pool_part: POOL_PART, holder, span: Some(SPAN) });
+            return Some(AvailabilityTerms { pool_part: POOL_PART, holder, comparison_period: Some(SPAN) });
         }
         self.beside(top, &rows, "council", "which decides who may be out");
         let pool_part = self.part(&mut rows, "pool_part", POOL_PART);
@@ -157,7 +157,7 @@
         let span = self.time(&mut rows, "span", Some(SPAN));
         self.done(rows);
         let holder = HolderTerms { part: proxy_part?, witnesses: witnesses? as u16, well: well?, lease };
-        Some(OutTerms { pool_part: pool_part?, holder, span: span.filter(|_| judged) })
+        Some(AvailabilityTerms { pool_part: pool_part?, holder, comparison_period: span.filter(|_| judged) })
     }
 
     /// A part of all above 0, of which one at least may be out.
--- a/daemon/src/settings/mod.rs
+++ b/daemon/src/settings/mod.rs
@@ -15,9 +15,9 @@
 use ::distribution::Scope;
 use ::records::commit::Promise;
 use border::ProxyTerms;
-use border::decided::OutTerms;
+use border::decided::AvailabilityTerms;
 use border::limits::LimitTerms;
-use border::watch::ToCome;
+use border::watch::ProposedTerms;
 use frostthread::host::Terms;
 use toml_edit::Document;
 
@@ -69,7 +69,7 @@
     pub distribution: Option<DistributionPlan>,
     pub records: Option<RecordsPlan>,
     /// Terms that are watched: what would be decided under them is counted.
-    pub to_come: Option<ToCome>,
+    pub to_come: Option<ProposedTerms>,
     /// Names of service grades and tenants, by index.
     pub names: (Vec<String>, Vec<String>),
     pub terms: ProxyTerms,
@@ -113,7 +113,7 @@
     /// Milliseconds.
     pub beat: f64,
     pub lease: f64,
-    pub outs: OutTerms,
+    pub outs: AvailabilityTerms,
 }
 
 /// How decided state is distributed by scope, and this proxy's part in it.
@@ -247,7 +247,7 @@
         let answer_lead = self.time(&mut rules, "answer_lead", None);
         self.done(rules);
         let mut watch = self.rows(&mut top, "watch", false);
-        let to_come = watch.table.is_some().then(|| ToCome {
+        let to_come = watch.table.is_some().then(|| ProposedTerms {
             terms: self.rules(&mut watch, terms.clone(), limits.resend, Some(&terms)),
             share: self.number(&mut watch, "share", 0.0, 1.0, Some(1.0)).unwrap_or(1.0),
         });
@@ -279,7 +279,7 @@
             ),
             receive_buffer: receive_buffer.filter(|&bytes| bytes > 0).map(|bytes| bytes as usize),
             terms: ProxyTerms {
-                patience: grades.iter().map(|grade| grade.patience).collect(),
+                caller_timeout: grades.iter().map(|grade| grade.patience).collect(),
                 terms,
                 routes,
                 answer_lead: answer_lead?,
--- a/daemon/src/tables.rs
+++ b/daemon/src/tables.rs
@@ -1,6 +1,8 @@
 //! What a running proxy answers, as tables for people.
 
-use border::decided::{AwayStatus, CouncilStatus, DrainStatus, OutsStatus, ReleaseStatus, SeatStatus};
+use border::decided::{
+    AvailabilityStatus, CouncilStatus, DrainStatus, ReleaseStatus, UnavailabilityStatus, VoterStatus,
+};
 use border::distributed::{ChangeStatus, DistributedDrain, DistributionStatus, ScopeStatus};
 use border::status::{GossipStatus, LimitStatus, LimitsStatus, MemberStatus, Status, SuspicionStatus};
 use tabled::{Table, Tabled, settings::Style};
@@ -24,10 +26,10 @@
         standing: &'a str,
     }
     fn row(m: &MemberStatus) -> Row<'_> {
-        Row { proxy: &m.name, address: &m.address, standing: &m.standing }
+        Row { proxy: &m.name, address: &m.address, standing: &m.state }
     }
     println!("{}", Table::new(gossip.members.iter().map(row)).with(Style::sharp()));
-    let tally = gossip.tally;
+    let tally = gossip.counters;
     println!(
         "sent {} packets, {} bytes, put off {}; dropped: malformed {}, untagged {}, forged {}, replayed {}, \
          bad statements {}; clashes {}",
@@ -59,8 +61,10 @@
             believed: s.believed,
             accusers: format!("{}: {}", s.accusers.len(), s.accusers.join(" ")),
             vouchers: s.vouchers,
-            since: format!("{:.1} s", s.age / 1000.0),
-            own_answer: s.answered.map_or("never".to_owned(), |ago| format!("{:.1} s ago", ago / 1000.0)),
+            since: format!("{:.1} s", s.age_ms / 1000.0),
+            own_answer: s
+                .last_answer_ms
+                .map_or("never".to_owned(), |ago| format!("{:.1} s ago", ago / 1000.0)),
         }
     }
     println!("{}", Table::new(gossip.suspicions.iter().map(row)).with(Style::sharp()));
@@ -85,7 +89,7 @@
             own: l.part,
             lent: l.lent,
             borrowed: l.borrowed,
-            used: l.resting,
+            used: l.used_in_window,
             free: l.free,
             why: &l.why,
         }
@@ -109,29 +113,29 @@
     let row = |server: &border::status::ServerStatus| Row {
         server: server.name.clone(),
         address: server.address.clone(),
-        state: match (server.cold, server.resting) {
+        state: match (server.cold, server.cooling_down) {
             (true, _) => format!("{}, cold", server.state),
             (false, true) => format!("{}, resting", server.state),
             _ => server.state.clone(),
         },
-        out: format!("{} of {:.1}", server.out, server.allowance),
+        out: format!("{} of {:.1}", server.in_flight, server.concurrency_limit),
         samples: server.samples,
         delay: format!("{:.0} ms", server.delay_ms),
-        rate: server.told_rate.map_or("-".to_owned(), |rate| format!("{rate:.1}/s")),
+        rate: server.reported_rate.map_or("-".to_owned(), |rate| format!("{rate:.1}/s")),
     };
     println!("{}", Table::new(status.servers.iter().map(row)).with(Style::sharp()));
-    let (present, tally) = (status.present, status.tally);
-    println!("held {}, shot {}, standing {}", present.held, present.shot, present.standing);
+    let (present, tally) = (status.conversations, status.counters);
+    println!("held {}, shot {}, standing {}", present.waiting, present.attempting, present.established);
     println!(
         "taken {}, stood {}, refused {}, failed {}, left {}, cut {}; shots {}, nacked {}, timed out {}, reset {}",
-        tally.taken,
-        tally.stood,
+        tally.accepted,
+        tally.established,
         tally.refused,
         tally.failed,
-        tally.left,
+        tally.caller_gone,
         tally.cut,
-        tally.shots,
-        tally.nacked,
+        tally.attempts,
+        tally.rejected,
         tally.timed_out,
         tally.reset
     );
@@ -142,21 +146,21 @@
     if let Some(watch) = status.watch {
         println!(
             "watched: {} of {} turns would differ; {} turns in all",
-            watch.differing, watch.seen, watch.turns
+            watch.differing, watch.compared, watch.turns
         );
         println!(
             "elsewhere {}, other time-out {}, held back {}, sooner {}, given up {}, kept {}, other advice {}, \
              called off {}, unprobed {}, probed {}",
-            watch.elsewhere,
-            watch.time_out,
+            watch.other_server,
+            watch.timeout,
             watch.held_back,
-            watch.sooner,
+            watch.earlier,
             watch.given_up,
             watch.kept,
-            watch.advice,
-            watch.called_off,
-            watch.unprobed,
-            watch.probed
+            watch.retry_after,
+            watch.cancelled,
+            watch.probes_dropped,
+            watch.probes_added
         );
     }
 }
@@ -168,38 +172,38 @@
         life: u64,
         has: String,
     }
-    fn row(seat: &SeatStatus) -> Row<'_> {
+    fn row(seat: &VoterStatus) -> Row<'_> {
         Row {
             member: &seat.name,
-            life: seat.life,
-            has: seat.has.map_or("-".to_owned(), |has| has.to_string()),
+            life: seat.generation,
+            has: seat.log_index.map_or("-".to_owned(), |has| has.to_string()),
         }
     }
-    println!("{}", Table::new(council.seats.iter().map(row)).with(Style::sharp()));
+    println!("{}", Table::new(council.voters.iter().map(row)).with(Style::sharp()));
     let proved = if council.proved { "" } else { ", not proved yet" };
     println!("votes since decision {}{proved}", council.since);
     let leader = council.leader.as_deref().unwrap_or("nobody that is heard");
     println!(
         "this proxy {:?} with life {}, term {}, led by {leader}",
-        council.role, council.life, council.term
+        council.role, council.generation, council.term
     );
     println!(
         "decided {}, carried out {}, proved {}; comes to {}; known as of {}",
         council.decided,
         council.applied,
-        council.sealed,
+        council.certified,
         council.hash,
         council.age_ms.map_or("never".to_owned(), |age| format!("{:.1} s ago", age / 1000.0))
     );
-    for seat in &council.voteless {
-        println!("{} has no vote by its disk: to be let in as {}", seat.name, seat.life);
+    for seat in &council.non_voters {
+        println!("{} has no vote by its disk: to be let in as {}", seat.name, seat.generation);
     }
     if let Some(stopped) = &council.stopped {
         println!("stopped: {stopped}");
     }
 }
 
-pub fn show_outs(outs: &OutsStatus) {
+pub fn show_outs(outs: &AvailabilityStatus) {
     #[derive(Tabled)]
     struct Row<'a> {
         server: &'a str,
@@ -217,19 +221,19 @@
         waits_for: &'a str,
     }
     fn row(drain: &DrainStatus) -> Row<'_> {
-        let DrainStatus { server, pool, by, why, decision, here, .. } = drain;
+        let DrainStatus { server, pool, by, why, decision, conversations_here: here, .. } = drain;
         Row { server, pool: *pool, by, why, decision: *decision, here: *here }
     }
-    fn away(of: &AwayStatus) -> Away<'_> {
+    fn away(of: &UnavailabilityStatus) -> Away<'_> {
         let since = of.since.map_or("-".to_owned(), |since| since.to_string());
-        Away { proxy: &of.proxy, how: &of.how, since, waits_for: &of.waits_for }
+        Away { proxy: &of.proxy, how: &of.state, since, waits_for: &of.waits_for }
     }
     println!("{}", Table::new(outs.drains.iter().map(row)).with(Style::sharp()));
     println!("{}", Table::new(outs.proxies.iter().map(away)).with(Style::sharp()));
     println!(
         "{} of {} proxies that may be out; {} see one well",
         outs.proxies.len(),
-        outs.most,
+        outs.max_unavailable,
         outs.witnesses
     );
     println!(
@@ -245,7 +249,7 @@
         release.release, release.kind, release.sum, release.by, release.why
     );
     println!("{:?}; ready {}", release.phase, release.ready);
-    for (proxy, why) in &release.unfit {
+    for (proxy, why) in &release.rejected {
         println!("{proxy} finds it unfit: {why}");
     }
     for (i, (all, run)) in release.waves.iter().enumerate() {
@@ -284,7 +288,7 @@
     if let Some(served) = status.subscribers {
         println!(
             "a control machine with {} subscribers, {} of them reading a scope anew; proved up to {}",
-            served.sessions, served.snapshots, served.sealed
+            served.sessions, served.snapshots, served.certified
         );
     }
     let channel = status.channel;
--- a/daemon/src/watch_log.rs
+++ b/daemon/src/watch_log.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::{Context, Result, anyhow, bail, ensure};
-use border::pool::News;
+use border::pool::PoolUpdates;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Bytes;
 use hyper::client::conn::http1;
@@ -59,7 +59,12 @@
 }
 
 /// `address` may change while the proxy runs; the events' numbers go on.
-pub async fn follow(mut address: watch::Receiver<SocketAddr>, had: Had, seed: u64, news: mpsc::Sender<News>) {
+pub async fn follow(
+    mut address: watch::Receiver<SocketAddr>,
+    had: Had,
+    seed: u64,
+    news: mpsc::Sender<PoolUpdates>,
+) {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let mut backoff = Backoff::new(FIRST_GAP, LONGEST_GAP);
     loop {
@@ -91,7 +96,7 @@
 }
 
 /// One call, read until it ends.
-async fn answer(address: SocketAddr, had: &Had, news: &mpsc::Sender<News>) -> Result<Infallible> {
+async fn answer(address: SocketAddr, had: &Had, news: &mpsc::Sender<PoolUpdates>) -> Result<Infallible> {
     let stream =
         tokio::time::timeout(ANSWER_WAIT, TcpStream::connect(address)).await.context("connecting")??;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
--- a/daemon/src/wishes.rs
+++ b/daemon/src/wishes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use border::decided::Answer;
+use border::decided::CommandOutcome;
 use border::{BorderProxy, Decisions};
 use tokio::sync::oneshot::Sender;
 
@@ -14,7 +14,7 @@
 
 #[derive(Default)]
 pub struct Wishes {
-    waiting: HashMap<u64, (Sender<Result<Answer, String>>, f64)>,
+    waiting: HashMap<u64, (Sender<Result<CommandOutcome, String>>, f64)>,
 }
 
 impl Wishes {
@@ -23,9 +23,9 @@
         now: f64,
         proxy: &mut BorderProxy<impl Decisions>,
         wished: &Wished,
-        to: Sender<Result<Answer, String>>,
+        to: Sender<Result<CommandOutcome, String>>,
     ) {
-        match proxy.wish(now, unix(), &wished.wish, wished.dry) {
+        match proxy.submit_command(now, unix(), &wished.wish, wished.dry) {
             Ok(Ok(request)) => drop(self.waiting.insert(request, (to, now + PATIENCE))),
             Ok(Err(answer)) => drop(to.send(Ok(answer))),
             Err(why) => drop(to.send(Err(why))),
@@ -33,13 +33,13 @@
     }
 
     pub fn answer(&mut self, now: f64, proxy: &mut BorderProxy<impl Decisions>) {
-        while let Some((request, answer)) = proxy.decision() {
+        while let Some((request, answer)) = proxy.next_command_outcome() {
             if let Some((to, _)) = self.waiting.remove(&request) {
                 let _ = to.send(Ok(answer));
             }
         }
         for (request, (to, _)) in self.waiting.extract_if(|_, (_, until)| now >= *until) {
-            proxy.forget_wish(request);
+            proxy.forget_command(request);
             let why = "not decided in ten seconds: no majority is heard; it may still be";
             let _ = to.send(Err(why.to_owned()));
         }
--- a/daemon/tests/process.rs
+++ b/daemon/tests/process.rs
@@ -109,7 +109,7 @@
     let end = refused(proxy, "9");
     let End::Peer { rejected: true, elements } = end else { panic!("{end:?}") };
     assert_eq!(elements.cause(), Some(42));
-    assert!(border::hints::Hints::read(&elements).come_back.is_some());
+    assert!(border::hints::Hints::read(&elements).retry_after.is_some());
 
     assert_eq!(ask("status", &file)["tally"]["refused"], 1);
     stop(&mut running);
@@ -137,7 +137,8 @@
     (0..40).for_each(|_| caller.poke(0.0, proxy));
     send(&mut caller);
     std::thread::sleep(Duration::from_millis(400));
-    let hints = border::hints::Hints { patience: Some(PATIENCE.as_millis() as u32), ..Default::default() };
+    let hints =
+        border::hints::Hints { caller_timeout: Some(PATIENCE.as_millis() as u32), ..Default::default() };
     let new = Elements::new().with(element::CALLED_NUMBER, "155").with(element::CALLING_NUMBER, "9");
     caller.call(0.0, proxy, &hints.add_to(new)).expect("room");
     send(&mut caller);
--- a/daemon/tests/settings.rs
+++ b/daemon/tests/settings.rs
@@ -12,7 +12,7 @@
     assert_eq!(plan.terms.terms.grades.len(), 2);
     assert_eq!(plan.terms.terms.release, 300.0);
     assert_eq!(plan.terms.terms.longest_advice, Some(2000.0));
-    assert_eq!(plan.terms.patience, [3000.0, 9000.0]);
+    assert_eq!(plan.terms.caller_timeout, [3000.0, 9000.0]);
     assert_eq!(plan.terms.routes.find("", "255"), Some((1, 1)));
     assert_eq!(plan.terms.routes.tenant("north", ""), Some(0));
 }
--- a/daemon/tests/world/mod.rs
+++ b/daemon/tests/world/mod.rs
@@ -15,7 +15,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use border::pool::{Entry, News, Readiness};
+use border::pool::{PoolEntry, PoolUpdates, Readiness};
 use bytes::Bytes;
 use daemon::settings::EXAMPLE;
 use iax2::element::{self, Elements};
@@ -180,7 +180,7 @@
         let mut threads = Threads { over: Arc::default(), all: Vec::new() };
 
         let came = Arc::new(Mutex::new(Vec::new()));
-        let entries: Vec<Entry> =
+        let entries: Vec<PoolEntry> =
             (0..servers).map(|server| central(&mut threads, server, began, came.clone())).collect();
 
         let feed = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -188,7 +188,7 @@
         feed.set_nonblocking(true).expect("set");
         let over = threads.over.clone();
         threads.all.push(thread::spawn(move || {
-            let line = News { version: 1, whole: true, servers: entries }.write();
+            let line = PoolUpdates { version: 1, whole: true, servers: entries }.write();
             let mut open = Vec::new();
             while !over.load(Ordering::Relaxed) {
                 if let Ok((mut stream, _)) = feed.accept() {
@@ -406,9 +406,9 @@
     server: usize,
     began: Instant,
     came: Arc<Mutex<Vec<(f64, u16, usize)>>>,
-) -> Entry {
+) -> PoolEntry {
     let socket = loopback();
-    let entry = Entry {
+    let entry = PoolEntry {
         name: format!("s-{server}"),
         address: socket.local_addr().expect("bound"),
         state: Readiness::Running,
--- a/lab/src/drill.rs
+++ b/lab/src/drill.rs
@@ -443,12 +443,12 @@
         let loans = LoanTerms { lease: LEASE, drift: 0.001, spread: SPREAD, floor: 0.25 };
         let fleet = FleetTerms { loans, beat: LIMIT_BEAT };
         let most = Some(self.gossip.limit as f64).filter(|&most| most > 0.0 && self.gossip.limit_told)?;
-        Some(LimitTerms { fleet, window: LIMIT_WINDOW, most: Some(most), share_window: None })
+        Some(LimitTerms { fleet, window: LIMIT_WINDOW, max_rate: Some(most), share_window: None })
     }
 
     /// The same as settings, empty where there is none.
     pub fn limit_settings(&self) -> String {
-        self.limit_terms().map_or(String::new(), |LimitTerms { fleet, window, most, .. }| {
+        self.limit_terms().map_or(String::new(), |LimitTerms { fleet, window, max_rate: most, .. }| {
             let LoanTerms { lease, drift, spread, floor } = fleet.loans;
             format!(
                 "\n[fleet]\nwindow = \"{window} ms\"\nbeat = \"{} ms\"\nlease = \"{lease} ms\"\ndrift = {drift:?}\n\
@@ -498,7 +498,7 @@
                 fall_span: FALL_SPAN,
             },
             routes: Routes::new(routes, tenants),
-            patience: self.grades.iter().map(|g| g.limit * 1000.0).collect(),
+            caller_timeout: self.grades.iter().map(|g| g.limit * 1000.0).collect(),
             answer_lead: ANSWER_LEAD,
             callers: limits,
             servers: limits,
--- a/lab/src/drills/release.rs
+++ b/lab/src/drills/release.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::{Result, bail};
-use border::decided::{Answer, Wish};
+use border::decided::{CommandOutcome, OperatorCommand};
 use bytes::Bytes;
 use daemon::control::{Wished, ask};
 use iax2::{Endpoint, Happening, Limits};
@@ -51,15 +51,18 @@
         fs::create_dir_all(to.parent().unwrap_or(state))?;
         fs::write(to, CHANGE)?;
     }
-    let stage = Wish::Stage { kind: Kind::Settings, sum: hex::encode(sum), why: "a drill".to_owned() };
-    for wish in [stage, Wish::Start] {
+    let stage =
+        OperatorCommand::Stage { kind: Kind::Settings, sum: hex::encode(sum), why: "a drill".to_owned() };
+    for wish in [stage, OperatorCommand::Start] {
         let end = Instant::now() + Duration::from_secs(30);
         let mut tries = 0;
         loop {
             let control = states[tries % states.len()].join("control.sock");
             tries += 1;
             let word = serde_json::to_string(&Wished { wish: wish.clone(), dry: false })?;
-            if let Ok(Answer::Done { .. } | Answer::Already) = ask::<Answer>(&control, &word).await {
+            if let Ok(CommandOutcome::Done { .. } | CommandOutcome::Already) =
+                ask::<CommandOutcome>(&control, &word).await
+            {
                 break;
             }
             if Instant::now() > end {
--- a/lab/src/drills/simulated.rs
+++ b/lab/src/drills/simulated.rs
@@ -6,7 +6,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use anyhow::Result;
-use border::pool::{News, PoolList};
+use border::pool::{PoolList, PoolUpdates};
 use border::{BorderProxy, ProxyTerms, Side};
 use bytes::Bytes;
 use gossip::Node;
@@ -126,16 +126,16 @@
     fn start(&mut self, proxy: usize) {
         let seed = self.chance.random();
         let module = Decider::new(self.routing, self.broken, self.terms.terms.clone(), seed, self.now);
-        let mut core = Core::deciding(module, self.terms.clone(), seed, self.now);
+        let mut core = Core::with_decisions(module, self.terms.clone(), seed, self.now);
         if self.world.drill.gossip.on {
             core.join(self.node(proxy));
             if let Some(terms) = self.world.drill.limit_terms() {
-                core.limit(terms, [], seed, self.now);
+                core.enable_fleet_limits(terms, [], seed, self.now);
             }
         }
         let seat = &mut self.seats[proxy];
         if let Ok(news) = PoolList::from_cache(&seat.cache) {
-            core.listed(self.now, EPOCH + self.now, &news).expect("its own list");
+            core.update_server_list(self.now, EPOCH + self.now, &news).expect("its own list");
         }
         seat.core = Some(core);
         seat.life += 1;
@@ -153,17 +153,17 @@
         Node::new(terms, peers::secrets(member), roster, seed, self.now, EPOCH + self.now)
     }
 
-    fn list(&mut self, proxy: usize, news: &News) {
+    fn list(&mut self, proxy: usize, news: &PoolUpdates) {
         let now = self.now;
         if proxy == 0 {
             self.liars.listed(now, EPOCH + now, news);
         }
         let seat = &mut self.seats[proxy];
         let Some(core) = &mut seat.core else { return };
-        if core.listed(now, EPOCH + now, news).is_err() {
+        if core.update_server_list(now, EPOCH + now, news).is_err() {
             let whole = self.world.whole_list(proxy);
             let core = self.seats[proxy].core.as_mut().expect("just there");
-            core.listed(now, EPOCH + now, &whole).expect("a whole list fits");
+            core.update_server_list(now, EPOCH + now, &whole).expect("a whole list fits");
         }
         let seat = &mut self.seats[proxy];
         seat.cache = seat.core.as_ref().expect("just there").pool().to_cache();
@@ -174,13 +174,13 @@
     fn settle(&mut self, proxy: usize) {
         let (now, life) = (self.now, self.seats[proxy].life);
         let Some(core) = &mut self.seats[proxy].core else { return };
-        core.settle();
+        core.run_pending();
         while core.note().is_some() {}
         let mut sent = Vec::new();
         while let Some(out) = core.outbound() {
             sent.push(out);
         }
-        let believed = core.believed().iter().map(|&server| core.pool().name(server));
+        let believed = core.suspected_servers().iter().map(|&server| core.pool().name(server));
         self.world.believes(now, proxy, believed);
         let due = core.due();
         if due < self.seats[proxy].look_at {
@@ -272,7 +272,7 @@
                     } else if seat.life == life
                         && let Some(core) = &mut seat.core
                     {
-                        core.refused(now, Side::Servers, peer);
+                        core.connection_refused(now, Side::Servers, peer);
                         self.settle(proxy);
                     }
                 }
--- a/lab/src/drills/standalone.rs
+++ b/lab/src/drills/standalone.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use anyhow::{Context, Result, ensure};
-use border::pool::{Entry, News, Readiness};
+use border::pool::{PoolEntry, PoolUpdates, Readiness};
 use bytes::{Bytes, BytesMut};
 use hdrhistogram::Histogram;
 use iax2::Datagram;
@@ -99,7 +99,7 @@
 pub async fn server(play: ServerPlay) -> Result<()> {
     let socket = bind(play.listen).with_context(|| format!("listening at {}", play.listen))?;
     let started = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH)?.as_secs_f64() * 1000.0;
-    let entry = Entry {
+    let entry = PoolEntry {
         name: play.name,
         address: socket.local_addr()?,
         state: Readiness::Running,
@@ -136,14 +136,14 @@
 }
 
 /// The entries of a list's file: one JSON object a line.
-fn entries(file: &Path) -> Result<Vec<Entry>> {
+fn entries(file: &Path) -> Result<Vec<PoolEntry>> {
     let text = fs::read_to_string(file).with_context(|| file.display().to_string())?;
     let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
-    let read = |(i, line): (usize, &str)| -> Result<Entry> {
+    let read = |(i, line): (usize, &str)| -> Result<PoolEntry> {
         serde_json::from_str(line).with_context(|| format!("{}, line {}", file.display(), i + 1))
     };
-    let entries = lines.map(read).collect::<Result<Vec<Entry>>>()?;
-    News::read(&News { version: 1, whole: true, servers: entries.clone() }.write())?;
+    let entries = lines.map(read).collect::<Result<Vec<PoolEntry>>>()?;
+    PoolUpdates::read(&PoolUpdates { version: 1, whole: true, servers: entries.clone() }.write())?;
     Ok(entries)
 }
 
@@ -201,9 +201,9 @@
 }
 
 /// What has changed from one list to the next; who is no more in it is gone.
-fn changes(from: &[Entry], to: &[Entry]) -> Vec<Entry> {
+fn changes(from: &[PoolEntry], to: &[PoolEntry]) -> Vec<PoolEntry> {
     let gone = from.iter().filter(|old| !to.iter().any(|new| new.name == old.name));
-    let gone = gone.map(|old| Entry { state: Readiness::Gone, ..old.clone() });
+    let gone = gone.map(|old| PoolEntry { state: Readiness::Gone, ..old.clone() });
     to.iter().filter(|new| !from.contains(new)).cloned().chain(gone).collect()
 }
 
--- a/lab/src/drills/world.rs
+++ b/lab/src/drills/world.rs
@@ -8,7 +8,7 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-use border::pool::{Entry, News, Readiness};
+use border::pool::{PoolEntry, PoolUpdates, Readiness};
 use bytes::Bytes;
 use ordered_float::OrderedFloat;
 use rand::seq::index;
@@ -50,7 +50,7 @@
     /// Deliver news of the list to a proxy.
     List {
         proxy: usize,
-        news: News,
+        news: PoolUpdates,
     },
     /// Nobody listens at the server's address any more, or somebody does again.
     Down {
@@ -201,9 +201,9 @@
     }
 
     /// The whole list, as a proxy that subscribes is told it.
-    pub fn whole_list(&mut self, proxy: usize) -> News {
+    pub fn whole_list(&mut self, proxy: usize) -> PoolUpdates {
         if self.feed.is_none() {
-            let entries: Vec<Entry> =
+            let entries: Vec<PoolEntry> =
                 (0..self.servers.len()).map(|server| self.entry(server, Readiness::Running)).collect();
             self.feed = Some(Feed::new(self.drill.fleet.proxies, &entries));
         }
@@ -222,15 +222,15 @@
         }
     }
 
-    fn delivered(&mut self, proxy: usize, news: &News) {
+    fn delivered(&mut self, proxy: usize, news: &PoolUpdates) {
         self.witness.delivered(self.now, proxy, news);
         self.events.note(&Event::List { ms: self.now, proxy, news });
     }
 
-    fn entry(&self, server: usize, state: Readiness) -> Entry {
+    fn entry(&self, server: usize, state: Readiness) -> PoolEntry {
         let stand = &self.servers[server];
         let started = stand.central.started;
-        Entry {
+        PoolEntry {
             name: stand.name.clone(),
             address: stand.address.expect("settled"),
             state,
--- a/lab/src/stand_ins/baseline.rs
+++ b/lab/src/stand_ins/baseline.rs
@@ -135,11 +135,11 @@
 }
 
 impl Decisions for Plain {
-    fn at(&mut self, now: f64) {
+    fn advance_clock(&mut self, now: f64) {
         self.now = now;
     }
 
-    fn listed(&mut self, lines: &[Listed], whole: bool, _host: &mut impl Host) {
+    fn update_server_list(&mut self, lines: &[Listed], whole: bool, _host: &mut impl Host) {
         if whole {
             self.servers.iter_mut().flatten().for_each(|server| server.0 = State::Gone);
         }
@@ -155,9 +155,9 @@
 
     fn reported(&mut self, _server: Server, _report: Report) {}
 
-    fn suspected(&mut self, _server: Server, _suspicion: Option<Suspicion>) {}
+    fn set_suspicion(&mut self, _server: Server, _suspicion: Option<Suspicion>) {}
 
-    fn take(&mut self, call: &Call) -> Handle {
+    fn accept(&mut self, call: &Call) -> Handle {
         let kept = Kept {
             until: self.now + call.remaining,
             shots: 0,
@@ -178,7 +178,7 @@
         self.held.push(handle);
     }
 
-    fn stood(&mut self, handle: Handle) {
+    fn established(&mut self, handle: Handle) {
         self.off(handle);
     }
 
@@ -205,7 +205,7 @@
         }
     }
 
-    fn left(&mut self, handle: Handle) {
+    fn caller_gone(&mut self, handle: Handle) {
         self.held.retain(|held| *held != handle);
         let index = handle.0 as usize;
         match &mut self.kept[index] {
@@ -214,7 +214,7 @@
         }
     }
 
-    fn settle(&mut self, host: &mut impl Host) {
+    fn run_pending(&mut self, host: &mut impl Host) {
         let mut due = f64::INFINITY;
         for handle in std::mem::take(&mut self.held) {
             let Some(kept) = &self.kept[handle.0 as usize] else { continue };
@@ -276,41 +276,41 @@
 }
 
 impl Decisions for Decider {
-    fn at(&mut self, now: f64) {
-        pass_on!(self, at(now));
+    fn advance_clock(&mut self, now: f64) {
+        pass_on!(self, advance_clock(now));
     }
-    fn listed(&mut self, lines: &[Listed], whole: bool, host: &mut impl Host) {
-        pass_on!(self, listed(lines, whole, host));
+    fn update_server_list(&mut self, lines: &[Listed], whole: bool, host: &mut impl Host) {
+        pass_on!(self, update_server_list(lines, whole, host));
     }
     fn reported(&mut self, server: Server, report: Report) {
         pass_on!(self, reported(server, report));
     }
-    fn suspected(&mut self, server: Server, suspicion: Option<Suspicion>) {
-        pass_on!(self, suspected(server, suspicion));
+    fn set_suspicion(&mut self, server: Server, suspicion: Option<Suspicion>) {
+        pass_on!(self, set_suspicion(server, suspicion));
     }
-    fn allotted(&mut self, server: Server, shots: Option<u32>) -> u32 {
-        pass_on!(self, allotted(server, shots))
+    fn set_fleet_limit(&mut self, server: Server, shots: Option<u32>) -> u32 {
+        pass_on!(self, set_fleet_limit(server, shots))
     }
-    fn shared(&mut self, tenant: usize, within: Option<bool>) {
-        pass_on!(self, shared(tenant, within));
+    fn set_within_share(&mut self, tenant: usize, within: Option<bool>) {
+        pass_on!(self, set_within_share(tenant, within));
     }
-    fn take(&mut self, call: &Call) -> Handle {
-        pass_on!(self, take(call))
+    fn accept(&mut self, call: &Call) -> Handle {
+        pass_on!(self, accept(call))
     }
     fn place(&mut self, handle: Handle) {
         pass_on!(self, place(handle));
     }
-    fn stood(&mut self, handle: Handle) {
-        pass_on!(self, stood(handle));
+    fn established(&mut self, handle: Handle) {
+        pass_on!(self, established(handle));
     }
     fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
         pass_on!(self, ended(handle, ending, finished, host));
     }
-    fn left(&mut self, handle: Handle) {
-        pass_on!(self, left(handle));
+    fn caller_gone(&mut self, handle: Handle) {
+        pass_on!(self, caller_gone(handle));
     }
-    fn settle(&mut self, host: &mut impl Host) {
-        pass_on!(self, settle(host));
+    fn run_pending(&mut self, host: &mut impl Host) {
+        pass_on!(self, run_pending(host));
     }
     fn view(&self, server: Server) -> Option<View> {
         match self {
--- a/lab/src/stand_ins/callers.rs
+++ b/lab/src/stand_ins/callers.rs
@@ -229,7 +229,7 @@
             patience = self.mood.abuse.2 * drill.grades[caller.grade].quoted * 1000.0;
         }
         caller.tries += 1;
-        let hints = Hints { patience: Some(patience as u32), ..Hints::default() };
+        let hints = Hints { caller_timeout: Some(patience as u32), ..Hints::default() };
         let number = self.tries.len();
         let elements = Elements::new()
             .with(element::CALLED_NUMBER, &caller.called)
@@ -273,7 +273,7 @@
                     let advice = match &end {
                         End::Peer { elements, .. } => {
                             let stopping = elements.cause() == Some(causes::STOPPING);
-                            Hints::read(elements).come_back.or(stopping.then_some(0))
+                            Hints::read(elements).retry_after.or(stopping.then_some(0))
                         }
                         _ => None,
                     };
--- a/lab/src/stand_ins/central.rs
+++ b/lab/src/stand_ins/central.rs
@@ -251,7 +251,7 @@
             }
             Job::Reject(leg) => {
                 let mut hints = self.hints(now, false);
-                hints.come_back = self.shape.tells_wait.then(|| self.wait(now) as u32);
+                hints.retry_after = self.shape.tells_wait.then(|| self.wait(now) as u32);
                 let full = hints.add_to(Elements::new().with_cause(cause::CONGESTION));
                 self.endpoint.end(now, leg, &full);
             }
--- a/lab/src/stand_ins/feed.rs
+++ b/lab/src/stand_ins/feed.rs
@@ -2,15 +2,15 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use border::pool::{Entry, News, Readiness};
+use border::pool::{PoolEntry, PoolUpdates, Readiness};
 
 /// What one proxy has been told.
 #[derive(Default)]
 struct Told {
     version: u64,
-    servers: BTreeMap<String, Entry>,
+    servers: BTreeMap<String, PoolEntry>,
     /// Changes on their way, in order.
-    coming: VecDeque<(f64, u64, Entry)>,
+    coming: VecDeque<(f64, u64, PoolEntry)>,
 }
 
 /// The feed of all proxies of a drill.
@@ -20,14 +20,15 @@
 }
 
 impl Feed {
-    pub fn new(proxies: usize, entries: &[Entry]) -> Self {
-        let servers: BTreeMap<String, Entry> = entries.iter().map(|e| (e.name.clone(), e.clone())).collect();
+    pub fn new(proxies: usize, entries: &[PoolEntry]) -> Self {
+        let servers: BTreeMap<String, PoolEntry> =
+            entries.iter().map(|e| (e.name.clone(), e.clone())).collect();
         let told = || Told { version: 1, servers: servers.clone(), coming: VecDeque::new() };
         Self { version: 1, told: (0..proxies).map(|_| told()).collect() }
     }
 
     /// A server's entry changes; `at` says when each proxy hears of it. Changes come in order.
-    pub fn change(&mut self, entry: &Entry, mut at: impl FnMut(usize) -> f64) {
+    pub fn change(&mut self, entry: &PoolEntry, mut at: impl FnMut(usize) -> f64) {
         self.version += 1;
         for (proxy, told) in self.told.iter_mut().enumerate() {
             let after = told.coming.back().map_or(0.0, |last| last.0);
@@ -42,7 +43,7 @@
     }
 
     /// The changes that reach proxies by now.
-    pub fn deliver(&mut self, now: f64) -> Vec<(usize, News)> {
+    pub fn deliver(&mut self, now: f64) -> Vec<(usize, PoolUpdates)> {
         let mut news = Vec::new();
         for (proxy, told) in self.told.iter_mut().enumerate() {
             while let Some((_, version, entry)) = told.coming.pop_front_if(|change| change.0 <= now) {
@@ -52,15 +53,15 @@
                 } else {
                     told.servers.insert(entry.name.clone(), entry.clone());
                 }
-                news.push((proxy, News { version, whole: false, servers: vec![entry] }));
+                news.push((proxy, PoolUpdates { version, whole: false, servers: vec![entry] }));
             }
         }
         news
     }
 
     /// The whole list as the proxy has been told it.
-    pub fn whole(&self, proxy: usize) -> News {
+    pub fn whole(&self, proxy: usize) -> PoolUpdates {
         let told = &self.told[proxy];
-        News { version: told.version, whole: true, servers: told.servers.values().cloned().collect() }
+        PoolUpdates { version: told.version, whole: true, servers: told.servers.values().cloned().collect() }
     }
 }
--- a/lab/src/stand_ins/peers.rs
+++ b/lab/src/stand_ins/peers.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use border::pool::{News, PoolList};
+use border::pool::{PoolList, PoolUpdates};
 use frostthread::host::Server;
 use gossip::keys::{Roster, Secrets};
 use gossip::{GossipTerms, Node};
@@ -113,7 +113,7 @@
     }
 
     /// Whom they can lie of.
-    pub fn listed(&mut self, now: f64, unix: f64, news: &News) {
+    pub fn listed(&mut self, now: f64, unix: f64, news: &PoolUpdates) {
         // A change that does not follow on what they know is none of theirs.
         let _ = self.pool.apply(news, now, unix);
     }
@@ -131,7 +131,8 @@
         }
         for node in &mut self.nodes {
             let servers: Vec<Server> = self.pool.servers().collect();
-            for life in servers.into_iter().filter(|_| lies).filter_map(|server| self.pool.life(server)) {
+            for life in servers.into_iter().filter(|_| lies).filter_map(|server| self.pool.generation(server))
+            {
                 node.evidence.shot(now, life);
             }
             if node.due() <= now {
--- a/lab/src/witness/events.rs
+++ b/lab/src/witness/events.rs
@@ -4,7 +4,7 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-use border::pool::News;
+use border::pool::PoolUpdates;
 use iax2::frame::{self, Frame};
 use serde::Serialize;
 
@@ -26,7 +26,7 @@
     List {
         ms: f64,
         proxy: usize,
-        news: &'a News,
+        news: &'a PoolUpdates,
     },
     Trouble {
         ms: f64,
--- a/lab/src/witness/judge.rs
+++ b/lab/src/witness/judge.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 use border::causes;
-use border::pool::{News, Readiness};
+use border::pool::{PoolUpdates, Readiness};
 use bytes::Bytes;
 use iax2::element::{self, Elements};
 use iax2::frame::{self, Frame, Full, control, iax, kind};
@@ -413,7 +413,7 @@
     }
 
     /// A list reached a proxy.
-    pub fn delivered(&mut self, now: f64, proxy: usize, news: &News) {
+    pub fn delivered(&mut self, now: f64, proxy: usize, news: &PoolUpdates) {
         if news.whole {
             let named = |name: &String| news.servers.iter().any(|entry| entry.name == *name);
             let known: Vec<(usize, String)> =
--- a/proxy/src/border/callers.rs
+++ b/proxy/src/border/callers.rs
@@ -51,7 +51,7 @@
         }
         if let Some(come_back) = self.unrecordable {
             self.hands.tally.unrecordable += 1;
-            let hints = Hints { come_back: Some(come_back as u32), ..Hints::default() };
+            let hints = Hints { retry_after: Some(come_back as u32), ..Hints::default() };
             let answer = hints.add_to(Elements::new().with_cause(causes::REFUSED));
             return self.hands.callers.end(now, caller, &answer);
         }
@@ -63,7 +63,7 @@
         let hints = Hints::read(elements);
         // An earlier copy of it was lost: the caller has waited for at least the first gap.
         let waited = waited + if again { self.caller_resend } else { 0.0 };
-        let patience = hints.patience.map_or(self.patience[grade], f64::from);
+        let patience = hints.caller_timeout.map_or(self.patience[grade], f64::from);
         let calling = text(element::CALLING_NUMBER);
         let call = Call {
             grade,
@@ -73,13 +73,13 @@
             remaining: patience.min(self.patience[grade]) - waited - self.answer_lead,
             redial: hints.redial,
         };
-        self.hands.tally.taken += 1;
+        self.hands.tally.accepted += 1;
         if let Some((limits, tenant)) = self.hands.limits.as_mut().zip(call.tenant) {
-            self.module.shared(tenant, limits.within_share(now, tenant));
+            self.module.set_within_share(tenant, limits.within_share(now, tenant));
         }
         let scribe = self.hands.scribe.as_mut();
         let serial = scribe.map_or(0, |scribe| scribe.opened(now, calling, called, grade, call.tenant));
-        let handle = self.module.take(&call);
+        let handle = self.module.accept(&call);
         let conversation = Conversation {
             caller,
             serial,
@@ -123,13 +123,13 @@
         if conversation.stands {
             self.hands.tally.cleared += 1;
         } else {
-            self.hands.tally.left += 1;
+            self.hands.tally.caller_gone += 1;
         }
         // The conversation is over for the module too: its shot, if any, has been called off with it.
         let ending = if conversation.stands { Ending::Ok } else { Ending::Cancelled };
         let out = conversation.shot.is_some();
         if !conversation.stands {
-            self.module.left(handle);
+            self.module.caller_gone(handle);
         }
         if out {
             self.module.ended(handle, ending, true, &mut self.hands);
--- a/proxy/src/border/distribution.rs
+++ b/proxy/src/border/distribution.rs
@@ -6,12 +6,12 @@
 
 use super::BorderProxy;
 use crate::decisions::Decisions;
-use crate::distributed::{ChangeStatus, Distributed, DistributionStatus};
+use crate::distributed::{ChangeStatus, Distribution, DistributionStatus};
 
 impl<D: Decisions> BorderProxy<D> {
     /// Takes part in the distribution of decided state from now on. A control machine has to decide with
     /// others before.
-    pub fn distribute(&mut self, distributed: Distributed) {
+    pub fn enable_distribution(&mut self, distributed: Distribution) {
         self.hands.distributed = Some(distributed);
         self.drain();
     }
@@ -38,8 +38,8 @@
     }
 
     /// What is to be kept of the distributed state, where that has changed since this was last asked.
-    pub fn distribution_to_keep(&mut self) -> Option<Vec<u8>> {
-        self.hands.distributed.as_mut()?.saved()
+    pub fn distribution_state_to_save(&mut self) -> Option<Vec<u8>> {
+        self.hands.distributed.as_mut()?.state_to_save()
     }
 
     /// How decided state reaches this proxy by scope, or how it serves that; none where neither is so.
--- a/proxy/src/border/hands.rs
+++ b/proxy/src/border/hands.rs
@@ -12,14 +12,14 @@
 use slotmap::SecondaryMap;
 
 use crate::causes;
-use crate::decided::Decided;
-use crate::distributed::Distributed;
+use crate::decided::DecidedState;
+use crate::distributed::Distribution;
 use crate::earned::Earned;
 use crate::hints::Hints;
+use crate::journal_writer::JournalWriter;
 use crate::limits::FleetLimits;
 use crate::pool::PoolList;
-use crate::scribe::Scribe;
-use crate::status::Tally;
+use crate::status::Counters;
 use crate::timers::Timers;
 
 pub(super) struct Shot {
@@ -52,17 +52,17 @@
     pub(super) by_server: SecondaryMap<Leg, Handle>,
     pub(super) timers: Timers<Leg>,
     pub(super) notes: VecDeque<String>,
-    pub(super) tally: Tally,
+    pub(super) tally: Counters,
     pub(super) now: f64,
     pub(super) gossip: Option<Node>,
     /// Gossip may have changed what is suspected.
     pub(super) gossiped: bool,
     /// Servers that are believed silent.
     pub(super) believed: Vec<Server>,
-    pub(super) scribe: Option<Scribe>,
+    pub(super) scribe: Option<JournalWriter>,
     pub(super) limits: Option<FleetLimits>,
-    pub(super) decided: Option<Decided>,
-    pub(super) distributed: Option<Distributed>,
+    pub(super) decided: Option<DecidedState>,
+    pub(super) distributed: Option<Distribution>,
     pub(super) earned: Earned,
 }
 
@@ -84,7 +84,7 @@
     /// Tells the caller its final answer, and leaves nothing out for it.
     pub(super) fn close(&mut self, handle: Handle, code: u8, come_back: Option<f64>) {
         if let Some(conversation) = self.drop_conversation(handle) {
-            let hints = Hints { come_back: come_back.map(|ms| ms as u32), ..Hints::default() };
+            let hints = Hints { retry_after: come_back.map(|ms| ms as u32), ..Hints::default() };
             let answer = hints.add_to(Elements::new().with_cause(code));
             self.callers.end(self.now, conversation.caller, &answer);
             if let Some(shot) = conversation.shot {
@@ -95,7 +95,7 @@
 
     /// Keeps what was seen of a server as evidence, where there is gossip.
     pub(super) fn witness(&mut self, server: Server, keep: impl FnOnce(&mut Evidence, Life)) {
-        if let Some((node, life)) = self.gossip.as_mut().zip(self.pool.life(server)) {
+        if let Some((node, life)) = self.gossip.as_mut().zip(self.pool.generation(server)) {
             keep(&mut node.evidence, life);
         }
     }
@@ -130,20 +130,20 @@
         let Some(conversation) = self.conversation(handle) else { return };
         let carried = conversation.carried.clone();
         let Some(leg) = self.servers.call(now, peer, &carried) else {
-            return self.timers.unheard(handle, Ending::Moot);
+            return self.timers.defer_ending(handle, Ending::Moot);
         };
-        self.tally.shots += 1;
+        self.tally.attempts += 1;
         if let Some(limits) = &mut self.limits {
-            limits.take(now, server);
+            limits.record_attempt(now, server);
         }
         let serial = self.conversation(handle).expect("just there").serial;
         if let Some(scribe) = &mut self.scribe {
-            scribe.shot(now, serial, self.pool.name(server));
+            scribe.attempt_sent(now, serial, self.pool.name(server));
         }
         self.witness(server, |evidence, life| evidence.shot(now, life));
         self.by_server.insert(leg, handle);
         self.conversation(handle).expect("just there").shot = Some(Shot { leg, server });
-        self.timers.time_out(now + time_out, leg);
+        self.timers.start_timeout(now + time_out, leg);
     }
 
     fn refuse(&mut self, handle: Handle, come_back: Option<f64>) {
@@ -162,12 +162,12 @@
 
     fn cancel(&mut self, handle: Handle, _shot: u16) {
         if self.hang_up_shot(handle, cause::NORMAL_CLEARING) {
-            self.timers.unheard(handle, Ending::Cancelled);
+            self.timers.defer_ending(handle, Ending::Cancelled);
         }
     }
 
     fn wake(&mut self, at: f64) {
-        self.timers.wake(at);
+        self.timers.set_wake(at);
     }
 
     fn probe(&mut self, server: Server) {
--- a/proxy/src/border/mod.rs
+++ b/proxy/src/border/mod.rs
@@ -1,7 +1,7 @@
 //! The border proxy: a conversation is a caller's NEW; the module decides; its shots are NEWs to servers.
 //!
-//! [`BorderProxy::receive`], [`BorderProxy::listed`], [`BorderProxy::refused`] and [`BorderProxy::turn`] tell
-//! what comes; [`BorderProxy::settle`] must follow when all that came at one time is told. Then drain
+//! [`BorderProxy::receive`], [`BorderProxy::update_server_list`], [`BorderProxy::connection_refused`] and [`BorderProxy::turn`] tell
+//! what comes; [`BorderProxy::run_pending`] must follow when all that came at one time is told. Then drain
 //! [`BorderProxy::outbound`] and [`BorderProxy::note`], and come back when [`BorderProxy::due`] says.
 
 mod callers;
@@ -22,14 +22,14 @@
 use slotmap::SecondaryMap;
 
 use crate::causes;
-use crate::decided::Decided;
+use crate::decided::DecidedState;
 use crate::decisions::Decisions;
-use crate::distributed::Distributed;
+use crate::distributed::Distribution;
 use crate::earned::Earned;
-use crate::pool::{News, PoolList, Unfit};
+use crate::journal_writer::JournalWriter;
+use crate::pool::{PoolList, PoolListError, PoolUpdates};
 use crate::routes::Routes;
-use crate::scribe::Scribe;
-use crate::status::{Present, ServerStatus, Status, Tally};
+use crate::status::{ConversationCounts, Counters, ServerStatus, Status};
 use crate::timers::Timers;
 use hands::Hands;
 
@@ -67,7 +67,7 @@
     pub terms: Terms,
     pub routes: Routes,
     /// How long a caller waits for a try that does not say so itself, by service grade.
-    pub patience: Vec<f64>,
+    pub caller_timeout: Vec<f64>,
     /// An answer sets out so long before the caller gives up, to reach it in time.
     pub answer_lead: f64,
     pub callers: Limits,
@@ -92,16 +92,16 @@
 impl BorderProxy {
     pub fn new(terms: ProxyTerms, seed: u64, now: f64) -> Self {
         let module = Proxy::new(terms.terms.clone(), seed, now);
-        Self::deciding(module, terms, seed, now)
+        Self::with_decisions(module, terms, seed, now)
     }
 }
 
 impl<D: Decisions> BorderProxy<D> {
     /// A proxy for which something else decides.
-    pub fn deciding(module: D, terms: ProxyTerms, seed: u64, now: f64) -> Self {
+    pub fn with_decisions(module: D, terms: ProxyTerms, seed: u64, now: f64) -> Self {
         Self {
             routes: terms.routes,
-            patience: terms.patience,
+            patience: terms.caller_timeout,
             answer_lead: terms.answer_lead,
             caller_resend: terms.callers.resend,
             hands: Hands {
@@ -113,7 +113,7 @@
                 by_server: SecondaryMap::new(),
                 timers: Timers::default(),
                 notes: VecDeque::new(),
-                tally: Tally::default(),
+                tally: Counters::default(),
                 now,
                 gossip: None,
                 gossiped: false,
@@ -132,25 +132,25 @@
     }
 
     /// Has conversations recorded from now on.
-    pub fn record(&mut self, scribe: Scribe) {
+    pub fn start_recording(&mut self, scribe: JournalWriter) {
         self.hands.scribe = Some(scribe);
     }
 
     /// The next entry for the journal: to be kept before what is [`BorderProxy::outbound`] to callers leaves.
-    pub fn entry(&mut self) -> Option<Entry> {
-        self.hands.scribe.as_mut()?.entry()
+    pub fn next_journal_entry(&mut self) -> Option<Entry> {
+        self.hands.scribe.as_mut()?.next_entry()
     }
 
     /// Whether what is taken can be recorded as promised; if not, callers are told to come back in so many
     /// milliseconds.
-    pub fn unrecordable(&mut self, come_back: Option<f64>) {
+    pub fn set_recording_unavailable(&mut self, come_back: Option<f64>) {
         self.unrecordable = come_back;
     }
 
     /// A datagram of one of the sockets. `arrived` is when it is thought to have come, before `now` where
     /// this proxy was late to look.
     pub fn receive(&mut self, now: f64, arrived: f64, side: Side, peer: SocketAddr, datagram: &Bytes) {
-        self.at(now);
+        self.advance_clock(now);
         match side {
             Side::Callers => {
                 self.hands.callers.receive(now, peer, datagram);
@@ -178,8 +178,8 @@
     }
 
     /// The network told that nobody listens at the peer's address.
-    pub fn refused(&mut self, now: f64, side: Side, peer: SocketAddr) {
-        self.at(now);
+    pub fn connection_refused(&mut self, now: f64, side: Side, peer: SocketAddr) {
+        self.advance_clock(now);
         match side {
             Side::Callers => self.hands.callers.refused(now, peer),
             Side::Servers => self.hands.servers.refused(now, peer),
@@ -190,12 +190,17 @@
     }
 
     /// News of the pool list; `unix` is the wall clock in milliseconds. Told wrong, the old list stands.
-    pub fn listed(&mut self, now: f64, unix: f64, news: &News) -> Result<(), Unfit> {
-        self.at(now);
+    pub fn update_server_list(
+        &mut self,
+        now: f64,
+        unix: f64,
+        news: &PoolUpdates,
+    ) -> Result<(), PoolListError> {
+        self.advance_clock(now);
         let lines = self.hands.pool.apply(news, now, unix)?;
-        self.module.listed(&lines, news.whole, &mut self.hands);
+        self.module.update_server_list(&lines, news.whole, &mut self.hands);
         if let Some(limits) = &mut self.hands.limits {
-            limits.listed(now, &self.hands.pool);
+            limits.update_server_list(now, &self.hands.pool);
         }
         Ok(())
     }
@@ -207,7 +212,7 @@
 
     /// Does what has fallen due.
     pub fn turn(&mut self, now: f64) {
-        self.at(now);
+        self.advance_clock(now);
         self.hands.callers.turn(now);
         self.hands.servers.turn(now);
         if let Some(node) = self.hands.gossip.as_mut().filter(|node| node.due() <= now) {
@@ -219,15 +224,15 @@
         }
         if let Some((decided, node)) = self.hands.decided.as_mut().zip(self.hands.gossip.as_mut()) {
             decided.exchange(now, node);
-            if decided.reports(now) {
-                decided.report(now, node, self.hands.earned.report());
+            if decided.report_due(now) {
+                decided.send_report(now, node, self.hands.earned.report());
             }
         }
         self.turn_distribution();
         self.drain();
         self.hear_callers(0.0);
         self.hear_servers();
-        while let Some(leg) = self.hands.timers.timed_out(now) {
+        while let Some(leg) = self.hands.timers.next_timed_out(now) {
             let Some(&handle) = self.hands.by_server.get(leg) else { continue };
             let stands = self.hands.conversation(handle).is_none_or(|c| c.stands);
             if !stands && self.hands.hang_up_shot(handle, cause::RECOVERY_ON_TIMER) {
@@ -237,15 +242,15 @@
     }
 
     /// To be called when all that has come at one time is told.
-    pub fn settle(&mut self) {
+    pub fn run_pending(&mut self) {
         if std::mem::take(&mut self.hands.gossiped) {
             self.suspect();
         }
         loop {
             self.allot();
-            self.module.settle(&mut self.hands);
+            self.module.run_pending(&mut self.hands);
             // Each of these uses up a shot of its conversation, so there is an end to it.
-            let unheard = self.hands.timers.take_unheard();
+            let unheard = self.hands.timers.take_deferred_endings();
             if unheard.is_empty() {
                 break;
             }
@@ -260,8 +265,8 @@
         let hands = &self.hands;
         let node = hands.gossip.as_ref().map(Node::due);
         let limits = hands.limits.as_ref().map(|limits| limits.due(hands.now));
-        let decided = hands.decided.as_ref().map(Decided::due);
-        let distributed = hands.distributed.as_ref().map(Distributed::due);
+        let decided = hands.decided.as_ref().map(DecidedState::due);
+        let distributed = hands.distributed.as_ref().map(Distribution::due);
         let legs = [hands.callers.due(), hands.servers.due(), node, limits, decided, distributed];
         legs.into_iter().flatten().fold(hands.timers.due(), f64::min)
     }
@@ -275,7 +280,7 @@
         let legs = servers.or_else(|| hands.callers.datagram().map(of(Side::Callers)));
         let (node, distributed) = (&mut hands.gossip, &mut hands.distributed);
         let gossiped = legs.or_else(|| node.as_mut().and_then(Node::outgoing).map(peers));
-        gossiped.or_else(|| distributed.as_mut().and_then(Distributed::outgoing).map(peers))
+        gossiped.or_else(|| distributed.as_mut().and_then(Distribution::outgoing).map(peers))
     }
 
     /// The next line for the log.
@@ -284,13 +289,13 @@
     }
 
     /// Takes nothing new from now on; what it has goes on.
-    pub fn stop_taking(&mut self) {
+    pub fn stop_accepting(&mut self) {
         self.stopping = true;
     }
 
     /// Ends all that is left: those that stand are cut, the others fail.
     pub fn close_all(&mut self, now: f64) {
-        self.at(now);
+        self.advance_clock(now);
         for index in 0..self.hands.conversations.len() as u32 {
             let Some(conversation) = self.hands.conversation(Handle(index)) else { continue };
             let stands = conversation.stands;
@@ -307,12 +312,12 @@
     }
 
     pub fn status(&self) -> Status {
-        let mut present = Present::default();
+        let mut present = ConversationCounts::default();
         for conversation in self.hands.conversations.iter().flatten() {
             match (conversation.stands, &conversation.shot) {
-                (true, _) => present.standing += 1,
-                (false, Some(_)) => present.shot += 1,
-                (false, None) => present.held += 1,
+                (true, _) => present.established += 1,
+                (false, Some(_)) => present.attempting += 1,
+                (false, None) => present.waiting += 1,
             }
         }
         let pool = &self.hands.pool;
@@ -328,29 +333,29 @@
                 }
                 .to_owned(),
                 cold: view.cold,
-                out: view.out,
-                allowance: view.allowance,
-                resting: view.resting,
+                in_flight: view.out,
+                concurrency_limit: view.allowance,
+                cooling_down: view.resting,
                 samples: view.samples,
                 mean_ratio: view.mean_ratio,
                 delay_ms: view.delay,
-                told_rate: view.rate,
+                reported_rate: view.rate,
             })
         };
         Status {
             list_version: pool.version(),
             stopping: self.stopping,
             legs: self.hands.callers.legs() + self.hands.servers.legs(),
-            present,
-            tally: self.hands.tally,
+            conversations: present,
+            counters: self.hands.tally,
             servers: pool.servers().filter_map(row).collect(),
             watch: self.module.differences(),
         }
     }
 
-    fn at(&mut self, now: f64) {
+    fn advance_clock(&mut self, now: f64) {
         self.hands.now = now;
-        self.hands.timers.woken(now);
-        self.module.at(now);
+        self.hands.timers.clear_passed_wake(now);
+        self.module.advance_clock(now);
     }
 }
--- a/proxy/src/border/servers.rs
+++ b/proxy/src/border/servers.rs
@@ -18,9 +18,9 @@
                     let now = self.hands.now;
                     self.hands.tally.pongs += 1;
                     if let Some(decided) = &mut self.hands.decided {
-                        decided.answered(now, peer);
+                        decided.probe_answered(now, peer);
                     }
-                    if let Some(server) = self.hands.pool.at(peer) {
+                    if let Some(server) = self.hands.pool.server_at(peer) {
                         self.hands.witness(server, |evidence, life| evidence.answered(now, life));
                         self.reported(server, Hints::read(&elements).report());
                     }
@@ -69,14 +69,14 @@
                 if !std::mem::replace(&mut conversation.accepted, true) {
                     self.hands.callers.accept(now, caller, &Elements::new());
                 }
-                self.hands.tally.stood += 1;
+                self.hands.tally.established += 1;
                 self.hands.earned.stood(grade, took);
                 if let Some(scribe) = &mut self.hands.scribe {
                     scribe.answered(now, serial);
                 }
                 self.hands.callers.answer(now, caller, &Elements::new());
                 self.reported(server, Hints::read(&elements).report());
-                self.module.stood(handle);
+                self.module.established(handle);
             }
             Happening::Media(media) if conversation.stands => self.hands.callers.media(now, caller, &media),
             Happening::Ended(end) => self.shot_ended(handle, server, &end),
@@ -93,9 +93,9 @@
         let stands = conversation.stands;
         self.hands.by_server.remove(shot.leg);
         if !stands {
-            return self.ended(handle, causes::of_shot(end));
+            return self.ended(handle, causes::attempt_ending(end));
         }
-        let ending = causes::of_standing(end);
+        let ending = causes::established_ending(end);
         let cut = ending != Ending::Ok;
         if cut {
             self.hands.earned.cut();
@@ -109,7 +109,7 @@
     pub(super) fn ended(&mut self, handle: Handle, ending: Ending) {
         let tally = &mut self.hands.tally;
         match ending {
-            Ending::Nacked | Ending::NoLine => tally.nacked += 1,
+            Ending::Nacked | Ending::NoLine => tally.rejected += 1,
             Ending::TimedOut => tally.timed_out += 1,
             Ending::Reset => tally.reset += 1,
             _ => {}
@@ -119,7 +119,7 @@
 
     pub(super) fn reported(&mut self, server: Server, report: Report) {
         if let Some((limits, rate)) = self.hands.limits.as_mut().zip(report.rate) {
-            limits.told(server, rate);
+            limits.set_reported_rate(server, rate);
         }
         self.module.reported(server, report);
     }
--- a/proxy/src/causes.rs
+++ b/proxy/src/causes.rs
@@ -17,7 +17,7 @@
 /// | INVAL | 6.9.2 | reset |
 /// | nobody listens there | - | no connection |
 /// | no acknowledgement of the NEW, however often sent | 7.2.1 | timed out: it may have run |
-pub fn of_shot(end: &End) -> Ending {
+pub fn attempt_ending(end: &End) -> Ending {
     match end {
         End::Peer { rejected, elements } => match elements.cause() {
             Some(cause::USER_BUSY) => Ending::Busy,
@@ -33,7 +33,7 @@
 }
 
 /// What a server's word means for a conversation that stands: cleared in the usual way, or cut.
-pub fn of_standing(end: &End) -> Ending {
+pub fn established_ending(end: &End) -> Ending {
     match end {
         End::Peer { elements, .. } => match elements.cause() {
             None | Some(cause::NORMAL_CLEARING | cause::USER_BUSY | cause::NO_ANSWER | 31) => Ending::Ok,
--- a/proxy/src/decided/wishes.rs
+++ b/proxy/src/decided/commands.rs
@@ -5,13 +5,13 @@
 use outs::{Command, Kind, OUTS, Verdict, drains, grants, releases};
 use serde::{Deserialize, Serialize};
 
-use super::{AGAIN_BEATS, Decided};
+use super::{AGAIN_BEATS, DecidedState};
 use crate::pool::PoolList;
 
 /// What an operator wants decided.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Wish {
+pub enum OperatorCommand {
     Drain {
         server: String,
         why: String,
@@ -22,7 +22,8 @@
     /// `life` where it is not one that a member of the council has heard of.
     Add {
         proxy: String,
-        life: Option<u64>,
+        #[serde(rename = "life")]
+        generation: Option<u64>,
     },
     Remove {
         proxy: String,
@@ -48,7 +49,7 @@
 /// What became of a wish.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Answer {
+pub enum CommandOutcome {
     /// Decided, and by which decision.
     Done {
         decision: u64,
@@ -70,7 +71,7 @@
     .to_owned()
 }
 
-impl Decided {
+impl DecidedState {
     /// The number of the release that is under way, or was last.
     fn release(&self) -> Result<u64, String> {
         let release = self.agreement.machine().releases.current();
@@ -78,7 +79,13 @@
     }
 
     /// What would be asked for, and why it would not be.
-    fn command(&self, wish: &Wish, node: &Node, pool: &PoolList, unix: f64) -> Result<Asked, String> {
+    fn command(
+        &self,
+        wish: &OperatorCommand,
+        node: &Node,
+        pool: &PoolList,
+        unix: f64,
+    ) -> Result<Asked, String> {
         let id = |name: &str| {
             node.fleet()
                 .find(|&id| node.name(id) == Some(name))
@@ -86,34 +93,37 @@
         };
         let standing = self.agreement.standing(0.0);
         Ok(match wish {
-            Wish::Undrain { server } => {
+            OperatorCommand::Undrain { server } => {
                 Asked::Outs(Command::Drains(drains::Command::Undrain { server: server.clone() }))
             }
-            Wish::Stage { kind, sum, why } => Asked::Outs(Command::Releases(releases::Command::Stage {
-                kind: *kind,
-                sum: unhex(sum).ok_or_else(|| format!("{sum}: 64 hexadecimal digits wanted"))?,
-                by: self.name.clone(),
-                why: why.clone(),
-                unix: unix as u64,
-            })),
-            Wish::Start => Asked::Outs(Command::Releases(releases::Command::Start {
+            OperatorCommand::Stage { kind, sum, why } => {
+                Asked::Outs(Command::Releases(releases::Command::Stage {
+                    kind: *kind,
+                    sum: unhex(sum).ok_or_else(|| format!("{sum}: 64 hexadecimal digits wanted"))?,
+                    by: self.name.clone(),
+                    why: why.clone(),
+                    unix: unix as u64,
+                }))
+            }
+            OperatorCommand::Start => Asked::Outs(Command::Releases(releases::Command::Start {
                 release: self.release()?,
                 proxies: node.fleet().count() as u16,
             })),
-            Wish::Halt { why } => {
+            OperatorCommand::Halt { why } => {
                 let (release, why) = (self.release()?, why.clone());
                 Asked::Outs(Command::Releases(releases::Command::Halt { release, why }))
             }
-            Wish::Back => {
+            OperatorCommand::Back => {
                 Asked::Outs(Command::Releases(releases::Command::Back { release: self.release()? }))
             }
-            Wish::WriteOff { proxy, why } => {
+            OperatorCommand::WriteOff { proxy, why } => {
                 let (proxy, why) = (id(proxy)?, why.clone());
                 Asked::Outs(Command::Grants(grants::Command::WriteOff { proxy, why }))
             }
-            Wish::Drain { server, why } => {
-                let listed = pool.named(server).ok_or_else(|| format!("{server}: not on the pool list"))?;
-                let (of, listed_out) = pool.out_of(pool.pool(listed));
+            OperatorCommand::Drain { server, why } => {
+                let listed =
+                    pool.server_by_name(server).ok_or_else(|| format!("{server}: not on the pool list"))?;
+                let (of, listed_out) = pool.count_listed_and_draining(pool.pool(listed));
                 Asked::Outs(Command::Drains(drains::Command::Drain {
                     server: server.clone(),
                     pool: pool.pool(listed),
@@ -124,8 +134,8 @@
                     unix: unix as u64,
                 }))
             }
-            Wish::Remove { proxy } => Asked::Council(standing.council.without(id(proxy)?)),
-            Wish::Add { proxy, life } => {
+            OperatorCommand::Remove { proxy } => Asked::Council(standing.council.without(id(proxy)?)),
+            OperatorCommand::Add { proxy, generation: life } => {
                 let id = id(proxy)?;
                 let life = life.or(standing.lives.get(&id).copied());
                 let unheard =
@@ -136,26 +146,32 @@
     }
 
     /// What a wish would come to by what this proxy knows now, without asking for it.
-    pub fn try_wish(&self, wish: &Wish, node: &Node, pool: &PoolList, unix: f64) -> Result<Answer, String> {
+    pub fn evaluate_command(
+        &self,
+        wish: &OperatorCommand,
+        node: &Node,
+        pool: &PoolList,
+        unix: f64,
+    ) -> Result<CommandOutcome, String> {
         Ok(match self.command(wish, node, pool, unix)? {
             Asked::Outs(command) => {
                 let told = self.agreement.machine().clone().decide(0, OUTS, &command.write());
                 let told = told.map_err(|unknown| unknown.to_string())?;
-                Verdict::read(&told).map_or(Answer::Already, |told| verdict(0, &told))
+                Verdict::read(&told).map_or(CommandOutcome::Already, |told| verdict(0, &told))
             }
             Asked::Council(council) if council.follows(&self.agreement.standing(0.0).council) => {
-                Answer::Done { decision: 0 }
+                CommandOutcome::Done { decision: 0 }
             }
-            Asked::Council(_) => Answer::Refused { why: refusal(Refusal::NotOneSeat) },
+            Asked::Council(_) => CommandOutcome::Refused { why: refusal(Refusal::NotOneSeat) },
         })
     }
 
     /// Asks for a decision; gives the number that its outcome comes under.
-    pub fn wish(
+    pub fn submit_command(
         &mut self,
         now: f64,
         unix: f64,
-        wish: &Wish,
+        wish: &OperatorCommand,
         node: &Node,
         pool: &PoolList,
     ) -> Result<u64, String> {
@@ -167,11 +183,11 @@
     }
 
     /// No longer wants to know what became of a wish.
-    pub fn forget(&mut self, request: u64) {
+    pub fn forget_command(&mut self, request: u64) {
         self.agreement.forget(request);
     }
 
-    pub fn outcome(&mut self) -> Option<(u64, Answer)> {
+    pub fn next_outcome(&mut self) -> Option<(u64, CommandOutcome)> {
         let (request, outcome) = loop {
             let (request, outcome) = self.agreement.outcome()?;
             match self.asked.remove(&request) {
@@ -181,12 +197,14 @@
             }
         };
         let answer = match outcome {
-            Outcome::Refused(why) => Answer::Refused { why: refusal(why) },
-            Outcome::Done { by } => Answer::Done { decision: by },
-            Outcome::Decided { index, answer } if answer.is_empty() => Answer::Done { decision: index },
+            Outcome::Refused(why) => CommandOutcome::Refused { why: refusal(why) },
+            Outcome::Done { by } => CommandOutcome::Done { decision: by },
+            Outcome::Decided { index, answer } if answer.is_empty() => {
+                CommandOutcome::Done { decision: index }
+            }
             Outcome::Decided { index, answer } => match Verdict::read(&answer) {
                 Some(told) => verdict(index, &told),
-                None => Answer::Done { decision: index },
+                None => CommandOutcome::Done { decision: index },
             },
         };
         Some((request, answer))
@@ -202,14 +220,14 @@
     hex::decode(digits).ok()?.try_into().ok()
 }
 
-fn verdict(decision: u64, verdict: &Verdict) -> Answer {
+fn verdict(decision: u64, verdict: &Verdict) -> CommandOutcome {
     use {drains::Verdict as D, grants::Verdict as G, releases::Verdict as R};
     let why = match verdict {
         Verdict::Drains(D::Done) | Verdict::Grants(G::Done) | Verdict::Releases(R::Done) => {
-            return Answer::Done { decision };
+            return CommandOutcome::Done { decision };
         }
         Verdict::Drains(D::Already) | Verdict::Grants(G::Moot) | Verdict::Releases(R::Moot) => {
-            return Answer::Already;
+            return CommandOutcome::Already;
         }
         Verdict::Drains(D::Unfit) | Verdict::Grants(G::Unfit) | Verdict::Releases(R::Unfit) => {
             "a name or reason is empty or too long, or there are too many".to_owned()
@@ -223,5 +241,5 @@
         }
         Verdict::Releases(R::Another { release }) => format!("release {release} is under way"),
     };
-    Answer::Refused { why }
+    CommandOutcome::Refused { why }
 }
--- a/proxy/src/decided/mod.rs
+++ b/proxy/src/decided/mod.rs
@@ -1,9 +1,9 @@
 //! The tie between what is decided for all proxies, the gossip that carries it, and this proxy.
-//! [`Decided::exchange`] moves words both ways; [`Decided::wish`] asks for a decision, [`Decided::outcome`]
+//! [`DecidedState::exchange`] moves words both ways; [`DecidedState::submit_command`] asks for a decision, [`DecidedState::next_outcome`]
 //! tells what came of it.
 
+mod commands;
 mod status;
-mod wishes;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,38 +18,40 @@
 use outs::holder::{Holder, HolderTerms, Own, Replace};
 use outs::{Command, Drains, Kind, OUTS, Outs, Phase};
 
-pub use status::{AwayStatus, CouncilStatus, DrainStatus, OutsStatus, ReleaseStatus, SeatStatus};
-pub use wishes::{Answer, Wish};
+pub use commands::{CommandOutcome, OperatorCommand};
+pub use status::{
+    AvailabilityStatus, CouncilStatus, DrainStatus, ReleaseStatus, UnavailabilityStatus, VoterStatus,
+};
 
 /// What was decided and is still wanted is asked for again after so many beats.
 const AGAIN_BEATS: f64 = 10.0;
 
 /// What is agreed for who may be out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct OutTerms {
+pub struct AvailabilityTerms {
     /// The part of a pool's central servers that may be out at once; one at least.
     pub pool_part: f64,
     pub holder: HolderTerms,
     /// Spans in milliseconds, by which released proxies are compared with others; none where no release is
     /// judged.
-    pub span: Option<f64>,
+    pub comparison_period: Option<f64>,
 }
 
 /// What the shell knows of this process.
 #[derive(Clone, Debug)]
-pub struct Life {
+pub struct ProcessInfo {
     /// The release that it runs; 0 for none.
-    pub runs: u64,
+    pub running_release: u64,
     /// The release that it could not become, and why.
-    pub failed: Option<(u64, String)>,
+    pub failed_release: Option<(u64, String)>,
     /// Where it takes callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
 }
 
 /// What is decided for all, as this proxy knows it.
-pub struct Decided {
+pub struct DecidedState {
     agreement: Agreement<Outs, FleetKeys>,
-    terms: OutTerms,
+    terms: AvailabilityTerms,
     name: String,
     /// The servers that are drained, as the pool list was last told.
     drained: BTreeSet<String>,
@@ -68,12 +70,12 @@
     report_at: f64,
 }
 
-impl Decided {
+impl DecidedState {
     /// `file` is what the disk gave.
     pub fn new(
         node: &Node,
-        terms: (AgreeTerms, OutTerms),
-        life: Life,
+        terms: (AgreeTerms, AvailabilityTerms),
+        process: ProcessInfo,
         keys: FleetKeys,
         file: Result<Kept, Lost>,
         seed: u64,
@@ -82,7 +84,7 @@
         let name = node.name(node.id()).unwrap_or_default().to_owned();
         let beat = terms.0.beat;
         let agreement = Agreement::new(node.id(), terms.0, keys, Outs::default(), file, seed, now)?;
-        let Life { runs, failed, callers } = life;
+        let ProcessInfo { running_release: runs, failed_release: failed, caller_address: callers } = process;
         let (fleet, silent) = (node.fleet().collect(), BTreeSet::new());
         let own = Own { id: node.id(), fleet, runs, callers, leads: false, silent, failed, staged: None };
         Ok(Self {
@@ -99,7 +101,7 @@
             turn_at: now,
             beat,
             evidence: Evidence::default(),
-            report_at: now + terms.1.span.unwrap_or(f64::INFINITY),
+            report_at: now + terms.1.comparison_period.unwrap_or(f64::INFINITY),
         })
     }
 
@@ -128,7 +130,7 @@
             self.agreement.receive(now, from, &bytes);
         }
         while let Some((from, bytes)) = node.said_to(Part::Evidence) {
-            if let Some((report, span)) = Report::read(&bytes).zip(self.terms.span) {
+            if let Some((report, span)) = Report::read(&bytes).zip(self.terms.comparison_period) {
                 self.evidence.told((now / span) as u64, from, report);
             }
         }
@@ -159,7 +161,7 @@
         self.own.leads = self.agreement.role() == agree::Role::Leads;
         let outs = self.agreement.machine();
         let runs = |id: Id, release: u64| outs.releases.runs(id) == release;
-        let (span, evidence) = (self.terms.span, &mut self.evidence);
+        let (span, evidence) = (self.terms.comparison_period, &mut self.evidence);
         if let Some(release) = outs.releases.current().filter(|of| of.phase == Phase::Staged) {
             evidence.begins(release.number);
         }
@@ -197,13 +199,13 @@
     }
 
     /// Whether what became of conversations is to be told now.
-    pub fn reports(&self, now: f64) -> bool {
+    pub fn report_due(&self, now: f64) -> bool {
         now >= self.report_at
     }
 
     /// Tells the council what became of this proxy's conversations in the span that is over.
-    pub fn report(&mut self, now: f64, node: &mut Node, report: Report) {
-        let Some(span) = self.terms.span else { return };
+    pub fn send_report(&mut self, now: f64, node: &mut Node, report: Report) {
+        let Some(span) = self.terms.comparison_period else { return };
         self.report_at = now + span;
         self.evidence.told((now / span) as u64, self.own.id, report);
         let council = self.agreement.standing(now).council;
@@ -213,44 +215,44 @@
     }
 
     /// Callers' sockets of others that are to be asked for a sign of life now.
-    pub fn looks(&mut self) -> Vec<SocketAddr> {
+    pub fn addresses_to_probe(&mut self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.looks)
     }
 
     /// Somebody answered at that address.
-    pub fn answered(&mut self, now: f64, at: SocketAddr) {
+    pub fn probe_answered(&mut self, now: f64, at: SocketAddr) {
         self.holder.answered(now, self.agreement.machine(), at);
     }
 
     /// What this proxy is to become now, if anything.
-    pub fn replace(&mut self) -> Option<Replace> {
+    pub fn next_replacement(&mut self) -> Option<Replace> {
         self.replace.take()
     }
 
     /// What it was to become it could not.
-    pub fn stays(&mut self, release: u64, why: &str) {
+    pub fn replacement_failed(&mut self, release: u64, why: &str) {
         self.holder.stays();
         self.own.failed = Some((release, why.to_owned()));
     }
 
     /// The file of a release that is staged, until it is known whether it is fit here.
-    pub fn to_check(&self) -> Option<(Kind, agree::Hash)> {
+    pub fn release_to_check(&self) -> Option<(Kind, agree::Hash)> {
         let release = self.agreement.machine().releases.current().filter(|of| of.phase == Phase::Staged)?;
         let checked = self.own.staged.as_ref().is_some_and(|(sum, fit)| *sum == release.sum && fit.is_ok());
         (!checked).then_some((release.kind, release.sum))
     }
 
-    pub fn checked(&mut self, sum: agree::Hash, fit: Result<(), String>) {
+    pub fn release_checked(&mut self, sum: agree::Hash, fit: Result<(), String>) {
         self.own.staged = Some((sum, fit));
     }
 
     /// Whether this process was seen well with the release that it runs.
-    pub fn is_well(&self) -> bool {
+    pub fn is_healthy(&self) -> bool {
         self.agreement.machine().releases.runs(self.own.id) == self.own.runs
     }
 
     /// The servers that get nothing new, where they are others than when this was last asked.
-    pub fn news(&mut self) -> Option<&BTreeSet<String>> {
+    pub fn drained_update(&mut self) -> Option<&BTreeSet<String>> {
         let drained: BTreeSet<String> = self.drains().iter().map(|(server, _)| server.to_owned()).collect();
         let changed = drained != self.drained;
         self.drained = drained;
@@ -266,17 +268,17 @@
         self.agreement.age(now)
     }
 
-    pub fn standing(&self, now: f64) -> AgreeStanding {
+    pub fn status(&self, now: f64) -> AgreeStanding {
         self.agreement.standing(now)
     }
 
     /// Bytes for the disk, as [`Agreement::to_write`].
-    pub fn to_write(&mut self, now: f64) -> Option<Write> {
+    pub fn next_write(&mut self, now: f64) -> Option<Write> {
         self.agreement.to_write(now)
     }
 
     /// What the disk came to.
-    pub fn written(&mut self, now: f64, well: bool) {
+    pub fn write_finished(&mut self, now: f64, well: bool) {
         if well { self.agreement.written(now) } else { self.agreement.unwritten(now) }
     }
 }
--- a/proxy/src/decided/status.rs
+++ b/proxy/src/decided/status.rs
@@ -5,67 +5,76 @@
 use outs::{Kind, Outs, Phase, grants};
 use serde::{Deserialize, Serialize};
 
-use super::Decided;
+use super::DecidedState;
 
 /// The council and how this proxy stands with it, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CouncilStatus {
     pub role: agree::Role,
     /// The number of this proxy's disk, by which it is let in; 0 where it votes as a founder.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub generation: u64,
     pub term: u64,
     pub leader: Option<String>,
     /// Decisions known, those carried out, and those proved to whoever has no vote.
     pub decided: u64,
     pub applied: u64,
-    pub sealed: u64,
+    #[serde(rename = "sealed")]
+    pub certified: u64,
     /// What all decisions carried out come to: the same at the same number everywhere.
     pub hash: String,
     /// How old what this proxy knows can be, in milliseconds; none before it was ever told.
     pub age_ms: Option<f64>,
-    pub seats: Vec<SeatStatus>,
+    #[serde(rename = "seats")]
+    pub voters: Vec<VoterStatus>,
     /// The decision since which these vote, and whether it is proved to whoever has no vote.
     pub since: u64,
     pub proved: bool,
     /// Members whose disks have no vote, with their numbers, to be let in by.
-    pub voteless: Vec<SeatStatus>,
+    #[serde(rename = "voteless")]
+    pub non_voters: Vec<VoterStatus>,
     /// Why this proxy stopped carrying decisions out, if it did.
     pub stopped: Option<String>,
     pub counts: agree::Counts,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct SeatStatus {
+pub struct VoterStatus {
     pub name: String,
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub generation: u64,
     /// Up to where it has the log, where this proxy leads.
-    pub has: Option<u64>,
+    #[serde(rename = "has")]
+    pub log_index: Option<u64>,
 }
 
 impl CouncilStatus {
     pub fn of(standing: AgreeStanding, node: &Node) -> Self {
         let name = |id: Id| node.name(id).unwrap_or("?").to_owned();
-        let seat = |seat: &Seat| SeatStatus {
+        let seat = |seat: &Seat| VoterStatus {
             name: name(seat.id),
-            life: seat.life,
-            has: standing.progress.get(&seat.id).copied(),
+            generation: seat.life,
+            log_index: standing.progress.get(&seat.id).copied(),
         };
-        let voteless =
-            standing.lives.iter().map(|(&id, &life)| SeatStatus { name: name(id), life, has: None });
+        let voteless = standing.lives.iter().map(|(&id, &life)| VoterStatus {
+            name: name(id),
+            generation: life,
+            log_index: None,
+        });
         Self {
             role: standing.role,
-            life: standing.life,
+            generation: standing.life,
             term: standing.term,
             leader: standing.leader.map(name),
             decided: standing.decided,
             applied: standing.applied,
-            sealed: standing.sealed,
+            certified: standing.sealed,
             hash: hex::encode(&standing.hash[..8]),
             age_ms: Some(standing.age).filter(|age| age.is_finite()),
-            seats: standing.council.seats().iter().map(seat).collect(),
+            voters: standing.council.seats().iter().map(seat).collect(),
             since: standing.version,
             proved: standing.linked,
-            voteless: voteless.collect(),
+            non_voters: voteless.collect(),
             stopped: standing.stopped.clone(),
             counts: standing.counts,
         }
@@ -74,11 +83,12 @@
 
 /// Who is out, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct OutsStatus {
+pub struct AvailabilityStatus {
     pub drains: Vec<DrainStatus>,
     /// Proxies that are out, how many may be, and how many others have to see one well.
-    pub proxies: Vec<AwayStatus>,
-    pub most: u16,
+    pub proxies: Vec<UnavailabilityStatus>,
+    #[serde(rename = "most")]
+    pub max_unavailable: u16,
     pub witnesses: u16,
     pub release: Option<ReleaseStatus>,
     pub age_ms: Option<f64>,
@@ -94,15 +104,17 @@
     pub since: u64,
     pub decision: u64,
     /// Conversations that stand or are out there through this proxy.
-    pub here: usize,
+    #[serde(rename = "here")]
+    pub conversations_here: usize,
 }
 
 /// A proxy that takes up a place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AwayStatus {
+pub struct UnavailabilityStatus {
     pub proxy: String,
     /// `granted`, `out`, `back` or `missed`.
-    pub how: String,
+    #[serde(rename = "how")]
+    pub state: String,
     /// By which decision, and what is waited for.
     pub since: Option<u64>,
     pub waits_for: String,
@@ -118,12 +130,13 @@
     pub why: String,
     pub phase: Phase,
     pub ready: usize,
-    pub unfit: Vec<(String, String)>,
+    #[serde(rename = "unfit")]
+    pub rejected: Vec<(String, String)>,
     /// By wave: all of it, and those that run it.
     pub waves: Vec<(usize, usize)>,
 }
 
-impl AwayStatus {
+impl UnavailabilityStatus {
     fn of(grants: &outs::Grants, id: Id, name: &impl Fn(Id) -> String) -> Self {
         use grants::Away;
         let (how, since, waits_for) = match grants.away(id) {
@@ -140,7 +153,7 @@
                 ("missed", None, format!("word of it; missed by {}", by.join(" ")))
             }
         };
-        Self { proxy: name(id), how: how.to_owned(), since, waits_for }
+        Self { proxy: name(id), state: how.to_owned(), since, waits_for }
     }
 }
 
@@ -156,14 +169,14 @@
             why: of.why.clone(),
             phase: of.phase.clone(),
             ready: of.ready.len(),
-            unfit: of.unfit.iter().map(|(&id, why)| (name(id), why.clone())).collect(),
+            rejected: of.unfit.iter().map(|(&id, why)| (name(id), why.clone())).collect(),
             waves: of.waves.iter().map(|wave| (wave.len(), runs(wave))).collect(),
         })
     }
 }
 
-impl OutsStatus {
-    pub fn of(decided: &Decided, node: &Node, now: f64, here: impl Fn(&str) -> usize) -> Self {
+impl AvailabilityStatus {
+    pub fn of(decided: &DecidedState, node: &Node, now: f64, here: impl Fn(&str) -> usize) -> Self {
         let name = |id: Id| node.name(id).unwrap_or("?").to_owned();
         let Outs { grants, releases, .. } = decided.agreement.machine();
         let row = |(server, drain): (&str, &outs::Drain)| DrainStatus {
@@ -173,13 +186,13 @@
             why: drain.why.clone(),
             since: drain.unix,
             decision: drain.decided,
-            here: here(server),
+            conversations_here: here(server),
         };
         let age_ms = Some(decided.age(now)).filter(|age| age.is_finite());
         Self {
             drains: decided.drains().iter().map(row).collect(),
-            proxies: grants.out().map(|id| AwayStatus::of(grants, id, &name)).collect(),
-            most: grants.most(),
+            proxies: grants.out().map(|id| UnavailabilityStatus::of(grants, id, &name)).collect(),
+            max_unavailable: grants.most(),
             witnesses: grants.witnesses(),
             release: ReleaseStatus::of(releases, &name),
             age_ms,
--- a/proxy/src/decisions.rs
+++ b/proxy/src/decisions.rs
@@ -8,22 +8,22 @@
 
 /// The calls of [`frostthread::Proxy`] and its handles; see there for each.
 pub trait Decisions {
-    fn at(&mut self, now: f64);
-    fn listed(&mut self, lines: &[Listed], whole: bool, host: &mut impl Host);
+    fn advance_clock(&mut self, now: f64);
+    fn update_server_list(&mut self, lines: &[Listed], whole: bool, host: &mut impl Host);
     fn reported(&mut self, server: Server, report: Report);
-    fn suspected(&mut self, server: Server, suspicion: Option<Suspicion>);
+    fn set_suspicion(&mut self, server: Server, suspicion: Option<Suspicion>);
     /// A limit of the whole fleet; gives how many conversations the former word alone kept away.
-    fn allotted(&mut self, _server: Server, _shots: Option<u32>) -> u32 {
+    fn set_fleet_limit(&mut self, _server: Server, _shots: Option<u32>) -> u32 {
         0
     }
     /// Whether a tenant's next conversation is within its share, where the fleet knows.
-    fn shared(&mut self, _tenant: usize, _within: Option<bool>) {}
-    fn take(&mut self, call: &Call) -> Handle;
+    fn set_within_share(&mut self, _tenant: usize, _within: Option<bool>) {}
+    fn accept(&mut self, call: &Call) -> Handle;
     fn place(&mut self, handle: Handle);
-    fn stood(&mut self, handle: Handle);
+    fn established(&mut self, handle: Handle);
     fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host);
-    fn left(&mut self, handle: Handle);
-    fn settle(&mut self, host: &mut impl Host);
+    fn caller_gone(&mut self, handle: Handle);
+    fn run_pending(&mut self, host: &mut impl Host);
     fn view(&self, server: Server) -> Option<View>;
     /// Where other terms would have decided otherwise, if any are watched.
     fn differences(&self) -> Option<Differences> {
@@ -32,40 +32,40 @@
 }
 
 impl Decisions for Proxy {
-    fn at(&mut self, now: f64) {
+    fn advance_clock(&mut self, now: f64) {
         self.at(now);
     }
-    fn listed(&mut self, lines: &[Listed], whole: bool, host: &mut impl Host) {
+    fn update_server_list(&mut self, lines: &[Listed], whole: bool, host: &mut impl Host) {
         self.listed(lines, whole, host);
     }
     fn reported(&mut self, server: Server, report: Report) {
         self.reported(server, report);
     }
-    fn suspected(&mut self, server: Server, suspicion: Option<Suspicion>) {
+    fn set_suspicion(&mut self, server: Server, suspicion: Option<Suspicion>) {
         self.suspected(server, suspicion);
     }
-    fn allotted(&mut self, server: Server, shots: Option<u32>) -> u32 {
+    fn set_fleet_limit(&mut self, server: Server, shots: Option<u32>) -> u32 {
         self.allotted(server, shots)
     }
-    fn shared(&mut self, tenant: usize, within: Option<bool>) {
+    fn set_within_share(&mut self, tenant: usize, within: Option<bool>) {
         self.shared(tenant, within);
     }
-    fn take(&mut self, call: &Call) -> Handle {
+    fn accept(&mut self, call: &Call) -> Handle {
         self.take(call)
     }
     fn place(&mut self, handle: Handle) {
         handle.place(self);
     }
-    fn stood(&mut self, handle: Handle) {
+    fn established(&mut self, handle: Handle) {
         handle.stood(self);
     }
     fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
         handle.ended(self, ending, finished, host);
     }
-    fn left(&mut self, handle: Handle) {
+    fn caller_gone(&mut self, handle: Handle) {
         handle.left(self);
     }
-    fn settle(&mut self, host: &mut impl Host) {
+    fn run_pending(&mut self, host: &mut impl Host) {
         self.settle(host);
     }
     fn view(&self, server: Server) -> Option<View> {
--- a/proxy/src/distributed/mod.rs
+++ b/proxy/src/distributed/mod.rs
@@ -11,7 +11,7 @@
 use gossip::Outgoing;
 use gossip::keys::{Roster, Secrets};
 
-use crate::decided::Decided;
+use crate::decided::DecidedState;
 
 pub use service::{Service, ServiceTerms};
 pub use status::{
@@ -21,14 +21,14 @@
 pub use subscription::{ControlAddress, STATE_WRITE_INTERVAL, Subscription, SubscriptionTerms};
 
 /// A proxy's part in the distribution.
-pub enum Distributed {
+pub enum Distribution {
     /// It holds the scopes that it uses.
     Subscribes(Box<Subscription>),
     /// It serves others.
     Serves(Box<Service>),
 }
 
-impl Distributed {
+impl Distribution {
     /// A datagram came on the peers' socket. False where it is none of the distribution's.
     pub fn receive(&mut self, now: f64, peer: std::net::SocketAddr, datagram: &[u8]) -> bool {
         match self {
@@ -41,14 +41,14 @@
     }
 
     /// Does what has fallen due; `decided` is what a control machine serves.
-    pub fn turn(&mut self, now: f64, decided: Option<&mut Decided>) {
+    pub fn turn(&mut self, now: f64, decided: Option<&mut DecidedState>) {
         match self {
             Self::Subscribes(subscription) => subscription.turn(now),
             Self::Serves(service) => decided.into_iter().for_each(|decided| service.turn(now, decided)),
         }
     }
 
-    /// When [`Distributed::turn`] is wanted.
+    /// When [`Distribution::turn`] is wanted.
     pub fn due(&self) -> f64 {
         match self {
             Self::Subscribes(subscription) => subscription.due(),
@@ -66,7 +66,7 @@
 
     /// The servers that get nothing new by what a subscriber holds, where that has changed since this was
     /// last asked.
-    pub fn news(&mut self) -> Option<BTreeSet<String>> {
+    pub fn drained_update(&mut self) -> Option<BTreeSet<String>> {
         match self {
             Self::Subscribes(subscription) => subscription.take_changed().then(|| subscription.drained()),
             // It obeys what it decides with others.
@@ -75,9 +75,9 @@
     }
 
     /// What a subscriber is to keep on its disk, where that has changed since this was last asked.
-    pub fn saved(&mut self) -> Option<Vec<u8>> {
+    pub fn state_to_save(&mut self) -> Option<Vec<u8>> {
         match self {
-            Self::Subscribes(subscription) => subscription.saved(),
+            Self::Subscribes(subscription) => subscription.state_to_save(),
             Self::Serves(_) => None,
         }
     }
@@ -99,7 +99,7 @@
     }
 
     /// How it stands; `decided` is what a control machine serves, and without it there is nothing to tell.
-    pub fn status(&self, now: f64, decided: Option<&Decided>) -> Option<DistributionStatus> {
+    pub fn status(&self, now: f64, decided: Option<&DecidedState>) -> Option<DistributionStatus> {
         match self {
             Self::Subscribes(subscription) => Some(subscription.status(now)),
             Self::Serves(service) => decided.map(|decided| service.status(decided)),
--- a/proxy/src/distributed/service.rs
+++ b/proxy/src/distributed/service.rs
@@ -15,7 +15,7 @@
 use super::status::{
     ChangeStatus, DistributionRole, DistributionStatus, LackingStatus, ScopeStatus, SubscribersStatus,
 };
-use crate::decided::Decided;
+use crate::decided::DecidedState;
 
 /// What is agreed for a control machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -23,7 +23,7 @@
     /// Milliseconds.
     pub heartbeat: f64,
     /// Subscribers at the most.
-    pub most_subscribers: usize,
+    pub max_subscribers: usize,
     /// Bytes a second to all subscribers together, and to each of them.
     pub bytes_per_second: f64,
     pub subscriber_bytes_per_second: f64,
@@ -52,7 +52,7 @@
     ) -> Self {
         let control_terms = ControlTerms {
             heartbeat: terms.heartbeat,
-            most_subscribers: terms.most_subscribers,
+            most_subscribers: terms.max_subscribers,
             bytes_per_second: terms.bytes_per_second,
             subscriber_bytes_per_second: terms.subscriber_bytes_per_second,
             snapshots_at_once: terms.snapshots_at_once,
@@ -80,7 +80,7 @@
     }
 
     /// Takes over what was decided meanwhile, and does what has fallen due.
-    pub fn turn(&mut self, now: f64, decided: &mut Decided) {
+    pub fn turn(&mut self, now: f64, decided: &mut DecidedState) {
         let agreement = decided.agreement();
         let applied = agreement.applied();
         match agreement.machine_mut().take_changes() {
@@ -134,7 +134,7 @@
     }
 
     /// How it stands; `decided` is what it serves.
-    pub fn status(&self, decided: &Decided) -> DistributionStatus {
+    pub fn status(&self, decided: &DecidedState) -> DistributionStatus {
         let standing = self.control.standing();
         let counts = standing.counts;
         let scoped = decided.scoped();
@@ -154,7 +154,7 @@
             subscribers: Some(SubscribersStatus {
                 sessions: standing.subscribers,
                 snapshots: standing.snapshots,
-                sealed: standing.index,
+                certified: standing.index,
             }),
             channel: self.channel.counts(),
             counts: BTreeMap::from([
--- a/proxy/src/distributed/status.rs
+++ b/proxy/src/distributed/status.rs
@@ -73,7 +73,8 @@
     /// Of these, how many read a scope from its beginning.
     pub snapshots: usize,
     /// The sealed index that is served.
-    pub sealed: u64,
+    #[serde(rename = "sealed")]
+    pub certified: u64,
 }
 
 /// A change, and who has it.
--- a/proxy/src/distributed/subscription.rs
+++ b/proxy/src/distributed/subscription.rs
@@ -18,7 +18,7 @@
 
 use super::status::{DistributedDrain, DistributionRole, DistributionStatus, ScopeStatus, finite};
 
-/// Milliseconds between writes of what [`Subscription::saved`] gives. Less writes more often while much changes;
+/// Milliseconds between writes of what [`Subscription::state_to_save`] gives. Less writes more often while much changes;
 /// what a crash loses is fetched anew from a control machine, if one can be reached.
 pub const STATE_WRITE_INTERVAL: f64 = 1_000.0;
 
@@ -37,7 +37,7 @@
     /// All control machines.
     pub controls: Vec<ControlAddress>,
     /// Who votes at first.
-    pub founders: Vec<Id>,
+    pub bootstrap_members: Vec<Id>,
     /// What it holds.
     pub scopes: BTreeSet<Scope>,
     /// Milliseconds.
@@ -60,7 +60,7 @@
             id: channel.id(),
             region: terms.region,
             controls: terms.controls.iter().map(|control| control.machine).collect(),
-            founders: terms.founders,
+            founders: terms.bootstrap_members,
             heartbeat: terms.heartbeat,
             lease: LEASE_HEARTBEATS * terms.heartbeat,
             most_scope_bytes: MOST_SCOPE_BYTES,
@@ -71,13 +71,13 @@
         Self { channel, subscriber, addresses, out: VecDeque::new() }
     }
 
-    /// Puts in force what [`Subscription::saved`] gave before, as far as it is proved.
+    /// Puts in force what [`Subscription::state_to_save`] gave before, as far as it is proved.
     pub fn restore(&mut self, bytes: &[u8]) -> Restored {
         self.subscriber.restore(bytes)
     }
 
     /// What is to be kept on the disk, where that has changed since it was last asked for.
-    pub fn saved(&mut self) -> Option<Vec<u8>> {
+    pub fn state_to_save(&mut self) -> Option<Vec<u8>> {
         self.subscriber.saved()
     }
 
--- a/proxy/src/hints.rs
+++ b/proxy/src/hints.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Hints {
     /// Milliseconds after which a refused caller, or one whose shot was nacked, does best to come back.
-    pub come_back: Option<u32>,
+    pub retry_after: Option<u32>,
     /// Free lines of the pool, and how many it has.
     pub free: Option<u32>,
     pub lines: Option<u32>,
@@ -36,7 +36,7 @@
     /// The caller has tried before.
     pub redial: bool,
     /// Milliseconds from the sending of the NEW until the caller gives up.
-    pub patience: Option<u32>,
+    pub caller_timeout: Option<u32>,
 }
 
 impl Hints {
@@ -52,13 +52,13 @@
             rest = more;
             let number = value.try_into().map(u32::from_be_bytes).ok();
             match *tag {
-                COME_BACK => hints.come_back = number,
+                COME_BACK => hints.retry_after = number,
                 FREE => hints.free = number,
                 LINES => hints.lines = number,
                 RATE => hints.rate = number,
                 QUEUE => hints.queue = number,
                 REDIAL => hints.redial = true,
-                PATIENCE => hints.patience = number,
+                PATIENCE => hints.caller_timeout = number,
                 WAIT => hints.wait = number,
                 _ => {}
             }
@@ -70,12 +70,12 @@
     pub fn add_to(&self, elements: Elements) -> Elements {
         let mut body = HEAD.to_vec();
         let numbers = [
-            (COME_BACK, self.come_back),
+            (COME_BACK, self.retry_after),
             (FREE, self.free),
             (LINES, self.lines),
             (RATE, self.rate),
             (QUEUE, self.queue),
-            (PATIENCE, self.patience),
+            (PATIENCE, self.caller_timeout),
             (WAIT, self.wait),
         ];
         for (tag, value) in numbers {
@@ -97,7 +97,7 @@
             lines: self.lines.map(f64::from),
             rate: self.rate.map(|rate| f64::from(rate) / 1000.0),
             wait: self.wait.map(f64::from),
-            stay_away: self.come_back.map(f64::from),
+            stay_away: self.retry_after.map(f64::from),
         }
     }
 }
--- a/proxy/src/scribe.rs
+++ b/proxy/src/journal_writer.rs
@@ -1,12 +1,12 @@
 //! Turns what happens to conversations into entries of the records' journal, in order. The shell drains
-//! them with [`crate::BorderProxy::entry`] and keeps them before it lets anything out that rests on them.
+//! them with [`crate::BorderProxy::next_journal_entry`] and keeps them before it lets anything out that rests on them.
 
 use std::collections::VecDeque;
 
 use records::entry::{Entry, Outcome};
 
 /// What the journal calls things, and what is to be written.
-pub struct Scribe {
+pub struct JournalWriter {
     grades: Vec<String>,
     tenants: Vec<String>,
     /// Unix milliseconds at the proxy's time 0: a step of the wall clock moves no entry.
@@ -15,7 +15,7 @@
     entries: VecDeque<Entry>,
 }
 
-impl Scribe {
+impl JournalWriter {
     /// Names of service grades and tenants by index; `epoch` is the Unix time in milliseconds at the
     /// proxy's time 0.
     pub fn new(grades: Vec<String>, tenants: Vec<String>, epoch: f64) -> Self {
@@ -44,7 +44,7 @@
         serial
     }
 
-    pub fn shot(&mut self, now: f64, serial: u64, server: &str) {
+    pub fn attempt_sent(&mut self, now: f64, serial: u64, server: &str) {
         let at = self.at(now);
         self.entries.push_back(Entry::Shot { serial, at, server: server.to_owned() });
     }
@@ -59,7 +59,7 @@
         self.entries.push_back(Entry::Closed { serial, at, outcome, over_share: false });
     }
 
-    pub fn entry(&mut self) -> Option<Entry> {
+    pub fn next_entry(&mut self) -> Option<Entry> {
         self.entries.pop_front()
     }
 }
--- a/proxy/src/limits.rs
+++ b/proxy/src/limits.rs
@@ -15,7 +15,7 @@
     /// Whole set-ups are counted in windows of this length, in milliseconds.
     pub window: f64,
     /// Set-ups a second that any central server gets at the most, whatever it tells.
-    pub most: Option<f64>,
+    pub max_rate: Option<f64>,
     /// Tenants' shares are counted over the whole fleet in windows of this length, in milliseconds; guessed
     /// by each proxy where there is none.
     pub share_window: Option<f64>,
@@ -69,14 +69,14 @@
     }
 
     /// The list has changed: limits on what runs no more are withdrawn, a new life is another server.
-    pub fn listed(&mut self, now: f64, pool: &PoolList) {
+    pub fn update_server_list(&mut self, now: f64, pool: &PoolList) {
         for server in pool.servers() {
             let index = server.0 as usize;
             if self.names.len() <= index {
                 self.names.resize(index + 1, None);
                 self.told.resize(index + 1, None);
             }
-            let life = pool.life(server).filter(|_| pool.state(server) == State::Running);
+            let life = pool.generation(server).filter(|_| pool.state(server) == State::Running);
             let name = life.map(|life| format!("{}@{}", pool.name(server), life.started));
             if name != self.names[index] {
                 if let Some(former) = std::mem::replace(&mut self.names[index], name) {
@@ -89,7 +89,7 @@
     }
 
     /// A central server has told how many set-ups a second it can take.
-    pub fn told(&mut self, server: Server, rate: f64) {
+    pub fn set_reported_rate(&mut self, server: Server, rate: f64) {
         if let Some(told) = self.told.get_mut(server.0 as usize) {
             *told = Some(rate);
             self.set(server);
@@ -98,7 +98,7 @@
 
     fn set(&mut self, server: Server) {
         let index = server.0 as usize;
-        let rate = match (self.told[index], self.terms.most) {
+        let rate = match (self.told[index], self.terms.max_rate) {
             (Some(told), Some(most)) => told.min(most),
             (told, most) => match told.or(most) {
                 Some(rate) => rate,
@@ -117,14 +117,14 @@
     }
 
     /// A set-up has been sent there.
-    pub fn take(&mut self, now: f64, server: Server) {
+    pub fn record_attempt(&mut self, now: f64, server: Server) {
         if let Some(Some(name)) = self.names.get(server.0 as usize) {
             let taken = self.fleet.take(now, name);
             debug_assert!(taken, "the module sends no more than it is allotted");
         }
     }
 
-    pub fn missed(&mut self, now: f64, server: Server, count: u32) {
+    pub fn record_shortage(&mut self, now: f64, server: Server, count: u32) {
         if let Some(Some(name)) = self.names.get(server.0 as usize) {
             self.fleet.missed(now, name, count as usize);
         }
@@ -150,7 +150,7 @@
         self.fleet.set_members(node.fleet());
     }
 
-    pub fn standings(&mut self, now: f64) -> (Vec<LimitStanding>, Counts) {
+    pub fn statuses(&mut self, now: f64) -> (Vec<LimitStanding>, Counts) {
         (self.fleet.standings(now), self.fleet.counts())
     }
 }
--- a/proxy/src/pool.rs
+++ b/proxy/src/pool.rs
@@ -1,6 +1,6 @@
 //! The pool list: one JSON object a line, a whole list first, then changes with versions.
 //!
-//! [`News::read`] checks a line, [`PoolList::apply`] takes it in and gives lines for the module.
+//! [`PoolUpdates::read`] checks a line, [`PoolList::apply`] takes it in and gives lines for the module.
 //! [`PoolList::to_cache`] and [`PoolList::from_cache`] keep the last list over a restart. docs/wire.md has
 //! the form.
 
@@ -15,23 +15,23 @@
 use thiserror::Error;
 
 /// Bytes of the longest line that is read.
-pub const LONGEST_LINE: usize = 1 << 20;
+pub const MAX_LINE_BYTES: usize = 1 << 20;
 /// Servers in the longest list that is taken.
-pub const MOST_SERVERS: usize = 10_000;
+pub const MAX_SERVERS: usize = 10_000;
 
 /// What is wrong with a line of the feed or with the cached list.
 #[derive(Debug, Error)]
-pub enum Unfit {
+pub enum PoolListError {
     #[error("pool list: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("pool list: {0} servers, at most {MOST_SERVERS} are taken")]
+    #[error("pool list: {0} servers, at most {MAX_SERVERS} are taken")]
     TooMany(usize),
-    #[error("pool list: servers[{place}].{field}: {why}")]
-    Field { place: usize, field: &'static str, why: String },
+    #[error("pool list: servers[{index}].{field}: {why}")]
+    Field { index: usize, field: &'static str, why: String },
     #[error("pool list: changes to version {0} came without a whole list")]
-    NoWhole(u64),
+    MissingFullList(u64),
     #[error("pool list: version {found} came after {last}")]
-    Gap { last: u64, found: u64 },
+    VersionGap { last: u64, found: u64 },
     #[error("cached pool list: {0}")]
     Cache(&'static str),
 }
@@ -58,7 +58,7 @@
 /// replaces it has a new one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Entry {
+pub struct PoolEntry {
     pub name: String,
     pub address: SocketAddr,
     pub state: Readiness,
@@ -71,35 +71,35 @@
 /// A line of the feed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct News {
+pub struct PoolUpdates {
     pub version: u64,
     /// Whether this is the whole list; else only what has changed since the version before.
     #[serde(default)]
     pub whole: bool,
-    pub servers: Vec<Entry>,
+    pub servers: Vec<PoolEntry>,
 }
 
 /// What a subscriber asks for, as the first line it sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct PoolRequest {
     /// The version that it has, if any.
     pub have: Option<u64>,
 }
 
-impl News {
-    pub fn read(line: &str) -> Result<Self, Unfit> {
+impl PoolUpdates {
+    pub fn read(line: &str) -> Result<Self, PoolListError> {
         let news: Self = serde_json::from_str(line)?;
         news.check()?;
         Ok(news)
     }
 
     /// Whether its values can be used.
-    pub fn check(&self) -> Result<(), Unfit> {
-        if self.servers.len() > MOST_SERVERS {
-            return Err(Unfit::TooMany(self.servers.len()));
+    pub fn check(&self) -> Result<(), PoolListError> {
+        if self.servers.len() > MAX_SERVERS {
+            return Err(PoolListError::TooMany(self.servers.len()));
         }
-        for (place, entry) in self.servers.iter().enumerate() {
-            let wrong = |field, why: String| Err(Unfit::Field { place, field, why });
+        for (index, entry) in self.servers.iter().enumerate() {
+            let wrong = |field, why: String| Err(PoolListError::Field { index, field, why });
             if entry.name.is_empty() || entry.name.len() > 255 {
                 return wrong("name", format!("{} bytes, 1 to 255 wanted", entry.name.len()));
             }
@@ -121,7 +121,7 @@
 }
 
 struct Known {
-    entry: Entry,
+    entry: PoolEntry,
     server: Server,
     /// When it started, on this proxy's clock. Reckoned once for each start told, so that a step of the
     /// wall clock makes no server look restarted.
@@ -154,7 +154,7 @@
     }
 
     /// The server of that name.
-    pub fn named(&self, name: &str) -> Option<Server> {
+    pub fn server_by_name(&self, name: &str) -> Option<Server> {
         self.known.get(name).map(|known| known.server)
     }
 
@@ -166,7 +166,7 @@
         self.known.get(self.name(server)).map_or(0, |known| known.entry.pool)
     }
 
-    fn effective(&self, entry: &Entry) -> State {
+    fn effective(&self, entry: &PoolEntry) -> State {
         match entry.state.into() {
             State::Running if self.drained.contains(&entry.name) => State::Draining,
             state => state,
@@ -174,7 +174,7 @@
     }
 
     /// How many servers of a pool are listed, and how many of them are out by the list itself.
-    pub fn out_of(&self, pool: u16) -> (usize, usize) {
+    pub fn count_listed_and_draining(&self, pool: u16) -> (usize, usize) {
         let of_pool = self.known.values().filter(|known| known.entry.pool == pool);
         let states: Vec<Readiness> = of_pool.map(|known| known.entry.state).collect();
         let listed = states.iter().filter(|state| **state != Readiness::Gone).count();
@@ -182,7 +182,7 @@
     }
 
     /// The fleet has decided which servers get nothing new; gives the lines that are others now.
-    pub fn drain(&mut self, drained: &BTreeSet<String>) -> Vec<Listed> {
+    pub fn set_drained(&mut self, drained: &BTreeSet<String>) -> Vec<Listed> {
         let former = std::mem::replace(&mut self.drained, drained.clone());
         let changed = former.symmetric_difference(drained).filter_map(|name| self.known.get(name));
         let running = changed.filter(|known| known.entry.state == Readiness::Running);
@@ -195,13 +195,13 @@
     }
 
     /// The server at an address, the latest to be listed there.
-    pub fn at(&self, address: SocketAddr) -> Option<Server> {
+    pub fn server_at(&self, address: SocketAddr) -> Option<Server> {
         self.by_address.get(&address).copied()
     }
 
     /// The server's present life, by which proxies speak of it to each other. A name and start of their own
     /// keep what was said of an earlier process, or of another machine at the same address, apart.
-    pub fn life(&self, server: Server) -> Option<Life> {
+    pub fn generation(&self, server: Server) -> Option<Life> {
         let known = self.known.get(self.name(server))?;
         let mut hasher = SipHasher13::new();
         hasher.write(known.entry.name.as_bytes());
@@ -214,11 +214,11 @@
     }
 
     /// Takes news in. `now` is the proxy's clock and `unix` the wall clock, both in milliseconds.
-    pub fn apply(&mut self, news: &News, now: f64, unix: f64) -> Result<Vec<Listed>, Unfit> {
+    pub fn apply(&mut self, news: &PoolUpdates, now: f64, unix: f64) -> Result<Vec<Listed>, PoolListError> {
         if !news.whole {
-            let last = self.version.ok_or(Unfit::NoWhole(news.version))?;
+            let last = self.version.ok_or(PoolListError::MissingFullList(news.version))?;
             if news.version != last + 1 {
-                return Err(Unfit::Gap { last, found: news.version });
+                return Err(PoolListError::VersionGap { last, found: news.version });
             }
         }
         self.version = Some(news.version);
@@ -230,7 +230,7 @@
         Ok(news.servers.iter().map(|entry| self.take(entry, now, unix)).collect())
     }
 
-    fn take(&mut self, entry: &Entry, now: f64, unix: f64) -> Listed {
+    fn take(&mut self, entry: &PoolEntry, now: f64, unix: f64) -> Listed {
         let local = |at: f64| now - (unix - at).max(0.0);
         let known = self.known.entry(entry.name.clone()).or_insert_with(|| {
             self.names.push(entry.name.clone());
@@ -253,18 +253,19 @@
     pub fn to_cache(&self) -> String {
         let servers = self.known.values().map(|known| known.entry.clone());
         let servers = servers.filter(|entry| entry.state != Readiness::Gone).collect();
-        let body = News { version: self.version.unwrap_or(0), whole: true, servers }.write();
+        let body = PoolUpdates { version: self.version.unwrap_or(0), whole: true, servers }.write();
         format!("frostthread-pool 1 {:08x}\n{body}", crc32fast::hash(body.as_bytes()))
     }
 
     /// The news in a kept list, if it is whole and undamaged.
-    pub fn from_cache(text: &str) -> Result<News, Unfit> {
-        let (head, body) = text.split_once('\n').ok_or(Unfit::Cache("its first line is missing"))?;
-        let sum =
-            head.strip_prefix("frostthread-pool 1 ").ok_or(Unfit::Cache("of another kind or version"))?;
+    pub fn from_cache(text: &str) -> Result<PoolUpdates, PoolListError> {
+        let (head, body) = text.split_once('\n').ok_or(PoolListError::Cache("its first line is missing"))?;
+        let sum = head
+            .strip_prefix("frostthread-pool 1 ")
+            .ok_or(PoolListError::Cache("of another kind or version"))?;
         if u32::from_str_radix(sum, 16) != Ok(crc32fast::hash(body.as_bytes())) {
-            return Err(Unfit::Cache("its checksum does not match"));
+            return Err(PoolListError::Cache("its checksum does not match"));
         }
-        News::read(body)
+        PoolUpdates::read(body)
     }
 }
--- a/proxy/src/status.rs
+++ b/proxy/src/status.rs
@@ -9,13 +9,16 @@
 
 /// How often each thing has happened since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
-    pub taken: u64,
-    pub stood: u64,
+pub struct Counters {
+    #[serde(rename = "taken")]
+    pub accepted: u64,
+    #[serde(rename = "stood")]
+    pub established: u64,
     pub refused: u64,
     pub failed: u64,
     /// The caller went before its answer.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub caller_gone: u64,
     pub cleared: u64,
     pub cut: u64,
     pub unrouted: u64,
@@ -24,8 +27,10 @@
     /// Refused because the disk did not keep records as promised.
     #[serde(default)]
     pub unrecordable: u64,
-    pub shots: u64,
-    pub nacked: u64,
+    #[serde(rename = "shots")]
+    pub attempts: u64,
+    #[serde(rename = "nacked")]
+    pub rejected: u64,
     pub timed_out: u64,
     pub reset: u64,
     pub probes: u64,
@@ -34,10 +39,13 @@
 
 /// Conversations at present, by how far they have come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Present {
-    pub held: usize,
-    pub shot: usize,
-    pub standing: usize,
+pub struct ConversationCounts {
+    #[serde(rename = "held")]
+    pub waiting: usize,
+    #[serde(rename = "shot")]
+    pub attempting: usize,
+    #[serde(rename = "standing")]
+    pub established: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -46,13 +54,17 @@
     pub address: String,
     pub state: String,
     pub cold: bool,
-    pub out: usize,
-    pub allowance: f64,
-    pub resting: bool,
+    #[serde(rename = "out")]
+    pub in_flight: usize,
+    #[serde(rename = "allowance")]
+    pub concurrency_limit: f64,
+    #[serde(rename = "resting")]
+    pub cooling_down: bool,
     pub samples: usize,
     pub mean_ratio: f64,
     pub delay_ms: f64,
-    pub told_rate: Option<f64>,
+    #[serde(rename = "told_rate")]
+    pub reported_rate: Option<f64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -60,8 +72,10 @@
     pub list_version: Option<u64>,
     pub stopping: bool,
     pub legs: usize,
-    pub present: Present,
-    pub tally: Tally,
+    #[serde(rename = "present")]
+    pub conversations: ConversationCounts,
+    #[serde(rename = "tally")]
+    pub counters: Counters,
     pub servers: Vec<ServerStatus>,
     /// Where the terms to come would have decided otherwise, if any are watched.
     #[serde(default)]
@@ -73,7 +87,8 @@
 pub struct MemberStatus {
     pub name: String,
     pub address: String,
-    pub standing: String,
+    #[serde(rename = "standing")]
+    pub state: String,
     pub incarnation: u64,
 }
 
@@ -86,17 +101,20 @@
     pub accusers: Vec<String>,
     pub vouchers: usize,
     /// How long ago enough accusations had begun, in milliseconds.
-    pub age: f64,
+    #[serde(rename = "age")]
+    pub age_ms: f64,
     pub believed: bool,
     /// When this proxy last had an answer of it, in milliseconds ago.
-    pub answered: Option<f64>,
+    #[serde(rename = "answered")]
+    pub last_answer_ms: Option<f64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GossipStatus {
     pub members: Vec<MemberStatus>,
     pub suspicions: Vec<SuspicionStatus>,
-    pub tally: Counts,
+    #[serde(rename = "tally")]
+    pub counters: Counts,
     /// Sends that the cap did not allow; they come later.
     pub deferred: u64,
 }
@@ -107,7 +125,7 @@
         let members = node.members.all().map(|(id, member)| MemberStatus {
             name: name(id),
             address: member.address.to_string(),
-            standing: match member.standing {
+            state: match member.standing {
                 Standing::Alive => "alive",
                 Standing::Suspect => "suspect",
                 Standing::Dead => "dead",
@@ -118,24 +136,24 @@
         let own = MemberStatus {
             name: name(node.id()),
             address: node.address().to_string(),
-            standing: "this one".to_owned(),
+            state: "this one".to_owned(),
             incarnation: node.incarnation(),
         };
-        let listed = |life| pool.servers().find(|&server| pool.life(server) == Some(life));
+        let listed = |life| pool.servers().find(|&server| pool.generation(server) == Some(life));
         let suspicions = node.accused(now).into_iter().map(|accused| SuspicionStatus {
             // What is not on this proxy's list, or not in this life, has no name here.
             server: listed(accused.life).map_or("?".to_owned(), |server| pool.name(server).to_owned()),
             started: accused.life.started,
             accusers: node.accusers(accused.life).into_iter().map(name).collect(),
             vouchers: accused.vouchers,
-            age: now - accused.since,
+            age_ms: now - accused.since,
             believed: accused.believed,
-            answered: node.evidence.last_answer(accused.life).map(|at| now - at),
+            last_answer_ms: node.evidence.last_answer(accused.life).map(|at| now - at),
         });
         Self {
             members: std::iter::once(own).chain(members).collect(),
             suspicions: suspicions.collect(),
-            tally: node.counts(),
+            counters: node.counts(),
             deferred: node.deferred(),
         }
     }
@@ -159,7 +177,8 @@
     pub part: usize,
     pub lent: usize,
     pub borrowed: usize,
-    pub resting: usize,
+    #[serde(rename = "resting")]
+    pub used_in_window: usize,
     pub free: usize,
     /// Why no more may go now; empty where more may.
     pub why: String,
@@ -184,7 +203,7 @@
                 part,
                 lent,
                 borrowed,
-                resting,
+                used_in_window: resting,
                 free,
                 why: why.to_owned(),
             }
--- a/proxy/src/timers.rs
+++ b/proxy/src/timers.rs
@@ -22,12 +22,12 @@
 
 impl<K: Ord + Clone> Timers<K> {
     /// The shot is to be given up then, if it is still out.
-    pub fn time_out(&mut self, at: f64, shot: K) {
+    pub fn start_timeout(&mut self, at: f64, shot: K) {
         self.time_outs.push(Reverse((OrderedFloat(at), shot)));
     }
 
     /// The next shot whose time is over; it may have ended long ago.
-    pub fn timed_out(&mut self, now: f64) -> Option<K> {
+    pub fn next_timed_out(&mut self, now: f64) -> Option<K> {
         let Reverse((at, _)) = self.time_outs.peek()?;
         if at.0 > now {
             return None;
@@ -36,12 +36,12 @@
     }
 
     /// The module asks again only once it has taken the former time for past: this one replaces it.
-    pub fn wake(&mut self, at: f64) {
+    pub fn set_wake(&mut self, at: f64) {
         self.wake = at;
     }
 
     /// As the module does: whatever comes at that time or later stands for the wake.
-    pub fn woken(&mut self, now: f64) {
+    pub fn clear_passed_wake(&mut self, now: f64) {
         if self.wake <= now {
             self.wake = f64::INFINITY;
         }
@@ -54,12 +54,12 @@
     }
 
     /// The shot has ended, and the module is to be told when it has finished speaking.
-    pub fn unheard(&mut self, handle: Handle, ending: Ending) {
+    pub fn defer_ending(&mut self, handle: Handle, ending: Ending) {
         self.unheard.push_back((handle, ending));
     }
 
     /// All that the module has not heard yet.
-    pub fn take_unheard(&mut self) -> VecDeque<(Handle, Ending)> {
+    pub fn take_deferred_endings(&mut self) -> VecDeque<(Handle, Ending)> {
         std::mem::take(&mut self.unheard)
     }
 }
--- a/proxy/src/watch.rs
+++ b/proxy/src/watch.rs
@@ -82,35 +82,35 @@
 impl Differences {
     /// Counts what `other` asks for otherwise than `now`.
     fn count<H, I>(&mut self, now: &Requests<H>, other: &Requests<I>) {
-        let before = Self { seen: self.seen + 1, ..*self };
+        let before = Self { compared: self.compared + 1, ..*self };
         *self = before;
         for (handle, (server, time_out)) in &now.shots {
             match other.shots.get(handle) {
                 None => self.held_back += 1,
-                Some((elsewhere, _)) if elsewhere != server => self.elsewhere += 1,
-                Some((_, wait)) if (wait - time_out).abs() > SAME_TIME_OUT => self.time_out += 1,
+                Some((elsewhere, _)) if elsewhere != server => self.other_server += 1,
+                Some((_, wait)) if (wait - time_out).abs() > SAME_TIME_OUT => self.timeout += 1,
                 _ => {}
             }
         }
-        self.sooner += other.shots.keys().filter(|&handle| !now.shots.contains_key(handle)).count() as u64;
+        self.earlier += other.shots.keys().filter(|&handle| !now.shots.contains_key(handle)).count() as u64;
         for (handle, advice) in &now.given_up {
             match other.given_up.get(handle) {
                 None => self.kept += 1,
-                Some(otherwise) => self.advice += u64::from(otherwise != advice),
+                Some(otherwise) => self.retry_after += u64::from(otherwise != advice),
             }
         }
         let anew = other.given_up.keys().filter(|&handle| !now.given_up.contains_key(handle));
         self.given_up += anew.count() as u64;
-        self.called_off += now.cancelled.symmetric_difference(&other.cancelled).count() as u64;
-        self.unprobed += now.probes.saturating_sub(other.probes);
-        self.probed += other.probes.saturating_sub(now.probes);
+        self.cancelled += now.cancelled.symmetric_difference(&other.cancelled).count() as u64;
+        self.probes_dropped += now.probes.saturating_sub(other.probes);
+        self.probes_added += other.probes.saturating_sub(now.probes);
         self.differing += u64::from(*self != before);
     }
 }
 
 /// Terms that are watched.
 #[derive(Clone, Debug)]
-pub struct ToCome {
+pub struct ProposedTerms {
     pub terms: Terms,
     /// The share of turns that are decided twice: what watching may cost at the most.
     pub share: f64,
@@ -119,21 +119,21 @@
 /// A module, and the terms to come, if any are watched.
 pub struct Watched {
     module: Proxy,
-    to_come: Option<ToCome>,
+    to_come: Option<ProposedTerms>,
     /// Of the share, what has not yet come to a turn.
     credit: f64,
     differences: Differences,
 }
 
 impl Watched {
-    pub fn new(module: Proxy, to_come: Option<ToCome>) -> Self {
+    pub fn new(module: Proxy, to_come: Option<ProposedTerms>) -> Self {
         Self { module, to_come, credit: 0.0, differences: Differences::default() }
     }
 
     fn twice<H: Host>(&mut self, host: &mut H, decide: impl Fn(&mut Proxy, &mut Requests<H>)) {
         self.differences.turns += 1;
         self.credit += self.to_come.as_ref().map_or(0.0, |to_come| to_come.share);
-        let Some(ToCome { terms, .. }) = self.to_come.as_ref().filter(|_| self.credit >= 1.0) else {
+        let Some(ProposedTerms { terms, .. }) = self.to_come.as_ref().filter(|_| self.credit >= 1.0) else {
             return decide(&mut self.module, &mut Requests::of(Some(host)));
         };
         self.credit -= 1.0;
@@ -147,40 +147,40 @@
 }
 
 impl Decisions for Watched {
-    fn at(&mut self, now: f64) {
+    fn advance_clock(&mut self, now: f64) {
         self.module.at(now);
     }
-    fn listed(&mut self, lines: &[Listed], whole: bool, host: &mut impl Host) {
+    fn update_server_list(&mut self, lines: &[Listed], whole: bool, host: &mut impl Host) {
         self.module.listed(lines, whole, host);
     }
     fn reported(&mut self, server: Server, report: Report) {
         self.module.reported(server, report);
     }
-    fn suspected(&mut self, server: Server, suspicion: Option<Suspicion>) {
+    fn set_suspicion(&mut self, server: Server, suspicion: Option<Suspicion>) {
         self.module.suspected(server, suspicion);
     }
-    fn allotted(&mut self, server: Server, shots: Option<u32>) -> u32 {
+    fn set_fleet_limit(&mut self, server: Server, shots: Option<u32>) -> u32 {
         self.module.allotted(server, shots)
     }
-    fn shared(&mut self, tenant: usize, within: Option<bool>) {
+    fn set_within_share(&mut self, tenant: usize, within: Option<bool>) {
         self.module.shared(tenant, within);
     }
-    fn take(&mut self, call: &Call) -> Handle {
+    fn accept(&mut self, call: &Call) -> Handle {
         self.module.take(call)
     }
     fn place(&mut self, handle: Handle) {
         handle.place(&mut self.module);
     }
-    fn stood(&mut self, handle: Handle) {
+    fn established(&mut self, handle: Handle) {
         handle.stood(&mut self.module);
     }
     fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
         self.twice(host, |module, host| handle.ended(module, ending, finished, host));
     }
-    fn left(&mut self, handle: Handle) {
+    fn caller_gone(&mut self, handle: Handle) {
         handle.left(&mut self.module);
     }
-    fn settle(&mut self, host: &mut impl Host) {
+    fn run_pending(&mut self, host: &mut impl Host) {
         self.twice(host, |module, host| module.settle(host));
     }
     fn view(&self, server: Server) -> Option<View> {
--- a/proxy/tests/distributed.rs
+++ b/proxy/tests/distributed.rs
@@ -36,7 +36,7 @@
     let terms = SubscriptionTerms {
         region: 0,
         controls: vec![ControlAddress { machine: ControlMachine { id, region: 0 }, address: address(7) }],
-        founders: vec![id],
+        bootstrap_members: vec![id],
         scopes: BTreeSet::from([Scope::All, Scope::Service(3)]),
         heartbeat: HEARTBEAT,
     };
@@ -47,7 +47,7 @@
 fn service() -> Service {
     let terms = ServiceTerms {
         heartbeat: HEARTBEAT,
-        most_subscribers: 10,
+        max_subscribers: 10,
         bytes_per_second: 1e6,
         subscriber_bytes_per_second: 3e3,
         snapshots_at_once: 2,
--- a/proxy/tests/stories.rs
+++ b/proxy/tests/stories.rs
@@ -5,8 +5,8 @@
 use border::differences::Differences;
 use border::hints::Hints;
 use border::limits::{FleetLimits, LimitTerms};
-use border::pool::{News, PoolList, Readiness, Unfit};
-use border::watch::ToCome;
+use border::pool::{PoolList, PoolListError, PoolUpdates, Readiness};
+use border::watch::ProposedTerms;
 use border::{Decisions, Side, Watched};
 use bytes::Bytes;
 use fixture::{Story, address, entry};
@@ -53,7 +53,7 @@
     let node = Node::new(gossip, secrets, roster, 1, 0.0, 1.0);
     let loans = LoanTerms { lease: 2000.0, drift: 0.0, spread: 0.0, floor: 1.0 };
     let fleet = FleetTerms { loans, beat: 100.0 };
-    let terms = LimitTerms { fleet, window: 1000.0, most: None, share_window: Some(2000.0) };
+    let terms = LimitTerms { fleet, window: 1000.0, max_rate: None, share_window: Some(2000.0) };
     let shares = [("gold".to_owned(), 2.0), ("under one in a window".to_owned(), 0.1)];
     let mut limits = FleetLimits::new(&node, terms, shares, 1, 0.0);
     assert_eq!(limits.within_share(1000.0, 0), None, "an earlier life may have used it");
@@ -116,7 +116,7 @@
         story.pass(1.0);
     }
     assert_eq!(story.offered.len(), 2, "tried elsewhere");
-    assert_eq!(story.proxy.status().tally.timed_out, 1);
+    assert_eq!(story.proxy.status().counters.timed_out, 1);
     story.answer();
     assert!(story.answered(leg));
     assert!(story.now < 2000.0 + 40.0, "{}", story.now);
@@ -192,7 +192,7 @@
     story.caller.media(story.now, leg, &text);
     story.pass(20.0);
     assert_eq!(story.ended(leg), Some((Some(cause::TEMPORARY_FAILURE), None)), "told that it was cut");
-    assert_eq!(story.proxy.status().tally.cut, 1);
+    assert_eq!(story.proxy.status().counters.cut, 1);
 }
 
 #[test]
@@ -201,7 +201,7 @@
     story.silent[0] = true;
     let leg = story.call("1555", 3000);
     assert_eq!(story.offered.len(), 0);
-    story.proxy.refused(story.now, Side::Servers, address(100));
+    story.proxy.connection_refused(story.now, Side::Servers, address(100));
     story.pass(5.0);
     assert_eq!(story.latest().0, 1);
     story.answer();
@@ -241,7 +241,7 @@
     let mut story = Story::new();
     let standing = story.call("1555", 3000);
     story.answer();
-    story.proxy.stop_taking();
+    story.proxy.stop_accepting();
     let late = story.call("1555", 3000);
     assert_eq!(story.ended(late), Some((Some(38), None)));
     assert_eq!((story.ended(standing), story.proxy.conversations()), (None, 1));
@@ -260,7 +260,7 @@
         story.pass(1.0);
         let now = story.now;
         story.proxy.receive(now, now, Side::Servers, address(100), &Bytes::from_static(&[0; 3]));
-        story.proxy.settle();
+        story.proxy.run_pending();
     }
     assert!(story.ended(leg).is_some());
 }
@@ -268,8 +268,11 @@
 #[test]
 fn a_step_of_the_wall_clock_makes_no_server_look_restarted() {
     let mut list = PoolList::default();
-    let news =
-        |version| News { version, whole: true, servers: vec![entry(0, Readiness::Running, Some(5_000.0))] };
+    let news = |version| PoolUpdates {
+        version,
+        whole: true,
+        servers: vec![entry(0, Readiness::Running, Some(5_000.0))],
+    };
     let first = list.apply(&news(1), 100.0, 60_000.0).expect("fits")[0].started;
     let again = list.apply(&news(2), 200.0, 3_660_000.0).expect("fits")[0].started;
     assert_eq!(first, again);
@@ -282,7 +285,7 @@
     let mut list = PoolList::default();
     let mut last = Ok(Vec::new());
     for &(version, whole) in all {
-        last = list.apply(&News { version, whole, servers: Vec::new() }, 0.0, 0.0);
+        last = list.apply(&PoolUpdates { version, whole, servers: Vec::new() }, 0.0, 0.0);
     }
     assert!(last.expect_err("unfit").to_string().contains(wanted));
 }
@@ -299,7 +302,7 @@
     "servers[0].address"
 )]
 fn an_unfit_line_names_what_is_wrong(#[case] line: &str, #[case] wanted: &str) {
-    let told = News::read(line).expect_err("unfit").to_string();
+    let told = PoolUpdates::read(line).expect_err("unfit").to_string();
     assert!(told.contains(wanted), "{told}");
 }
 
@@ -307,23 +310,23 @@
 fn a_cached_list_comes_back_unless_it_is_damaged() {
     let mut list = PoolList::default();
     let servers = vec![entry(0, Readiness::Running, Some(9.0)), entry(1, Readiness::Gone, None)];
-    list.apply(&News { version: 4, whole: true, servers }, 0.0, 10.0).expect("fits");
+    list.apply(&PoolUpdates { version: 4, whole: true, servers }, 0.0, 10.0).expect("fits");
     let text = list.to_cache();
     let back = PoolList::from_cache(&text).expect("sound");
     assert_eq!((back.version, back.servers.len()), (4, 1));
     let damaged = text.replace("central-0", "central-7");
-    assert!(matches!(PoolList::from_cache(&damaged), Err(Unfit::Cache(_))));
-    assert!(matches!(PoolList::from_cache(&text[..text.len() - 9]), Err(Unfit::Cache(_))));
+    assert!(matches!(PoolList::from_cache(&damaged), Err(PoolListError::Cache(_))));
+    assert!(matches!(PoolList::from_cache(&text[..text.len() - 9]), Err(PoolListError::Cache(_))));
 }
 
 #[test]
 fn hints_come_back_and_pass_over_what_they_do_not_know() {
-    let hints = Hints { come_back: Some(700), rate: Some(41_500), redial: true, ..Hints::default() };
+    let hints = Hints { retry_after: Some(700), rate: Some(41_500), redial: true, ..Hints::default() };
     let elements = hints.add_to(Elements::new());
     assert_eq!(Hints::read(&elements), hints);
     let other =
         Elements::new().with(border::hints::HINTS, [b'f', b't', 1, 99, 1, 5, 1, 4, 0, 0, 0, 9, 4, 200, 1]);
-    assert_eq!(Hints::read(&other), Hints { come_back: Some(9), ..Hints::default() });
+    assert_eq!(Hints::read(&other), Hints { retry_after: Some(9), ..Hints::default() });
     let strange = Elements::new().with(border::hints::HINTS, b"xx");
     assert_eq!(Hints::read(&strange), Hints::default());
 }
@@ -337,7 +340,7 @@
     let (server, shot) = story.latest();
     story.servers[server].accept(story.now, shot, &pong);
     story.pass(5.0);
-    assert_eq!(story.proxy.status().servers[server].told_rate, Some(12.0));
+    assert_eq!(story.proxy.status().servers[server].reported_rate, Some(12.0));
     assert_eq!(story.ended(leg), None);
     assert!(!story.told.iter().any(|(_, h)| matches!(h, Happening::Ended(End::Unknown))));
 }
@@ -360,24 +363,24 @@
 }
 
 /// Two servers; the first turns a shot back and names a wait, then two callers come who want it first.
-fn play(to_come: Option<ToCome>) -> (Shots, Option<Differences>) {
+fn play(to_come: Option<ProposedTerms>) -> (Shots, Option<Differences>) {
     let mut watched = Watched::new(Proxy::new(fixture::terms().terms, 7, 0.0), to_come);
     let mut shots = Shots::default();
     let line =
         |server| Listed { server: Server(server), state: State::Running, pool: server as u16, started: None };
-    watched.listed(&[line(0), line(1)], true, &mut shots);
+    watched.update_server_list(&[line(0), line(1)], true, &mut shots);
     let call = Call { grade: 0, tenant: None, first: 0, number: None, remaining: 3000.0, redial: false };
     for now in [0.0, 10.0, 20.0] {
-        watched.at(now);
-        let handle = watched.take(&call);
+        watched.advance_clock(now);
+        let handle = watched.accept(&call);
         watched.place(handle);
-        watched.settle(&mut shots);
+        watched.run_pending(&mut shots);
         if now == 0.0 {
             watched.reported(Server(0), Report { stay_away: Some(500.0), ..Report::default() });
             watched.ended(handle, Ending::Nacked, false, &mut shots);
-            watched.settle(&mut shots);
+            watched.run_pending(&mut shots);
         }
-        watched.stood(handle);
+        watched.established(handle);
         watched.ended(handle, Ending::Ok, true, &mut shots);
     }
     (shots, watched.differences())
@@ -395,11 +398,11 @@
 ) {
     let now = fixture::terms().terms;
     let terms = Terms { nacks_name_wait: other, ..now };
-    let (shots, watch) = play(Some(ToCome { terms, share }));
+    let (shots, watch) = play(Some(ProposedTerms { terms, share }));
     let (unwatched, none) = play(None);
     assert_eq!(shots.0, unwatched.0, "the same is done, watched or not");
     assert!(none.is_none());
     let watch = watch.expect("watched");
     assert!(differing.contains(&watch.differing), "{watch:?}");
-    assert_eq!(watch.seen, (watch.turns as f64 * share) as u64, "{watch:?}");
+    assert_eq!(watch.compared, (watch.turns as f64 * share) as u64, "{watch:?}");
 }
