--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -143,7 +143,7 @@
         let socket = Sockets::bind(gossip.listen, plan.receive_buffer);
         let socket = Arc::new(socket.with_context(|| format!("gossip.listen {}", gossip.listen))?);
         tokio::spawn(listen(socket.clone(), Side::Peers, None, arrivals_in.clone()));
-        let terms = gossip_terms(gossip, socket.local_addr()?, plan.terms.servers.resend);
+        let terms = gossip_terms(gossip, socket.local_addr()?, plan.terms.servers.resend_delay);
         proxy.join(Node::new(terms, secrets, roster, seed, clock.now(), unix()));
         if let Some(limits) = plan.fleet {
             let shares = plan.terms.terms.tenants.iter().map(|tenant| tenant.quota);
--- a/daemon/src/settings/calls.rs
+++ b/daemon/src/settings/calls.rs
@@ -59,10 +59,15 @@
             return usual;
         }
         let limits = Limits {
-            legs: self.whole(&mut rows, "legs", 2, 10_000_000, Some(usual.legs as u32)).unwrap_or(2) as usize,
-            resend: self.time(&mut rows, "resend", Some(usual.resend)).unwrap_or(usual.resend),
-            resends: self.whole(&mut rows, "resends", 0, 20, Some(usual.resends)).unwrap_or(0),
-            ping: self.time(&mut rows, "ping", Some(usual.ping)).unwrap_or(usual.ping),
+            max_legs: self.whole(&mut rows, "legs", 2, 10_000_000, Some(usual.max_legs as u32)).unwrap_or(2)
+                as usize,
+            resend_delay: self
+                .time(&mut rows, "resend", Some(usual.resend_delay))
+                .unwrap_or(usual.resend_delay),
+            max_resends: self.whole(&mut rows, "resends", 0, 20, Some(usual.max_resends)).unwrap_or(0),
+            ping_interval: self
+                .time(&mut rows, "ping", Some(usual.ping_interval))
+                .unwrap_or(usual.ping_interval),
         };
         self.done(rows);
         limits
--- a/daemon/src/settings/mod.rs
+++ b/daemon/src/settings/mod.rs
@@ -243,12 +243,12 @@
             ..Terms::default()
         };
         let mut rules = self.rows(&mut top, "rules", true);
-        let terms = self.rules(&mut rules, parts, limits.resend, None);
+        let terms = self.rules(&mut rules, parts, limits.resend_delay, None);
         let answer_lead = self.time(&mut rules, "answer_lead", None);
         self.done(rules);
         let mut watch = self.rows(&mut top, "watch", false);
         let to_come = watch.table.is_some().then(|| ProposedTerms {
-            terms: self.rules(&mut watch, terms.clone(), limits.resend, Some(&terms)),
+            terms: self.rules(&mut watch, terms.clone(), limits.resend_delay, Some(&terms)),
             share: self.number(&mut watch, "share", 0.0, 1.0, Some(1.0)).unwrap_or(1.0),
         });
         self.done(watch);
--- a/daemon/tests/process.rs
+++ b/daemon/tests/process.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use daemon::settings::EXAMPLE;
 use iax2::element::{self, Elements};
-use iax2::{End, Endpoint, Happening, Limits};
+use iax2::{EndReason, Endpoint, Event, Limits};
 use rstest::rstest;
 
 /// Ends the process whatever the test comes to.
@@ -69,7 +69,7 @@
 }
 
 /// Calls a proxy that has no servers; gives how the call ended.
-fn refused(proxy: SocketAddr, calling: &str) -> End {
+fn refused(proxy: SocketAddr, calling: &str) -> EndReason {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     socket.set_read_timeout(Some(Duration::from_millis(20))).expect("set");
     let mut caller = Endpoint::new(Limits::default(), 5);
@@ -77,7 +77,7 @@
     let new = Elements::new().with(element::CALLED_NUMBER, "155").with(element::CALLING_NUMBER, calling);
     caller.call(0.0, proxy, &new).expect("room");
     until("an answer", || {
-        while let Some(datagram) = caller.datagram() {
+        while let Some(datagram) = caller.next_datagram() {
             socket.send_to(&datagram.bytes, datagram.peer).expect("sent");
         }
         let mut buffer = [0; 2048];
@@ -86,8 +86,8 @@
             caller.receive(now, from, &Bytes::copy_from_slice(&buffer[..length]));
         }
         caller.turn(now);
-        std::iter::from_fn(|| caller.happening()).find_map(|(_, happening)| match happening {
-            Happening::Ended(end) => Some(end),
+        std::iter::from_fn(|| caller.next_event()).find_map(|(_, happening)| match happening {
+            Event::Ended(end) => Some(end),
             _ => None,
         })
     })
@@ -107,7 +107,7 @@
     let proxy: SocketAddr = ready["callers"].as_str().expect("text").parse().expect("an address");
 
     let end = refused(proxy, "9");
-    let End::Peer { rejected: true, elements } = end else { panic!("{end:?}") };
+    let EndReason::Peer { rejected: true, elements } = end else { panic!("{end:?}") };
     assert_eq!(elements.cause(), Some(42));
     assert!(border::hints::Hints::read(&elements).retry_after.is_some());
 
@@ -125,9 +125,9 @@
     let signal = |name: &str| Command::new("kill").args([name, &id]).status().expect("ran");
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     socket.set_read_timeout(Some(Duration::from_millis(5))).expect("set");
-    let mut caller = Endpoint::new(Limits { resend: 10_000.0, ..Limits::default() }, 5);
+    let mut caller = Endpoint::new(Limits { resend_delay: 10_000.0, ..Limits::default() }, 5);
     let send = |caller: &mut Endpoint| {
-        while let Some(datagram) = caller.datagram() {
+        while let Some(datagram) = caller.next_datagram() {
             socket.send_to(&datagram.bytes, datagram.peer).expect("sent");
         }
     };
@@ -152,8 +152,8 @@
             caller.receive(0.0, from, &Bytes::copy_from_slice(&buffer[..length]));
         }
         send(&mut caller);
-        let mut all = std::iter::from_fn(|| caller.happening());
-        all.any(|(_, happening)| matches!(happening, Happening::Ended(_))).then(|| asked.elapsed())
+        let mut all = std::iter::from_fn(|| caller.next_event());
+        all.any(|(_, happening)| matches!(happening, Event::Ended(_))).then(|| asked.elapsed())
     });
     assert!(ended < PATIENCE, "answered {ended:?} after it was asked");
     stop(&mut running);
--- a/daemon/tests/release.rs
+++ b/daemon/tests/release.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use iax2::{Endpoint, Happening, Limits};
+use iax2::{Endpoint, Event, Limits};
 use serde_json::Value;
 use world::{PROXIES, Story};
 
@@ -66,7 +66,7 @@
     let mut prober = Endpoint::new(Limits::default(), 3);
     let mut silent: Vec<_> = (0..PROXIES).map(|proxy| story.takes(proxy)).collect();
     silent.iter().for_each(|&at| prober.poke(0.0, at));
-    while let Some(out) = prober.datagram() {
+    while let Some(out) = prober.next_datagram() {
         let _ = socket.send_to(&out.bytes, out.peer);
     }
     let end = Instant::now() + Duration::from_millis(250);
@@ -75,8 +75,8 @@
         if let Ok((length, from)) = socket.recv_from(&mut buffer) {
             prober.receive(0.0, from, &Bytes::copy_from_slice(&buffer[..length]));
         }
-        while let Some((_, happening)) = prober.happening() {
-            if let Happening::Pong { peer, .. } = happening {
+        while let Some((_, happening)) = prober.next_event() {
+            if let Event::Pong { peer, .. } = happening {
                 silent.retain(|at| *at != peer);
             }
         }
--- a/daemon/tests/world/mod.rs
+++ b/daemon/tests/world/mod.rs
@@ -19,7 +19,7 @@
 use bytes::Bytes;
 use daemon::settings::EXAMPLE;
 use iax2::element::{self, Elements};
-use iax2::{Endpoint, Happening, Limits};
+use iax2::{Endpoint, Event, Limits};
 
 pub const PROXIES: usize = 5;
 /// Ends the process whatever the test comes to.
@@ -245,12 +245,12 @@
                     }
                 }
                 endpoint.turn(now);
-                while let Some((leg, happening)) = endpoint.happening() {
-                    if matches!(happening, Happening::Answered(_)) {
+                while let Some((leg, happening)) = endpoint.next_event() {
+                    if matches!(happening, Event::Answered(_)) {
                         endpoint.end(now, leg, &Elements::new().with_cause(16));
                     }
                 }
-                while let Some(out) = endpoint.datagram() {
+                while let Some(out) = endpoint.next_datagram() {
                     let _ = socket.send_to(&out.bytes, out.peer);
                 }
             });
@@ -422,18 +422,18 @@
             endpoint.receive(now, from, &Bytes::copy_from_slice(bytes));
         }
         endpoint.turn(now);
-        while let Some((leg, happening)) = endpoint.happening() {
+        while let Some((leg, happening)) = endpoint.next_event() {
             match happening {
-                Happening::Offered { peer, .. } => {
+                Event::Offered { peer, .. } => {
                     came.lock().expect("whole").push((now, peer.port(), server));
                     endpoint.accept(now, leg, &Elements::new());
                     endpoint.answer(now, leg, &Elements::new());
                 }
-                Happening::Poked(poke) => endpoint.pong(&poke, &Elements::new()),
+                Event::Poked(poke) => endpoint.pong(&poke, &Elements::new()),
                 _ => {}
             }
         }
-        while let Some(out) = endpoint.datagram() {
+        while let Some(out) = endpoint.next_datagram() {
             let _ = socket.send_to(&out.bytes, out.peer);
         }
     });
--- a/iax2/fuzz/fuzz_targets/datagrams.rs
+++ b/iax2/fuzz/fuzz_targets/datagrams.rs
@@ -4,11 +4,11 @@
 #![no_main]
 
 use bytes::Bytes;
-use iax2::{Elements, Endpoint, Happening, Limits};
+use iax2::{Elements, Endpoint, Event, Limits};
 use libfuzzer_sys::fuzz_target;
 
 fuzz_target!(|data: &[u8]| {
-    let limits = Limits { legs: 20, ..Limits::default() };
+    let limits = Limits { max_legs: 20, ..Limits::default() };
     let mut end = Endpoint::new(limits, 1);
     let peer = "127.0.0.1:4569".parse().expect("an address");
     let mut now = 0.0;
@@ -21,13 +21,13 @@
         now += f64::from(*step) * 20.0;
         end.receive(now, peer, &Bytes::copy_from_slice(datagram));
         end.turn(now);
-        while let Some((leg, happening)) = end.happening() {
-            if matches!(happening, Happening::Offered { .. }) {
+        while let Some((leg, event)) = end.next_event() {
+            if matches!(event, Event::Offered { .. }) {
                 end.accept(now, leg, &Elements::new());
                 end.answer(now, leg, &Elements::new());
             }
         }
-        while end.datagram().is_some() {}
+        while end.next_datagram().is_some() {}
         assert!(end.legs() <= 20);
     }
 });
--- a/iax2/src/element.rs
+++ b/iax2/src/element.rs
@@ -26,7 +26,7 @@
 
 /// What is wrong with the body of a frame.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Malformed {
+pub enum DecodeError {
     #[error("element {0:#04x}: its length byte is missing")]
     NoLength(u8),
     #[error("element {kind:#04x}: {wanted} bytes announced, {there} there")]
@@ -49,14 +49,14 @@
     }
 
     /// Takes a body apart; each element is a view of it, not a copy.
-    pub fn read(mut body: Bytes) -> Result<Self, Malformed> {
+    pub fn read(mut body: Bytes) -> Result<Self, DecodeError> {
         let mut all = Vec::new();
         while !body.is_empty() {
             let kind = body[0];
-            let wanted = usize::from(*body.get(1).ok_or(Malformed::NoLength(kind))?);
+            let wanted = usize::from(*body.get(1).ok_or(DecodeError::NoLength(kind))?);
             let there = body.len() - 2;
             if there < wanted {
-                return Err(Malformed::Short { kind, wanted, there });
+                return Err(DecodeError::Short { kind, wanted, there });
             }
             let _ = body.split_to(2);
             all.push((kind, body.split_to(wanted)));
--- a/iax2/src/endpoint/legs.rs
+++ b/iax2/src/endpoint/legs.rs
@@ -8,7 +8,7 @@
 use ordered_float::OrderedFloat;
 
 use super::state::{Phase, State};
-use super::{End, Endpoint, HIGHEST_LEG, Happening, Leg};
+use super::{EndReason, Endpoint, Event, Leg, MAX_LEG_NUMBER};
 
 impl Endpoint {
     /// How far the leg has come; `None` where there is none.
@@ -20,15 +20,15 @@
     pub(super) fn up(&mut self, leg: Leg, now: f64) {
         let state = &mut self.legs[leg];
         state.phase = Phase::Up;
-        state.ping_at = now + self.limits.ping;
+        state.ping_at = now + self.limits.ping_interval;
         self.queue(leg);
     }
 
     /// A number that no leg or probe to this peer has; they go round, so that one rests as long as it can.
     pub(super) fn free_number(&mut self, peer: SocketAddr) -> Option<u16> {
-        for _ in 0..HIGHEST_LEG {
+        for _ in 0..MAX_LEG_NUMBER {
             let number = self.next;
-            self.next = if number >= HIGHEST_LEG { 1 } else { number + 1 };
+            self.next = if number >= MAX_LEG_NUMBER { 1 } else { number + 1 };
             if !self.ours.contains_key(&(peer, number)) && !self.pokes.contains_key(&(peer, number)) {
                 return Some(number);
             }
@@ -38,7 +38,7 @@
 
     /// Makes a leg; `None` where legs or numbers have run out.
     pub(super) fn begin(&mut self, now: f64, peer: SocketAddr, theirs: u16, phase: Phase) -> Option<Leg> {
-        if self.legs.len() >= self.limits.legs {
+        if self.legs.len() >= self.limits.max_legs {
             return None;
         }
         let ours = self.free_number(peer)?;
@@ -93,15 +93,15 @@
         let state = &mut self.legs[leg];
         state.phase = Phase::Over;
         state.ping_at = f64::INFINITY;
-        state.remove_at = now + rest + self.limits.resend;
+        state.remove_at = now + rest + self.limits.resend_delay;
         state.offer = state.offer.take().map(|(stamp, body)| (stamp, Bytes::copy_from_slice(&body)));
         self.queue(leg);
     }
 
     /// The leg is over, and this is why.
-    pub(super) fn ended(&mut self, leg: Leg, now: f64, end: End) {
+    pub(super) fn ended(&mut self, leg: Leg, now: f64, end: EndReason) {
         self.legs[leg].unacknowledged.clear();
         self.over(leg, now);
-        self.happenings.push_back((leg, Happening::Ended(end)));
+        self.happenings.push_back((leg, Event::Ended(end)));
     }
 }
--- a/iax2/src/endpoint/mod.rs
+++ b/iax2/src/endpoint/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Feed it with [`Endpoint::receive`], [`Endpoint::refused`] and [`Endpoint::turn`] (when [`Endpoint::due`]
 //! has come), then drain [`Endpoint::datagram`] and [`Endpoint::happening`]. A leg is begun by
-//! [`Endpoint::call`] or by a NEW of a peer, and lives until [`Happening::Ended`].
+//! [`Endpoint::call`] or by a NEW of a peer, and lives until [`Event::Ended`].
 
 mod legs;
 mod receive;
@@ -23,10 +23,10 @@
 use slotmap::{SlotMap, new_key_type};
 
 use crate::element::{self, Elements};
-use crate::frame::{HIGHEST_NUMBER, Mini, control, iax, kind};
+use crate::frame::{MAX_CALL_NUMBER, Mini, control, iax, kind};
 
 use state::{Phase, State};
-pub use types::{Counts, Datagram, End, Happening, Limits, Media, Poke};
+pub use types::{Counts, Datagram, EndReason, Event, Limits, Media, Poke};
 
 new_key_type! {
     /// A call leg, from its NEW until it has ended.
@@ -34,7 +34,7 @@
 }
 
 /// The highest call number of a leg: the one above answers probes and calls that get no leg.
-const HIGHEST_LEG: u16 = HIGHEST_NUMBER - 1;
+const MAX_LEG_NUMBER: u16 = MAX_CALL_NUMBER - 1;
 
 /// The legs of one socket.
 pub struct Endpoint {
@@ -48,7 +48,7 @@
     next: u16,
     wakes: BinaryHeap<Reverse<(OrderedFloat<f64>, Leg)>>,
     datagrams: VecDeque<Datagram>,
-    happenings: VecDeque<(Leg, Happening)>,
+    happenings: VecDeque<(Leg, Event)>,
     counts: Counts,
 }
 
@@ -62,7 +62,7 @@
             theirs: HashMap::new(),
             pokes: HashMap::new(),
             poked: VecDeque::new(),
-            next: Pcg64Mcg::seed_from_u64(seed).random_range(1..=HIGHEST_LEG),
+            next: Pcg64Mcg::seed_from_u64(seed).random_range(1..=MAX_LEG_NUMBER),
             wakes: BinaryHeap::new(),
             datagrams: VecDeque::new(),
             happenings: VecDeque::new(),
@@ -81,12 +81,12 @@
     }
 
     /// The next datagram to send.
-    pub fn datagram(&mut self) -> Option<Datagram> {
+    pub fn next_datagram(&mut self) -> Option<Datagram> {
         self.datagrams.pop_front()
     }
 
     /// The next thing that happened.
-    pub fn happening(&mut self) -> Option<(Leg, Happening)> {
+    pub fn next_event(&mut self) -> Option<(Leg, Event)> {
         self.happenings.pop_front()
     }
 
@@ -118,7 +118,7 @@
         let mut body = BytesMut::new();
         elements.write(&mut body);
         let Poke { peer, source, timestamp } = *poke;
-        self.bare(peer, HIGHEST_NUMBER, source, timestamp, 0, 1, iax::PONG, body.freeze());
+        self.bare(peer, MAX_CALL_NUMBER, source, timestamp, 0, 1, iax::PONG, body.freeze());
     }
 
     /// ACCEPT (RFC 5456, 6.2.3), where the leg awaits it.
@@ -179,7 +179,7 @@
     }
 
     /// The network told that nobody listens at the address: what hangs on it has ended.
-    pub fn refused(&mut self, now: f64, peer: SocketAddr) {
+    pub fn connection_refused(&mut self, now: f64, peer: SocketAddr) {
         let there: Vec<Leg> = self
             .legs
             .iter()
@@ -188,7 +188,7 @@
             .collect();
         for leg in there {
             self.legs[leg].unacknowledged.clear();
-            self.ended(leg, now, End::Refused);
+            self.ended(leg, now, EndReason::Refused);
         }
     }
 }
--- a/iax2/src/endpoint/receive.rs
+++ b/iax2/src/endpoint/receive.rs
@@ -5,10 +5,10 @@
 use bytes::{Bytes, BytesMut};
 
 use super::state::Phase;
-use super::{End, Endpoint, Happening, Leg, Media, Poke};
+use super::{EndReason, Endpoint, Event, Leg, Media, Poke};
 use crate::cause;
 use crate::element::{self, Elements};
-use crate::frame::{self, Frame, Full, HIGHEST_NUMBER, Mini, control, iax, kind};
+use crate::frame::{self, Frame, Full, MAX_CALL_NUMBER, Mini, control, iax, kind};
 
 impl Endpoint {
     /// A datagram came. Anything may stand in it.
@@ -17,7 +17,7 @@
             Ok(Frame::Full(full)) => self.full(now, peer, full),
             Ok(Frame::Mini(mini)) => self.mini(peer, mini),
             Ok(Frame::Trunk(minis)) => minis.into_iter().for_each(|mini| self.mini(peer, mini)),
-            Ok(Frame::Video(_)) => self.counts.strays += 1,
+            Ok(Frame::Video(_)) => self.counts.unmatched += 1,
             Err(_) => self.counts.malformed += 1,
         }
     }
@@ -32,9 +32,9 @@
                 let timestamp = whole.wrapping_add_signed(i32::from(near));
                 self.legs[leg].heard_at = timestamp;
                 let media = Media { timestamp, full: None, body: mini.body };
-                self.happenings.push_back((leg, Happening::Media(media)));
+                self.happenings.push_back((leg, Event::Media(media)));
             }
-            None => self.counts.strays += 1,
+            None => self.counts.unmatched += 1,
         }
     }
 
@@ -44,7 +44,7 @@
         }
         if full.is(kind::IAX, iax::POKE) {
             let poke = Poke { peer, source: full.source, timestamp: full.timestamp };
-            return self.happenings.push_back((Leg::default(), Happening::Poked(poke)));
+            return self.happenings.push_back((Leg::default(), Event::Poked(poke)));
         }
         match self.leg_of(peer, &full) {
             Some(leg) => self.on_leg(now, leg, full),
@@ -69,17 +69,17 @@
         let iseq = full.oseq.wrapping_add(1);
         self.bare(peer, full.dest, full.source, full.timestamp, 1, iseq, iax::ACK, Bytes::new());
         let elements = Elements::read(full.body).unwrap_or_default();
-        self.happenings.push_back((Leg::default(), Happening::Pong { peer, elements }));
+        self.happenings.push_back((Leg::default(), Event::Pong { peer, elements }));
     }
 
     /// A frame for no leg (RFC 5456, 6.9.2). What is outside the sequence is never answered, so that no two
     /// ends can go on telling each other.
     fn stray(&mut self, peer: SocketAddr, full: &Full) {
-        self.counts.strays += 1;
-        if full.counts() {
+        self.counts.unmatched += 1;
+        if full.is_sequenced() {
             let iseq = full.oseq.wrapping_add(1);
             // A source of 0 is no frame: one that was sent before it knew ours is told by another.
-            let source = if full.dest == 0 { HIGHEST_NUMBER } else { full.dest };
+            let source = if full.dest == 0 { MAX_CALL_NUMBER } else { full.dest };
             self.bare(peer, source, full.source, full.timestamp, full.iseq, iseq, iax::INVAL, Bytes::new());
         }
     }
@@ -94,7 +94,7 @@
             }
             // The peer has begun anew and uses the number again.
             if state.phase != Phase::Over {
-                self.ended(leg, now, End::Unknown);
+                self.ended(leg, now, EndReason::Unknown);
             }
             self.legs[leg].unacknowledged.clear();
             self.theirs.remove(&(peer, full.source));
@@ -108,7 +108,8 @@
         state.offer = Some((full.timestamp, full.body));
         self.send_aside(leg, iax::ACK, full.timestamp);
         let elements = read.expect("known");
-        self.happenings.push_back((leg, Happening::Offered { peer, elements, again: full.again }));
+        self.happenings
+            .push_back((leg, Event::Offered { peer, elements, retransmitted: full.retransmitted }));
     }
 
     /// Rejects a NEW without a leg for it: the same bytes are told the same again, and nothing is kept.
@@ -119,7 +120,7 @@
         let mut body = BytesMut::new();
         Elements::new().with_cause(why).write(&mut body);
         let iseq = full.oseq.wrapping_add(1);
-        let (source, dest, body) = (HIGHEST_NUMBER, full.source, body.freeze());
+        let (source, dest, body) = (MAX_CALL_NUMBER, full.source, body.freeze());
         self.bare(peer, source, dest, full.timestamp, 0, iseq, iax::REJECT, body);
     }
 
@@ -132,7 +133,7 @@
             // An old leg that the peer had under this number is over for it.
             let old = self.theirs.insert(key, leg);
             if let Some(old) = old.filter(|&old| old != leg && self.legs[old].phase != Phase::Over) {
-                self.ended(old, now, End::Unknown);
+                self.ended(old, now, EndReason::Unknown);
             }
         }
         let state = &mut self.legs[leg];
@@ -143,11 +144,11 @@
             }
             state.unacknowledged.pop_front();
         }
-        if !full.counts() {
+        if !full.is_sequenced() {
             match full.subclass {
                 iax::INVAL if full.kind == kind::IAX && state.phase != Phase::Over => {
                     state.unacknowledged.clear();
-                    self.ended(leg, now, End::Unknown);
+                    self.ended(leg, now, EndReason::Unknown);
                 }
                 iax::INVAL => state.unacknowledged.clear(),
                 iax::VNAK => {
@@ -197,14 +198,14 @@
         let tell = match (full.kind, full.subclass) {
             (kind::IAX, iax::ACCEPT) if phase == Phase::Calling => {
                 self.legs[leg].phase = Phase::Linked;
-                Happening::Accepted(elements(full.body))
+                Event::Accepted(elements(full.body))
             }
             (kind::IAX, iax::REJECT) if phase == Phase::Calling => {
-                let end = End::Peer { rejected: true, elements: elements(full.body) };
+                let end = EndReason::Peer { rejected: true, elements: elements(full.body) };
                 return self.ended(leg, now, end);
             }
             (kind::IAX, iax::HANGUP) => {
-                let end = End::Peer { rejected: false, elements: elements(full.body) };
+                let end = EndReason::Peer { rejected: false, elements: elements(full.body) };
                 return self.ended(leg, now, end);
             }
             (kind::CONTROL, control::HANGUP | control::BUSY | control::CONGESTION) if phase != Phase::Up => {
@@ -213,17 +214,17 @@
                     control::CONGESTION => cause::CONGESTION,
                     _ => cause::NORMAL_CLEARING,
                 };
-                let end = End::Peer { rejected: false, elements: Elements::new().with_cause(code) };
+                let end = EndReason::Peer { rejected: false, elements: Elements::new().with_cause(code) };
                 self.end(now, leg, &Elements::new());
-                return self.happenings.push_back((leg, Happening::Ended(end)));
+                return self.happenings.push_back((leg, Event::Ended(end)));
             }
-            (kind::CONTROL, control::RINGING) if phase == Phase::Linked => Happening::Ringing,
+            (kind::CONTROL, control::RINGING) if phase == Phase::Linked => Event::Ringing,
             (kind::CONTROL, control::PROCEEDING | control::PROGRESS) if phase == Phase::Linked => {
-                Happening::Proceeding
+                Event::Proceeding
             }
             (kind::CONTROL, control::ANSWER) if matches!(phase, Phase::Calling | Phase::Linked) => {
                 self.up(leg, now);
-                Happening::Answered(elements(full.body))
+                Event::Answered(elements(full.body))
             }
             (kind::IAX, iax::PONG | iax::LAGRP | iax::UNSUPPORT) => return,
             (kind::IAX, subclass) => {
@@ -234,7 +235,7 @@
             (kind, subclass) => {
                 let media =
                     Media { timestamp: full.timestamp, full: Some((kind, subclass)), body: full.body };
-                Happening::Media(media)
+                Event::Media(media)
             }
         };
         self.happenings.push_back((leg, tell));
--- a/iax2/src/endpoint/send.rs
+++ b/iax2/src/endpoint/send.rs
@@ -36,12 +36,12 @@
         subclass: u32,
         body: Bytes,
     ) {
-        let resend = self.limits.resend;
+        let resend = self.limits.resend_delay;
         let state = &mut self.legs[leg];
         let full = Full {
             source: state.ours,
             dest: state.theirs,
-            again: false,
+            retransmitted: false,
             timestamp,
             oseq: state.oseq,
             iseq: state.iseq,
@@ -81,8 +81,17 @@
         subclass: u32,
         body: Bytes,
     ) {
-        let full =
-            Full { source, dest, again: false, timestamp, oseq, iseq, kind: kind::IAX, subclass, body };
+        let full = Full {
+            source,
+            dest,
+            retransmitted: false,
+            timestamp,
+            oseq,
+            iseq,
+            kind: kind::IAX,
+            subclass,
+            body,
+        };
         self.datagrams.push_back(Datagram { peer, bytes: full.write().freeze() });
     }
 
--- a/iax2/src/endpoint/timers.rs
+++ b/iax2/src/endpoint/timers.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 
 use super::state::Phase;
-use super::{End, Endpoint, Leg};
+use super::{EndReason, Endpoint, Leg};
 use crate::frame::{iax, kind};
 
 impl Endpoint {
@@ -38,11 +38,11 @@
             return self.remove(leg);
         }
         if state.unacknowledged.front().is_some_and(|sent| sent.due <= now) {
-            if state.unacknowledged.iter().any(|sent| sent.due <= now && sent.resends >= limits.resends) {
+            if state.unacknowledged.iter().any(|sent| sent.due <= now && sent.resends >= limits.max_resends) {
                 let heard = state.heard;
                 state.unacknowledged.clear();
                 if state.phase != Phase::Over {
-                    self.ended(leg, now, End::Silent { heard });
+                    self.ended(leg, now, EndReason::Silent { heard });
                 }
                 return;
             }
@@ -51,7 +51,7 @@
             late.into_iter().for_each(|oseq| self.resend(leg, now, oseq));
         }
         if self.legs[leg].ping_at <= now {
-            self.legs[leg].ping_at = now + limits.ping;
+            self.legs[leg].ping_at = now + limits.ping_interval;
             self.send(leg, now, kind::IAX, iax::PING, Bytes::new());
         }
     }
--- a/iax2/src/endpoint/types.rs
+++ b/iax2/src/endpoint/types.rs
@@ -10,25 +10,25 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Legs at once, those at rest with them; past that a NEW is turned away with no leg made for it.
-    pub legs: usize,
+    pub max_legs: usize,
     /// The first wait for an acknowledgement; each further one is twice as long.
-    pub resend: f64,
+    pub resend_delay: f64,
     /// How often a frame is sent again before its leg is given up.
-    pub resends: u32,
+    pub max_resends: u32,
     /// A leg that stands is asked for a sign of life this often.
-    pub ping: f64,
+    pub ping_interval: f64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { legs: 20_000, resend: 500.0, resends: 4, ping: 20_000.0 }
+        Self { max_legs: 20_000, resend_delay: 500.0, max_resends: 4, ping_interval: 20_000.0 }
     }
 }
 
 impl Limits {
     /// From the first sending of a frame until no copy of it is sent any more.
     pub(super) fn whole_resend(&self) -> f64 {
-        self.resend * f64::from((1u32 << (self.resends + 1).min(31)) - 1)
+        self.resend_delay * f64::from((1u32 << (self.max_resends + 1).min(31)) - 1)
     }
 }
 
@@ -51,7 +51,7 @@
 
 /// How a leg came to its end.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
+pub enum EndReason {
     /// The peer sent HANGUP or REJECT.
     Peer { rejected: bool, elements: Elements },
     /// The peer knows nothing of the leg (INVAL), or has begun anew under its number.
@@ -72,20 +72,20 @@
 
 /// What happened to a leg.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Happening {
+pub enum Event {
     /// A peer's NEW: answer it with [`Endpoint::accept`](super::Endpoint::accept) or
     /// [`Endpoint::end`](super::Endpoint::end). `again` when an earlier copy of it was lost.
     Offered {
         peer: SocketAddr,
         elements: Elements,
-        again: bool,
+        retransmitted: bool,
     },
     Accepted(Elements),
     Ringing,
     Proceeding,
     Answered(Elements),
     Media(Media),
-    Ended(End),
+    Ended(EndReason),
     /// A peer's probe; comes with a leg of no further use.
     Poked(Poke),
     /// A PONG to [`Endpoint::poke`](super::Endpoint::poke); comes with a leg of no further use.
@@ -99,7 +99,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub malformed: u64,
-    pub strays: u64,
+    pub unmatched: u64,
     pub duplicates: u64,
     pub out_of_order: u64,
     pub resent: u64,
--- a/iax2/src/frame.rs
+++ b/iax2/src/frame.rs
@@ -7,11 +7,11 @@
 use thiserror::Error;
 
 /// Call numbers have 15 bits; 0 stands for none yet.
-pub const HIGHEST_NUMBER: u16 = 0x7fff;
+pub const MAX_CALL_NUMBER: u16 = 0x7fff;
 /// Bytes before the body of a full frame.
-pub const FULL_HEADER: usize = 12;
+pub const FULL_HEADER_BYTES: usize = 12;
 /// Bytes before the body of a mini frame.
-pub const MINI_HEADER: usize = 4;
+pub const MINI_HEADER_BYTES: usize = 4;
 
 /// Frame types (RFC 5456, 8.2).
 pub mod kind {
@@ -59,7 +59,7 @@
 
 /// What is wrong with a datagram.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Malformed {
+pub enum DecodeError {
     #[error("datagram: {0} bytes, too few for any frame")]
     Short(usize),
     #[error("full frame: {0} bytes, its header has 12")]
@@ -80,7 +80,7 @@
     pub source: u16,
     pub dest: u16,
     /// Set on everything that is sent again.
-    pub again: bool,
+    pub retransmitted: bool,
     /// Milliseconds since the sender's first frame of the call.
     pub timestamp: u32,
     pub oseq: u8,
@@ -115,15 +115,15 @@
     }
 
     /// Whether the frame takes a place in its sender's sequence (RFC 5456, 7): all but these few do.
-    pub fn counts(&self) -> bool {
+    pub fn is_sequenced(&self) -> bool {
         let outside = [iax::ACK, iax::INVAL, iax::VNAK, iax::TXCNT, iax::TXACC];
         self.kind != kind::IAX || !outside.contains(&self.subclass)
     }
 
     pub fn write(&self) -> BytesMut {
-        let mut out = BytesMut::with_capacity(FULL_HEADER + self.body.len());
+        let mut out = BytesMut::with_capacity(FULL_HEADER_BYTES + self.body.len());
         out.put_u16(0x8000 | self.source);
-        out.put_u16(if self.again { 0x8000 } else { 0 } | self.dest);
+        out.put_u16(if self.retransmitted { 0x8000 } else { 0 } | self.dest);
         out.put_u32(self.timestamp);
         out.put_u8(self.oseq);
         out.put_u8(self.iseq);
@@ -139,7 +139,7 @@
 
 impl Mini {
     pub fn write(&self) -> BytesMut {
-        let mut out = BytesMut::with_capacity(MINI_HEADER + self.body.len());
+        let mut out = BytesMut::with_capacity(MINI_HEADER_BYTES + self.body.len());
         out.put_u16(self.source);
         out.put_u16(self.timestamp);
         out.put_slice(&self.body);
@@ -164,66 +164,66 @@
 }
 
 /// Takes a datagram apart.
-pub fn read(datagram: &Bytes) -> Result<Frame, Malformed> {
+pub fn read(datagram: &Bytes) -> Result<Frame, DecodeError> {
     let (Some(first), Some(second)) = (u16_at(datagram, 0), u16_at(datagram, 2)) else {
-        return Err(Malformed::Short(datagram.len()));
+        return Err(DecodeError::Short(datagram.len()));
     };
     if first & 0x8000 != 0 {
         return full(datagram, first, second);
     }
     if first != 0 {
-        let body = datagram.slice(MINI_HEADER..);
+        let body = datagram.slice(MINI_HEADER_BYTES..);
         return Ok(Frame::Mini(Mini { source: first, timestamp: second, body }));
     }
     if second & 0x8000 != 0 {
-        let timestamp = u16_at(datagram, 4).ok_or(Malformed::Short(datagram.len()))?;
+        let timestamp = u16_at(datagram, 4).ok_or(DecodeError::Short(datagram.len()))?;
         let body = datagram.slice(6..);
         return Ok(Frame::Video(Mini {
-            source: second & HIGHEST_NUMBER,
+            source: second & MAX_CALL_NUMBER,
             timestamp: timestamp & 0x7fff,
             body,
         }));
     }
     match (second >> 8) as u8 {
         1 => trunk(datagram, second & 1 == 1),
-        other => Err(Malformed::Command(other)),
+        other => Err(DecodeError::Command(other)),
     }
 }
 
-fn full(datagram: &Bytes, first: u16, second: u16) -> Result<Frame, Malformed> {
-    if datagram.len() < FULL_HEADER {
-        return Err(Malformed::ShortFull(datagram.len()));
+fn full(datagram: &Bytes, first: u16, second: u16) -> Result<Frame, DecodeError> {
+    if datagram.len() < FULL_HEADER_BYTES {
+        return Err(DecodeError::ShortFull(datagram.len()));
     }
-    let source = first & HIGHEST_NUMBER;
+    let source = first & MAX_CALL_NUMBER;
     if source == 0 {
-        return Err(Malformed::NoSource);
+        return Err(DecodeError::NoSource);
     }
     let coded = datagram[11];
     let subclass = match coded {
         0..=0x7f => u32::from(coded),
         // 0xff stands for -1 there, which no frame that is read here uses.
-        _ => 1u32.checked_shl(u32::from(coded & 0x7f)).ok_or(Malformed::Subclass(coded))?,
+        _ => 1u32.checked_shl(u32::from(coded & 0x7f)).ok_or(DecodeError::Subclass(coded))?,
     };
     Ok(Frame::Full(Full {
         source,
-        dest: second & HIGHEST_NUMBER,
-        again: second & 0x8000 != 0,
+        dest: second & MAX_CALL_NUMBER,
+        retransmitted: second & 0x8000 != 0,
         timestamp: u32::from_be_bytes([datagram[4], datagram[5], datagram[6], datagram[7]]),
         oseq: datagram[8],
         iseq: datagram[9],
         kind: datagram[10],
         subclass,
-        body: datagram.slice(FULL_HEADER..),
+        body: datagram.slice(FULL_HEADER_BYTES..),
     }))
 }
 
-fn trunk(datagram: &Bytes, with_times: bool) -> Result<Frame, Malformed> {
+fn trunk(datagram: &Bytes, with_times: bool) -> Result<Frame, DecodeError> {
     let mut rest = datagram.slice(datagram.len().min(8)..);
-    let stamp = u16_at(datagram, 6).ok_or(Malformed::Short(datagram.len()))?;
+    let stamp = u16_at(datagram, 6).ok_or(DecodeError::Short(datagram.len()))?;
     let mut entries = Vec::new();
     while !rest.is_empty() {
         let head = if with_times { 6 } else { 4 };
-        let short = |wanted| Malformed::ShortEntry { wanted, there: rest.len() };
+        let short = |wanted| DecodeError::ShortEntry { wanted, there: rest.len() };
         let (a, b) = u16_at(&rest, 0).zip(u16_at(&rest, 2)).ok_or(short(head))?;
         // With times the length comes first, without them the call number.
         let (length, source) = if with_times { (a, b) } else { (b, a) };
@@ -233,7 +233,7 @@
             return Err(short(wanted));
         }
         let entry = rest.split_to(wanted);
-        entries.push(Mini { source: source & HIGHEST_NUMBER, timestamp, body: entry.slice(head..) });
+        entries.push(Mini { source: source & MAX_CALL_NUMBER, timestamp, body: entry.slice(head..) });
     }
     Ok(Frame::Trunk(entries))
 }
--- a/iax2/src/lib.rs
+++ b/iax2/src/lib.rs
@@ -12,4 +12,4 @@
 pub mod frame;
 
 pub use element::Elements;
-pub use endpoint::{Counts, Datagram, End, Endpoint, Happening, Leg, Limits, Media, Poke};
+pub use endpoint::{Counts, Datagram, EndReason, Endpoint, Event, Leg, Limits, Media, Poke};
--- a/iax2/tests/legs.rs
+++ b/iax2/tests/legs.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use iax2::element::{self, Elements};
 use iax2::frame::{self, Frame, iax, kind};
-use iax2::{Datagram, End, Endpoint, Happening, Leg, Limits};
+use iax2::{Datagram, EndReason, Endpoint, Event, Leg, Limits};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -19,7 +19,7 @@
     ends: [Endpoint; 2],
     now: f64,
     on_the_way: Vec<(f64, usize, Bytes)>,
-    happened: [Vec<(Leg, Happening)>; 2],
+    happened: [Vec<(Leg, Event)>; 2],
     sent: [Vec<Bytes>; 2],
     chance: Pcg64Mcg,
     loss: f64,
@@ -29,7 +29,7 @@
 
 impl Link {
     fn new(seed: u64, loss: f64) -> Self {
-        let end = |seed| Endpoint::new(Limits { ping: 1e9, ..Limits::default() }, seed);
+        let end = |seed| Endpoint::new(Limits { ping_interval: 1e9, ..Limits::default() }, seed);
         Self {
             ends: [end(seed), end(seed + 1)],
             now: 0.0,
@@ -45,7 +45,7 @@
 
     fn collect(&mut self) {
         for from in 0..2 {
-            while let Some(Datagram { bytes, .. }) = self.ends[from].datagram() {
+            while let Some(Datagram { bytes, .. }) = self.ends[from].next_datagram() {
                 self.sent[from].push(bytes.clone());
                 let copies = 1 + usize::from(self.chance.random::<f64>() < self.double);
                 for _ in 0..copies {
@@ -55,7 +55,7 @@
                     }
                 }
             }
-            while let Some(happening) = self.ends[from].happening() {
+            while let Some(happening) = self.ends[from].next_event() {
                 self.happened[from].push(happening);
             }
         }
@@ -88,11 +88,11 @@
     }
 
     fn offers(&self) -> Vec<Leg> {
-        let offers = self.happened[1].iter().filter(|(_, h)| matches!(h, Happening::Offered { .. }));
+        let offers = self.happened[1].iter().filter(|(_, h)| matches!(h, Event::Offered { .. }));
         offers.map(|(leg, _)| *leg).collect()
     }
 
-    fn count(&self, end: usize, which: impl Fn(&Happening) -> bool) -> usize {
+    fn count(&self, end: usize, which: impl Fn(&Event) -> bool) -> usize {
         self.happened[end].iter().filter(|(_, h)| which(h)).count()
     }
 }
@@ -110,11 +110,8 @@
         link.ends[1].answer(link.now, leg, &Elements::new());
     }
     link.run(16_000.0);
-    let answered: Vec<Leg> = link.happened[0]
-        .iter()
-        .filter(|(_, h)| matches!(h, Happening::Answered(_)))
-        .map(|(l, _)| *l)
-        .collect();
+    let answered: Vec<Leg> =
+        link.happened[0].iter().filter(|(_, h)| matches!(h, Event::Answered(_))).map(|(l, _)| *l).collect();
     assert!(answered.len() >= calls * 9 / 10, "{} of {calls}", answered.len());
     for leg in legs {
         link.ends[0].end(link.now, leg, &Elements::new().with_cause(16));
@@ -122,7 +119,7 @@
     link.run(60_000.0);
     for (end, happened) in link.happened.iter().enumerate() {
         for &(leg, _) in happened {
-            let ends = happened.iter().filter(|(l, h)| *l == leg && matches!(h, Happening::Ended(_))).count();
+            let ends = happened.iter().filter(|(l, h)| *l == leg && matches!(h, Event::Ended(_))).count();
             assert!(ends <= 1, "end {end}: a leg ends once");
         }
     }
@@ -140,7 +137,7 @@
     link.run(14_999.0);
     assert_eq!(link.sent[0].len(), 5, "after 500, 1500, 3500 and 7500 ms");
     link.run(16_000.0);
-    assert_eq!(link.happened[0], [(leg, Happening::Ended(End::Silent { heard: false }))]);
+    assert_eq!(link.happened[0], [(leg, Event::Ended(EndReason::Silent { heard: false }))]);
 }
 
 #[test]
@@ -167,8 +164,8 @@
     link.ends[1].accept(link.now, offer, &Elements::new());
     link.ends[1].answer(link.now, offer, &Elements::new());
     link.run(2_000.0);
-    assert_eq!(link.count(1, |h| matches!(h, Happening::Ended(End::Unknown))), 1);
-    assert_eq!(link.count(0, |h| matches!(h, Happening::Answered(_))), 0);
+    assert_eq!(link.count(1, |h| matches!(h, Event::Ended(EndReason::Unknown))), 1);
+    assert_eq!(link.count(0, |h| matches!(h, Event::Answered(_))), 0);
 }
 
 /// A sound link with a call on it that was offered and accepted.
@@ -188,8 +185,8 @@
     link.ends[1].answer(link.now, offer, &Elements::new());
     link.ends[0].end(link.now, leg, &Elements::new().with_cause(16));
     link.run(30_000.0);
-    assert_eq!(link.count(0, |h| matches!(h, Happening::Answered(_) | Happening::Ended(_))), 0);
-    assert_eq!(link.count(1, |h| matches!(h, Happening::Ended(_))), 1);
+    assert_eq!(link.count(0, |h| matches!(h, Event::Answered(_) | Event::Ended(_))), 0);
+    assert_eq!(link.count(1, |h| matches!(h, Event::Ended(_))), 1);
 }
 
 #[test]
@@ -202,7 +199,7 @@
     link.ends[0].call(link.now, address(2), &elements);
     link.run(200.0);
     assert_eq!(link.offers().len(), 2);
-    assert_eq!(link.count(1, |h| matches!(h, Happening::Ended(End::Unknown))), 1);
+    assert_eq!(link.count(1, |h| matches!(h, Event::Ended(EndReason::Unknown))), 1);
 }
 
 #[test]
@@ -213,18 +210,18 @@
     let text = iax2::Media { timestamp: 60, full: Some((kind::TEXT, 0)), body: Bytes::new() };
     link.ends[0].media(link.now, leg, &text);
     link.run(200.0);
-    assert_eq!(link.happened[0].last(), Some(&(leg, Happening::Ended(End::Unknown))));
+    assert_eq!(link.happened[0].last(), Some(&(leg, Event::Ended(EndReason::Unknown))));
 }
 
 #[test]
 fn past_its_legs_a_new_is_turned_away_and_costs_nothing() {
     let mut link = Link::new(1, 0.0);
-    link.ends[1] = Endpoint::new(Limits { legs: 1, ..Limits::default() }, 3);
+    link.ends[1] = Endpoint::new(Limits { max_legs: 1, ..Limits::default() }, 3);
     link.call();
     link.call();
     link.run(100.0);
     assert_eq!(link.offers().len(), 1);
-    let rejected = |h: &Happening| matches!(h, Happening::Ended(End::Peer { rejected: true, elements }) if elements.cause() == Some(42));
+    let rejected = |h: &Event| matches!(h, Event::Ended(EndReason::Peer { rejected: true, elements }) if elements.cause() == Some(42));
     assert_eq!(link.count(0, rejected), 1);
     assert_eq!(link.ends[1].counts().turned_away, 1);
 }
@@ -236,7 +233,7 @@
         let full = frame::Full {
             source: 5,
             dest: 77,
-            again: false,
+            retransmitted: false,
             timestamp: 1,
             oseq: 3,
             iseq: 2,
@@ -245,7 +242,7 @@
             body: Bytes::new(),
         };
         end.receive(0.0, address(9), &full.write().freeze());
-        end.datagram()
+        end.next_datagram()
     };
     let Some(Datagram { bytes, .. }) = send(&mut end, iax::PING) else { panic!("an answer") };
     let Ok(Frame::Full(full)) = frame::read(&bytes) else { panic!("a full frame") };
@@ -260,16 +257,16 @@
     let mut link = Link::new(1, 0.0);
     link.ends[0].poke(0.0, address(2));
     link.run(50.0);
-    let Some((_, Happening::Poked(poke))) = link.happened[1].pop() else { panic!("poked") };
+    let Some((_, Event::Poked(poke))) = link.happened[1].pop() else { panic!("poked") };
     link.ends[1].pong(&poke, &Elements::new().with(element::CAUSE, "well"));
     link.run(100.0);
-    let Some((_, Happening::Pong { elements, .. })) = link.happened[0].pop() else { panic!("ponged") };
+    let Some((_, Event::Pong { elements, .. })) = link.happened[0].pop() else { panic!("ponged") };
     assert_eq!(elements.text(element::CAUSE), Some("well"));
 }
 
 #[rstest]
 fn arbitrary_datagrams_leave_bounded_state(#[values(1, 2, 3)] seed: u64) {
-    let mut end = Endpoint::new(Limits { legs: 50, ..Limits::default() }, seed);
+    let mut end = Endpoint::new(Limits { max_legs: 50, ..Limits::default() }, seed);
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     for i in 0..20_000 {
         let mut bytes = vec![0u8; chance.random_range(0..40)];
@@ -283,11 +280,11 @@
         }
         end.receive(f64::from(i), address(chance.random_range(1..4)), &bytes.into());
         end.turn(f64::from(i));
-        while end.datagram().is_some() {}
-        while end.happening().is_some() {}
+        while end.next_datagram().is_some() {}
+        while end.next_event().is_some() {}
     }
     assert!(end.legs() <= 50);
-    assert!(end.counts().malformed > 0 && end.counts().strays > 0);
+    assert!(end.counts().malformed > 0 && end.counts().unmatched > 0);
 }
 
 #[test]
@@ -302,7 +299,7 @@
     }
     link.run(200.0);
     let times = link.happened[1].iter().filter_map(|(_, h)| match h {
-        Happening::Media(media) => Some(media.timestamp),
+        Event::Media(media) => Some(media.timestamp),
         _ => None,
     });
     let mut times: Vec<u32> = times.collect();
--- a/iax2/tests/wire.rs
+++ b/iax2/tests/wire.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use iax2::element::{self, Elements};
-use iax2::frame::{self, Frame, Full, Malformed, Mini, iax, kind};
+use iax2::frame::{self, DecodeError, Frame, Full, Mini, iax, kind};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -13,7 +13,7 @@
     let new = Full {
         source: 0x0102,
         dest: 0,
-        again: false,
+        retransmitted: false,
         timestamp: 3,
         oseq: 0,
         iseq: 0,
@@ -34,18 +34,18 @@
 fn a_power_of_two_is_coded_in_the_subclass() {
     let bytes = [0x80, 1, 0x80, 2, 0, 0, 0, 9, 5, 6, 2, 0x8f];
     let Ok(Frame::Full(voice)) = frame::read(&Bytes::copy_from_slice(&bytes)) else { panic!("a full frame") };
-    assert_eq!((voice.subclass, voice.again, voice.dest), (1 << 15, true, 2));
+    assert_eq!((voice.subclass, voice.retransmitted, voice.dest), (1 << 15, true, 2));
     assert_eq!(voice.write()[..], bytes);
 }
 
 #[rstest]
-#[case::three_bytes(&[1, 2, 3], Malformed::Short(3))]
-#[case::full_cut_off(&[0x80, 1, 0, 0, 0, 0], Malformed::ShortFull(6))]
-#[case::no_source(&[0x80, 0, 0, 0, 0, 0, 0, 0, 0, 0, 6, 1], Malformed::NoSource)]
-#[case::subclass_too_large(&[0x80, 1, 0, 0, 0, 0, 0, 0, 0, 0, 2, 0xa0], Malformed::Subclass(0xa0))]
-#[case::meta_command(&[0, 0, 9, 0, 0, 0, 0, 0], Malformed::Command(9))]
-#[case::trunk_entry(&[0, 0, 1, 1, 0, 0, 0, 0, 0, 9, 0, 1, 0, 0], Malformed::ShortEntry { wanted: 15, there: 6 })]
-fn what_is_wrong_is_told(#[case] bytes: &[u8], #[case] wanted: Malformed) {
+#[case::three_bytes(&[1, 2, 3], DecodeError::Short(3))]
+#[case::full_cut_off(&[0x80, 1, 0, 0, 0, 0], DecodeError::ShortFull(6))]
+#[case::no_source(&[0x80, 0, 0, 0, 0, 0, 0, 0, 0, 0, 6, 1], DecodeError::NoSource)]
+#[case::subclass_too_large(&[0x80, 1, 0, 0, 0, 0, 0, 0, 0, 0, 2, 0xa0], DecodeError::Subclass(0xa0))]
+#[case::meta_command(&[0, 0, 9, 0, 0, 0, 0, 0], DecodeError::Command(9))]
+#[case::trunk_entry(&[0, 0, 1, 1, 0, 0, 0, 0, 0, 9, 0, 1, 0, 0], DecodeError::ShortEntry { wanted: 15, there: 6 })]
+fn what_is_wrong_is_told(#[case] bytes: &[u8], #[case] wanted: DecodeError) {
     assert_eq!(frame::read(&Bytes::copy_from_slice(bytes)), Err(wanted));
 }
 
@@ -91,6 +91,6 @@
 #[test]
 fn an_element_longer_than_its_body_is_told() {
     let body = Bytes::from_static(&[1, 5, b'1']);
-    assert_eq!(Elements::read(body), Err(element::Malformed::Short { kind: 1, wanted: 5, there: 1 }));
-    assert_eq!(Elements::read(Bytes::from_static(&[1])), Err(element::Malformed::NoLength(1)));
+    assert_eq!(Elements::read(body), Err(element::DecodeError::Short { kind: 1, wanted: 5, there: 1 }));
+    assert_eq!(Elements::read(Bytes::from_static(&[1])), Err(element::DecodeError::NoLength(1)));
 }
--- a/lab/src/drill.rs
+++ b/lab/src/drill.rs
@@ -478,7 +478,7 @@
             pools.iter().map(move |&pool| Route { context: String::new(), prefix: prefix(pool), grade, pool })
         });
         let tenants = self.tenants.iter().enumerate().map(|(i, t)| (t.name.clone(), i));
-        let limits = Limits { resend: REPEAT, ..Limits::default() };
+        let limits = Limits { resend_delay: REPEAT, ..Limits::default() };
         ProxyTerms {
             terms: Terms {
                 proxies: self.fleet.proxies as u32,
--- a/lab/src/drills/release.rs
+++ b/lab/src/drills/release.rs
@@ -14,7 +14,7 @@
 use border::decided::{CommandOutcome, OperatorCommand};
 use bytes::Bytes;
 use daemon::control::{Wished, ask};
-use iax2::{Endpoint, Happening, Limits};
+use iax2::{Endpoint, Event, Limits};
 use outs::Kind;
 use tokio::net::UdpSocket;
 
@@ -84,14 +84,14 @@
         let now = began.elapsed().as_secs_f64() * 1000.0;
         prober.turn(now);
         addresses.iter().for_each(|&at| prober.poke(now, at));
-        while let Some(out) = prober.datagram() {
+        while let Some(out) = prober.next_datagram() {
             let _ = socket.try_send_to(&out.bytes, out.peer);
         }
         let end = tokio::time::Instant::now() + LOOK_EVERY;
         while let Ok(Ok((length, from))) = tokio::time::timeout_at(end, socket.recv_from(&mut buffer)).await {
             prober.receive(now, from, &Bytes::copy_from_slice(&buffer[..length]));
-            while let Some((_, happening)) = prober.happening() {
-                if let Happening::Pong { peer, .. } = happening
+            while let Some((_, happening)) = prober.next_event() {
+                if let Event::Pong { peer, .. } = happening
                     && let Some(proxy) = addresses.iter().position(|at| *at == peer)
                     && !tell(proxy)
                 {
--- a/lab/src/stand_ins/callers.rs
+++ b/lab/src/stand_ins/callers.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use iax2::element::{self, Elements};
 use iax2::frame::{self, Frame, iax, kind};
-use iax2::{Datagram, End, Endpoint, Happening, Leg, Limits, cause};
+use iax2::{Datagram, EndReason, Endpoint, Event, Leg, Limits, cause};
 use ordered_float::OrderedFloat;
 use rand::Rng;
 use rand_distr::{Distribution, Exp1};
@@ -89,7 +89,8 @@
 
 impl Callers {
     pub fn new(drill: &Drill, mut chance: Pcg64Mcg) -> Self {
-        let limits = Limits { legs: 1_000_000, resend: REPEAT, ping: 1e9, ..Limits::default() };
+        let limits =
+            Limits { max_legs: 1_000_000, resend_delay: REPEAT, ping_interval: 1e9, ..Limits::default() };
         let mut callers = Self {
             endpoint: Endpoint::new(limits, chance.random()),
             chance,
@@ -119,7 +120,7 @@
     }
 
     pub fn datagram(&mut self) -> Option<Datagram> {
-        self.endpoint.datagram()
+        self.endpoint.next_datagram()
     }
 
     pub fn receive(&mut self, now: f64, drill: &Drill, from: SocketAddr, bytes: &Bytes) {
@@ -245,11 +246,11 @@
     }
 
     fn hear(&mut self, now: f64, drill: &Drill) {
-        while let Some((leg, happening)) = self.endpoint.happening() {
+        while let Some((leg, happening)) = self.endpoint.next_event() {
             let Some(&number) = self.by_leg.get(leg) else { continue };
             let person = self.tries[number].person;
             match happening {
-                Happening::Answered(_) if !self.tries[number].over => {
+                Event::Answered(_) if !self.tries[number].over => {
                     self.people[person].stood_at = Some(now);
                     // The give-up that is planned finds a try that is over; another stands for its end.
                     let hold: f64 = Exp1.sample(&mut self.chance);
@@ -261,7 +262,7 @@
                     let hold = hold * drill.grades[self.people[person].grade].hold * 1000.0;
                     self.plan(now + hold, Plan::HangUp(kept));
                 }
-                Happening::Ended(end) => {
+                Event::Ended(end) => {
                     self.by_leg.remove(leg);
                     if std::mem::replace(&mut self.tries[number].over, true) {
                         continue;
@@ -271,7 +272,7 @@
                         continue;
                     }
                     let advice = match &end {
-                        End::Peer { elements, .. } => {
+                        EndReason::Peer { elements, .. } => {
                             let stopping = elements.cause() == Some(causes::STOPPING);
                             Hints::read(elements).retry_after.or(stopping.then_some(0))
                         }
--- a/lab/src/stand_ins/central.rs
+++ b/lab/src/stand_ins/central.rs
@@ -9,7 +9,7 @@
 use border::hints::Hints;
 use bytes::Bytes;
 use iax2::element::Elements;
-use iax2::{Datagram, Endpoint, Happening, Leg, Limits, Poke, cause};
+use iax2::{Datagram, Endpoint, Event, Leg, Limits, Poke, cause};
 use rand::Rng;
 use rand_distr::{Distribution, Exp1};
 use rand_pcg::Pcg64Mcg;
@@ -72,7 +72,7 @@
 impl Central {
     pub fn new(setup_work: f64, started: f64, reports: bool, mut chance: Pcg64Mcg) -> Self {
         Self {
-            endpoint: Endpoint::new(Limits { resend: REPEAT, ..Limits::default() }, chance.random()),
+            endpoint: Endpoint::new(Limits { resend_delay: REPEAT, ..Limits::default() }, chance.random()),
             setup_work,
             chance,
             setups: VecDeque::new(),
@@ -152,7 +152,7 @@
     }
 
     pub fn datagram(&mut self) -> Option<Datagram> {
-        self.endpoint.datagram()
+        self.endpoint.next_datagram()
     }
 
     /// Cuts all that stands, as a processor does that is stopped after its drain.
@@ -165,13 +165,13 @@
     }
 
     fn hear(&mut self, now: f64) {
-        while let Some((leg, happening)) = self.endpoint.happening() {
+        while let Some((leg, happening)) = self.endpoint.next_event() {
             match happening {
-                Happening::Offered { .. } => self.offered(now, leg),
-                Happening::Ended(_) if self.standing.remove(&leg) => {
+                Event::Offered { .. } => self.offered(now, leg),
+                Event::Ended(_) if self.standing.remove(&leg) => {
                     self.after.push_back(Job::Toil(RELEASE_WORK));
                 }
-                Happening::Poked(poke) => {
+                Event::Poked(poke) => {
                     self.probed += 1;
                     self.setups.push_back(Job::Probe(poke));
                 }
--- a/lab/src/witness/judge.rs
+++ b/lab/src/witness/judge.rs
@@ -120,7 +120,7 @@
         (kind::CONTROL, control::RINGING) => "RINGING",
         _ => "frame",
     };
-    let again = if full.again { " again" } else { "" };
+    let again = if full.retransmitted { " again" } else { "" };
     let (oseq, iseq) = (full.oseq, full.iseq);
     format!("{name}{again} {}>{} seq {oseq}/{iseq} at {} ms", full.source, full.dest, full.timestamp)
 }
@@ -208,7 +208,7 @@
             }
         }
         let Some(&number) = self.by_caller_leg.get(&(to, full.source)) else { return };
-        if full.is(kind::IAX, iax::HANGUP) && !full.again {
+        if full.is(kind::IAX, iax::HANGUP) && !full.retransmitted {
             self.caller_hangs_up(now, number);
         }
         self.trace(number, now, format!("caller: {}", say(&full)));
--- a/lab/tests/rules.rs
+++ b/lab/tests/rules.rs
@@ -117,7 +117,7 @@
     let full = Full {
         source,
         dest: 0,
-        again: false,
+        retransmitted: false,
         timestamp: 1,
         oseq: 0,
         iseq: 0,
@@ -153,7 +153,7 @@
         let full = Full {
             source: 4,
             dest: 1,
-            again: false,
+            retransmitted: false,
             timestamp: 9,
             oseq,
             iseq: 1,
--- a/proxy/src/border/callers.rs
+++ b/proxy/src/border/callers.rs
@@ -5,7 +5,7 @@
 use frostthread::host::{Call, Ending, Handle};
 use gossip::evidence::Evidence;
 use iax2::element::{self, Elements};
-use iax2::{Happening, Leg, cause};
+use iax2::{Event, Leg, cause};
 use records::entry::Outcome;
 use siphasher::sip::SipHasher13;
 
@@ -17,10 +17,12 @@
 
 impl<D: Decisions> BorderProxy<D> {
     pub(super) fn hear_callers(&mut self, waited: f64) {
-        while let Some((leg, happening)) = self.hands.callers.happening() {
+        while let Some((leg, happening)) = self.hands.callers.next_event() {
             match happening {
-                Happening::Offered { elements, again, .. } => self.offered(leg, &elements, again, waited),
-                Happening::Media(media) => {
+                Event::Offered { elements, retransmitted: again, .. } => {
+                    self.offered(leg, &elements, again, waited)
+                }
+                Event::Media(media) => {
                     let Some(&handle) = self.hands.by_caller.get(leg) else { continue };
                     let now = self.hands.now;
                     let shot =
@@ -29,12 +31,12 @@
                         self.hands.servers.media(now, to, &media);
                     }
                 }
-                Happening::Ended(_) => {
+                Event::Ended(_) => {
                     if let Some(&handle) = self.hands.by_caller.get(leg) {
                         self.caller_left(handle);
                     }
                 }
-                Happening::Poked(poke) => self.hands.callers.pong(&poke, &Elements::new()),
+                Event::Poked(poke) => self.hands.callers.pong(&poke, &Elements::new()),
                 _ => {}
             }
         }
--- a/proxy/src/border/mod.rs
+++ b/proxy/src/border/mod.rs
@@ -103,7 +103,7 @@
             routes: terms.routes,
             patience: terms.caller_timeout,
             answer_lead: terms.answer_lead,
-            caller_resend: terms.callers.resend,
+            caller_resend: terms.callers.resend_delay,
             hands: Hands {
                 callers: Endpoint::new(terms.callers, seed),
                 servers: Endpoint::new(terms.servers, seed.rotate_left(32)),
@@ -181,8 +181,8 @@
     pub fn connection_refused(&mut self, now: f64, side: Side, peer: SocketAddr) {
         self.advance_clock(now);
         match side {
-            Side::Callers => self.hands.callers.refused(now, peer),
-            Side::Servers => self.hands.servers.refused(now, peer),
+            Side::Callers => self.hands.callers.connection_refused(now, peer),
+            Side::Servers => self.hands.servers.connection_refused(now, peer),
             Side::Peers => {}
         }
         self.hear_callers(0.0);
@@ -276,8 +276,8 @@
         let hands = &mut self.hands;
         let of = |side| move |d: iax2::Datagram| Outbound { side, peer: d.peer, bytes: d.bytes };
         let peers = |d: gossip::Outgoing| Outbound { side: Side::Peers, peer: d.peer, bytes: d.bytes.into() };
-        let servers = hands.servers.datagram().map(of(Side::Servers));
-        let legs = servers.or_else(|| hands.callers.datagram().map(of(Side::Callers)));
+        let servers = hands.servers.next_datagram().map(of(Side::Servers));
+        let legs = servers.or_else(|| hands.callers.next_datagram().map(of(Side::Callers)));
         let (node, distributed) = (&mut hands.gossip, &mut hands.distributed);
         let gossiped = legs.or_else(|| node.as_mut().and_then(Node::outgoing).map(peers));
         gossiped.or_else(|| distributed.as_mut().and_then(Distribution::outgoing).map(peers))
--- a/proxy/src/border/servers.rs
+++ b/proxy/src/border/servers.rs
@@ -2,7 +2,7 @@
 
 use frostthread::host::{Ending, Handle, Report, Server};
 use iax2::element::{self, Elements};
-use iax2::{End, Happening, cause};
+use iax2::{EndReason, Event, cause};
 use records::entry::Outcome;
 
 use super::BorderProxy;
@@ -12,9 +12,9 @@
 
 impl<D: Decisions> BorderProxy<D> {
     pub(super) fn hear_servers(&mut self) {
-        while let Some((leg, happening)) = self.hands.servers.happening() {
+        while let Some((leg, happening)) = self.hands.servers.next_event() {
             match happening {
-                Happening::Pong { peer, elements } => {
+                Event::Pong { peer, elements } => {
                     let now = self.hands.now;
                     self.hands.tally.pongs += 1;
                     if let Some(decided) = &mut self.hands.decided {
@@ -25,9 +25,9 @@
                         self.reported(server, Hints::read(&elements).report());
                     }
                 }
-                Happening::Poked(poke) => self.hands.servers.pong(&poke, &Elements::new()),
+                Event::Poked(poke) => self.hands.servers.pong(&poke, &Elements::new()),
                 // No server has anything to offer here.
-                Happening::Offered { .. } => {
+                Event::Offered { .. } => {
                     let now = self.hands.now;
                     self.hands.servers.end(now, leg, &Elements::new().with_cause(cause::REJECTED));
                 }
@@ -40,27 +40,27 @@
         }
     }
 
-    pub(super) fn of_shot(&mut self, handle: Handle, happening: Happening) {
+    pub(super) fn of_shot(&mut self, handle: Handle, happening: Event) {
         let now = self.hands.now;
         let Some(conversation) = self.hands.conversation(handle) else { return };
         let caller = conversation.caller;
         let Some(server) = conversation.shot.as_ref().map(|shot| shot.server) else { return };
-        if !matches!(happening, Happening::Ended(End::Silent { .. } | End::Refused)) {
+        if !matches!(happening, Event::Ended(EndReason::Silent { .. } | EndReason::Refused)) {
             self.hands.witness(server, |evidence, life| evidence.answered(now, life));
         }
         let Some(conversation) = self.hands.conversation(handle) else { return };
         match happening {
-            Happening::Accepted(elements) => {
+            Event::Accepted(elements) => {
                 let first = !std::mem::replace(&mut conversation.accepted, true);
                 self.reported(server, Hints::read(&elements).report());
                 if first {
                     self.hands.callers.accept(now, caller, &elements.only(&[element::FORMAT]));
                 }
             }
-            Happening::Ringing if !std::mem::replace(&mut conversation.ringing, true) => {
+            Event::Ringing if !std::mem::replace(&mut conversation.ringing, true) => {
                 self.hands.callers.ringing(now, caller);
             }
-            Happening::Answered(elements) => {
+            Event::Answered(elements) => {
                 if std::mem::replace(&mut conversation.stands, true) {
                     return;
                 }
@@ -78,14 +78,14 @@
                 self.reported(server, Hints::read(&elements).report());
                 self.module.established(handle);
             }
-            Happening::Media(media) if conversation.stands => self.hands.callers.media(now, caller, &media),
-            Happening::Ended(end) => self.shot_ended(handle, server, &end),
+            Event::Media(media) if conversation.stands => self.hands.callers.media(now, caller, &media),
+            Event::Ended(end) => self.shot_ended(handle, server, &end),
             _ => {}
         }
     }
 
-    pub(super) fn shot_ended(&mut self, handle: Handle, server: Server, end: &End) {
-        if let End::Peer { elements, .. } = end {
+    pub(super) fn shot_ended(&mut self, handle: Handle, server: Server, end: &EndReason) {
+        if let EndReason::Peer { elements, .. } = end {
             self.reported(server, Hints::read(elements).report());
         }
         let Some(conversation) = self.hands.conversation(handle) else { return };
--- a/proxy/src/causes.rs
+++ b/proxy/src/causes.rs
@@ -2,7 +2,7 @@
 //! docs/wire.md has the same two tables for operators.
 
 use frostthread::host::Ending;
-use iax2::End;
+use iax2::EndReason;
 use iax2::cause;
 
 /// What a server's word means for a shot that does not stand yet.
@@ -17,25 +17,25 @@
 /// | INVAL | 6.9.2 | reset |
 /// | nobody listens there | - | no connection |
 /// | no acknowledgement of the NEW, however often sent | 7.2.1 | timed out: it may have run |
-pub fn attempt_ending(end: &End) -> Ending {
+pub fn attempt_ending(end: &EndReason) -> Ending {
     match end {
-        End::Peer { rejected, elements } => match elements.cause() {
+        EndReason::Peer { rejected, elements } => match elements.cause() {
             Some(cause::USER_BUSY) => Ending::Busy,
             Some(cause::NO_CIRCUIT) => Ending::NoLine,
             Some(cause::REJECTED | 38 | cause::CONGESTION | 47) => Ending::Nacked,
             _ if *rejected => Ending::Nacked,
             _ => Ending::Error,
         },
-        End::Unknown => Ending::Reset,
-        End::Silent { .. } => Ending::TimedOut,
-        End::Refused => Ending::NoConnection,
+        EndReason::Unknown => Ending::Reset,
+        EndReason::Silent { .. } => Ending::TimedOut,
+        EndReason::Refused => Ending::NoConnection,
     }
 }
 
 /// What a server's word means for a conversation that stands: cleared in the usual way, or cut.
-pub fn established_ending(end: &End) -> Ending {
+pub fn established_ending(end: &EndReason) -> Ending {
     match end {
-        End::Peer { elements, .. } => match elements.cause() {
+        EndReason::Peer { elements, .. } => match elements.cause() {
             None | Some(cause::NORMAL_CLEARING | cause::USER_BUSY | cause::NO_ANSWER | 31) => Ending::Ok,
             Some(_) => Ending::Reset,
         },
--- a/proxy/tests/stories.rs
+++ b/proxy/tests/stories.rs
@@ -17,7 +17,7 @@
 use gossip::{GossipTerms, Node};
 use iax2::element::{self, Elements};
 use iax2::frame::kind;
-use iax2::{End, Endpoint, Happening, Limits, Media, cause};
+use iax2::{EndReason, Endpoint, Event, Limits, Media, cause};
 use rstest::rstest;
 
 #[test]
@@ -30,10 +30,7 @@
     story.caller.end(story.now, leg, &Elements::new().with_cause(16));
     story.pass(10.0);
     assert!(
-        story
-            .at_servers
-            .iter()
-            .any(|(s, l, h)| *s == server && *l == shot && matches!(h, Happening::Ended(_)))
+        story.at_servers.iter().any(|(s, l, h)| *s == server && *l == shot && matches!(h, Event::Ended(_)))
     );
     assert_eq!(story.proxy.conversations(), 0);
 }
@@ -87,7 +84,7 @@
     story.caller.media(story.now, leg, &media("seats?"));
     story.servers[server].media(story.now, shot, &media("two"));
     story.pass(10.0);
-    let body = |h: &Happening| matches!(h, Happening::Media(m) if m.body == "seats?" || m.body == "two");
+    let body = |h: &Event| matches!(h, Event::Media(m) if m.body == "seats?" || m.body == "two");
     assert!(story.at_servers.iter().any(|(_, l, h)| *l == shot && body(h)));
     assert!(story.told.iter().any(|(l, h)| *l == leg && body(h)));
 }
@@ -136,7 +133,7 @@
     let ends = story
         .at_servers
         .iter()
-        .filter(|(s, l, h)| *s == server && *l == shot && matches!(h, Happening::Ended(_)));
+        .filter(|(s, l, h)| *s == server && *l == shot && matches!(h, Event::Ended(_)));
     assert_eq!(ends.count(), 1, "the late one is told that it is over");
 }
 
@@ -159,9 +156,8 @@
     let (server, shot) = story.latest();
     story.caller.end(story.now, first, &Elements::new());
     let second = story.call("1555", 3000);
-    let over = |(s, l, h): &(usize, iax2::Leg, Happening)| {
-        *s == server && *l == shot && matches!(h, Happening::Ended(_))
-    };
+    let over =
+        |(s, l, h): &(usize, iax2::Leg, Event)| *s == server && *l == shot && matches!(h, Event::Ended(_));
     assert!(story.at_servers.iter().any(over), "the first shot is called off");
     assert_eq!(story.proxy.conversations(), 1);
     story.answer();
@@ -179,7 +175,7 @@
     story.pass(50.0);
     assert!(!story.answered(leg));
     assert_eq!(story.proxy.conversations(), 0);
-    assert!(story.at_servers.iter().any(|(_, l, h)| *l == shot && matches!(h, Happening::Ended(_))));
+    assert!(story.at_servers.iter().any(|(_, l, h)| *l == shot && matches!(h, Event::Ended(_))));
 }
 
 #[test]
@@ -342,7 +338,7 @@
     story.pass(5.0);
     assert_eq!(story.proxy.status().servers[server].reported_rate, Some(12.0));
     assert_eq!(story.ended(leg), None);
-    assert!(!story.told.iter().any(|(_, h)| matches!(h, Happening::Ended(End::Unknown))));
+    assert!(!story.told.iter().any(|(_, h)| matches!(h, Event::Ended(EndReason::Unknown))));
 }
 
 /// A host that carries nothing out but keeps the shots.
