--- a/lab/src/drills/release.rs
+++ b/lab/src/drills/release.rs
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 
 use anyhow::{Result, bail};
-use border::decided::{Answer, Wish};
+use border::decided::{CommandOutcome, OperatorCommand};
 use bytes::Bytes;
 use daemon::control::{Wished, ask};
-use iax2::{Endpoint, Happening, Limits};
+use iax2::{Endpoint, Event, Limits};
 use outs::Kind;
 use tokio::net::UdpSocket;
 
@@ -51,15 +51,18 @@
         fs::create_dir_all(to.parent().unwrap_or(state))?;
         fs::write(to, CHANGE)?;
     }
-    let stage = Wish::Stage { kind: Kind::Settings, sum: hex::encode(sum), why: "a drill".to_owned() };
-    for wish in [stage, Wish::Start] {
+    let stage =
+        OperatorCommand::Stage { kind: Kind::Settings, sum: hex::encode(sum), why: "a drill".to_owned() };
+    for wish in [stage, OperatorCommand::Start] {
         let end = Instant::now() + Duration::from_secs(30);
         let mut tries = 0;
         loop {
             let control = states[tries % states.len()].join("control.sock");
             tries += 1;
             let word = serde_json::to_string(&Wished { wish: wish.clone(), dry: false })?;
-            if let Ok(Answer::Done { .. } | Answer::Already) = ask::<Answer>(&control, &word).await {
+            if let Ok(CommandOutcome::Done { .. } | CommandOutcome::Already) =
+                ask::<CommandOutcome>(&control, &word).await
+            {
                 break;
             }
             if Instant::now() > end {
@@ -81,14 +84,14 @@
         let now = began.elapsed().as_secs_f64() * 1000.0;
         prober.turn(now);
         addresses.iter().for_each(|&at| prober.poke(now, at));
-        while let Some(out) = prober.datagram() {
+        while let Some(out) = prober.next_datagram() {
             let _ = socket.try_send_to(&out.bytes, out.peer);
         }
         let end = tokio::time::Instant::now() + LOOK_EVERY;
         while let Ok(Ok((length, from))) = tokio::time::timeout_at(end, socket.recv_from(&mut buffer)).await {
             prober.receive(now, from, &Bytes::copy_from_slice(&buffer[..length]));
-            while let Some((_, happening)) = prober.happening() {
-                if let Happening::Pong { peer, .. } = happening
+            while let Some((_, happening)) = prober.next_event() {
+                if let Event::Pong { peer, .. } = happening
                     && let Some(proxy) = addresses.iter().position(|at| *at == peer)
                     && !tell(proxy)
                 {
--- a/lab/src/witness/judge.rs
+++ b/lab/src/witness/judge.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 use border::causes;
-use border::pool::{News, Readiness};
+use border::pool::{PoolUpdates, Readiness};
 use bytes::Bytes;
 use iax2::element::{self, Elements};
 use iax2::frame::{self, Frame, Full, control, iax, kind};
@@ -120,7 +120,7 @@
         (kind::CONTROL, control::RINGING) => "RINGING",
         _ => "frame",
     };
-    let again = if full.again { " again" } else { "" };
+    let again = if full.retransmitted { " again" } else { "" };
     let (oseq, iseq) = (full.oseq, full.iseq);
     format!("{name}{again} {}>{} seq {oseq}/{iseq} at {} ms", full.source, full.dest, full.timestamp)
 }
@@ -208,7 +208,7 @@
             }
         }
         let Some(&number) = self.by_caller_leg.get(&(to, full.source)) else { return };
-        if full.is(kind::IAX, iax::HANGUP) && !full.again {
+        if full.is(kind::IAX, iax::HANGUP) && !full.retransmitted {
             self.caller_hangs_up(now, number);
         }
         self.trace(number, now, format!("caller: {}", say(&full)));
@@ -413,7 +413,7 @@
     }
 
     /// A list reached a proxy.
-    pub fn delivered(&mut self, now: f64, proxy: usize, news: &News) {
+    pub fn delivered(&mut self, now: f64, proxy: usize, news: &PoolUpdates) {
         if news.whole {
             let named = |name: &String| news.servers.iter().any(|entry| entry.name == *name);
             let known: Vec<(usize, String)> =
--- a/proxy/src/border/servers.rs
+++ b/proxy/src/border/servers.rs
@@ -2,7 +2,7 @@
 
 use frostthread::host::{Ending, Handle, Report, Server};
 use iax2::element::{self, Elements};
-use iax2::{End, Happening, cause};
+use iax2::{EndReason, Event, cause};
 use records::entry::Outcome;
 
 use super::BorderProxy;
@@ -12,22 +12,22 @@
 
 impl<D: Decisions> BorderProxy<D> {
     pub(super) fn hear_servers(&mut self) {
-        while let Some((leg, happening)) = self.hands.servers.happening() {
+        while let Some((leg, happening)) = self.hands.servers.next_event() {
             match happening {
-                Happening::Pong { peer, elements } => {
+                Event::Pong { peer, elements } => {
                     let now = self.hands.now;
                     self.hands.tally.pongs += 1;
                     if let Some(decided) = &mut self.hands.decided {
-                        decided.answered(now, peer);
+                        decided.probe_answered(now, peer);
                     }
-                    if let Some(server) = self.hands.pool.at(peer) {
+                    if let Some(server) = self.hands.pool.server_at(peer) {
                         self.hands.witness(server, |evidence, life| evidence.answered(now, life));
                         self.reported(server, Hints::read(&elements).report());
                     }
                 }
-                Happening::Poked(poke) => self.hands.servers.pong(&poke, &Elements::new()),
+                Event::Poked(poke) => self.hands.servers.pong(&poke, &Elements::new()),
                 // No server has anything to offer here.
-                Happening::Offered { .. } => {
+                Event::Offered { .. } => {
                     let now = self.hands.now;
                     self.hands.servers.end(now, leg, &Elements::new().with_cause(cause::REJECTED));
                 }
@@ -40,27 +40,27 @@
         }
     }
 
-    pub(super) fn of_shot(&mut self, handle: Handle, happening: Happening) {
+    pub(super) fn of_shot(&mut self, handle: Handle, happening: Event) {
         let now = self.hands.now;
         let Some(conversation) = self.hands.conversation(handle) else { return };
         let caller = conversation.caller;
         let Some(server) = conversation.shot.as_ref().map(|shot| shot.server) else { return };
-        if !matches!(happening, Happening::Ended(End::Silent { .. } | End::Refused)) {
+        if !matches!(happening, Event::Ended(EndReason::Silent { .. } | EndReason::Refused)) {
             self.hands.witness(server, |evidence, life| evidence.answered(now, life));
         }
         let Some(conversation) = self.hands.conversation(handle) else { return };
         match happening {
-            Happening::Accepted(elements) => {
+            Event::Accepted(elements) => {
                 let first = !std::mem::replace(&mut conversation.accepted, true);
                 self.reported(server, Hints::read(&elements).report());
                 if first {
                     self.hands.callers.accept(now, caller, &elements.only(&[element::FORMAT]));
                 }
             }
-            Happening::Ringing if !std::mem::replace(&mut conversation.ringing, true) => {
+            Event::Ringing if !std::mem::replace(&mut conversation.ringing, true) => {
                 self.hands.callers.ringing(now, caller);
             }
-            Happening::Answered(elements) => {
+            Event::Answered(elements) => {
                 if std::mem::replace(&mut conversation.stands, true) {
                     return;
                 }
@@ -69,23 +69,23 @@
                 if !std::mem::replace(&mut conversation.accepted, true) {
                     self.hands.callers.accept(now, caller, &Elements::new());
                 }
-                self.hands.tally.stood += 1;
+                self.hands.tally.established += 1;
                 self.hands.earned.stood(grade, took);
                 if let Some(scribe) = &mut self.hands.scribe {
                     scribe.answered(now, serial);
                 }
                 self.hands.callers.answer(now, caller, &Elements::new());
                 self.reported(server, Hints::read(&elements).report());
-                self.module.stood(handle);
+                self.module.established(handle);
             }
-            Happening::Media(media) if conversation.stands => self.hands.callers.media(now, caller, &media),
-            Happening::Ended(end) => self.shot_ended(handle, server, &end),
+            Event::Media(media) if conversation.stands => self.hands.callers.media(now, caller, &media),
+            Event::Ended(end) => self.shot_ended(handle, server, &end),
             _ => {}
         }
     }
 
-    pub(super) fn shot_ended(&mut self, handle: Handle, server: Server, end: &End) {
-        if let End::Peer { elements, .. } = end {
+    pub(super) fn shot_ended(&mut self, handle: Handle, server: Server, end: &EndReason) {
+        if let EndReason::Peer { elements, .. } = end {
             self.reported(server, Hints::read(elements).report());
         }
         let Some(conversation) = self.hands.conversation(handle) else { return };
@@ -93,9 +93,9 @@
         let stands = conversation.stands;
         self.hands.by_server.remove(shot.leg);
         if !stands {
-            return self.ended(handle, causes::of_shot(end));
+            return self.ended(handle, causes::attempt_ending(end));
         }
-        let ending = causes::of_standing(end);
+        let ending = causes::established_ending(end);
         let cut = ending != Ending::Ok;
         if cut {
             self.hands.earned.cut();
@@ -109,7 +109,7 @@
     pub(super) fn ended(&mut self, handle: Handle, ending: Ending) {
         let tally = &mut self.hands.tally;
         match ending {
-            Ending::Rejected | Ending::NoFreeLine => tally.nacked += 1,
+            Ending::Rejected | Ending::NoFreeLine => tally.rejected += 1,
             Ending::TimedOut => tally.timed_out += 1,
             Ending::Reset => tally.reset += 1,
             _ => {}
@@ -119,7 +119,7 @@
 
     pub(super) fn reported(&mut self, server: Server, report: Report) {
         if let Some((limits, rate)) = self.hands.limits.as_mut().zip(report.rate) {
-            limits.told(server, rate);
+            limits.set_reported_rate(server, rate);
         }
         self.module.reported(server, report);
     }
