--- a/agree/src/disk.rs
+++ b/agree/src/disk.rs
@@ -137,7 +137,7 @@
         rest.is_empty().then_some(record)
     });
     if let Some(damage) = found.damage.iter().find(|damage| !damage.torn) {
-        return Err(Lost::Damaged { at: damage.at });
+        return Err(Lost::Damaged { at: damage.offset });
     }
     let mut records = found.entries.into_iter();
     let Some(Record::Seat { stage, life }) = records.next() else { return Err(Lost::Nothing) };
--- a/agree/src/seal.rs
+++ b/agree/src/seal.rs
@@ -11,7 +11,7 @@
 use crate::log::{Hash, Index};
 
 /// Bytes of a signature.
-pub const SIGNATURE: usize = gossip::keys::SIGNATURE;
+pub const SIGNATURE: usize = gossip::keys::SIGNATURE_BYTES;
 /// What a signature is for: nothing else that the key signs begins so.
 const DOMAIN: &[u8] = b"frostthread agree 2";
 
@@ -94,6 +94,6 @@
     }
 
     fn said(&self, by: Id, bytes: &[u8], signature: &[u8; SIGNATURE]) -> bool {
-        self.roster.said(by, bytes, signature)
+        self.roster.verify_signature(by, bytes, signature)
     }
 }
--- a/agree/src/tests/random.rs
+++ b/agree/src/tests/random.rs
@@ -44,7 +44,7 @@
         (0..PROXIES).partition(|&at| (at + place) % PROXIES < split);
     match world.chance.random_range(0..13) {
         0 => world.links.heal(),
-        1 => world.links.part(&ones, &others),
+        1 => world.links.partition(&ones, &others),
         2 => world.links.cut(&ones, &others, true),
         3 => world.links.cut(&[place], &others, true),
         4 | 5 => world.restart(place),
@@ -57,8 +57,8 @@
             let span = 4_000.0 * world.chance.random::<f64>();
             world.stop(place, span);
         }
-        8 => (world.links.loss, world.links.double) = (0.3, 0.3),
-        9 => world.links.way = if world.links.way > 50.0 { 10.0 } else { 300.0 },
+        8 => (world.links.loss, world.links.duplication) = (0.3, 0.3),
+        9 => world.links.max_delay = if world.links.max_delay > 50.0 { 10.0 } else { 300.0 },
         10 => world.disks[place].refuses = true,
         11 => {
             // All at once.
--- a/agree/src/tests/stories.rs
+++ b/agree/src/tests/stories.rs
@@ -59,7 +59,7 @@
     let leader = world.leader().expect("leads");
     let other = (leader + 1) % 5;
     let rest: Vec<usize> = (0..7).filter(|place| ![leader, other].contains(place)).collect();
-    world.links.part(&[leader, other], &rest);
+    world.links.partition(&[leader, other], &rest);
     let cut = world.standing(other).applied;
     world.ask(leader);
     world.until("another leader", 5_000.0, |world| world.leader().is_some_and(|new| new != leader));
@@ -473,7 +473,7 @@
     let now = world.clock(3);
     assert_eq!(world.proxy(3).propose(now, 0, vec![0; 500]), Err(Refusal::TooLong));
     let request = world.proxy(3).propose(now, 0, 9u64.to_le_bytes().to_vec()).expect("room");
-    world.links.double = 0.5;
+    world.links.duplication = 0.5;
     let mut told = Vec::new();
     for _ in 0..200 {
         // Without the world's own reading of outcomes.
--- a/agree/src/tests/world.rs
+++ b/agree/src/tests/world.rs
@@ -204,17 +204,17 @@
     }
 
     fn step(&mut self) {
-        while let Some((from, to, bytes)) = self.links.arrived(self.now) {
+        while let Some((from, to, bytes)) = self.links.next_arrival(self.now) {
             if self.stopped[to] > self.now {
                 // It waits in the socket.
-                let way = std::mem::replace(&mut self.links.way, 0.0);
-                let (loss, double) = (self.links.loss, self.links.double);
-                (self.links.loss, self.links.double) = (0.0, 0.0);
+                let way = std::mem::replace(&mut self.links.max_delay, 0.0);
+                let (loss, double) = (self.links.loss, self.links.duplication);
+                (self.links.loss, self.links.duplication) = (0.0, 0.0);
                 if !self.links.is_cut(from, to) {
                     let later = self.stopped[to];
                     self.links.send(later, from, to, bytes);
                 }
-                (self.links.way, self.links.loss, self.links.double) = (way, loss, double);
+                (self.links.max_delay, self.links.loss, self.links.duplication) = (way, loss, double);
                 continue;
             }
             let now = self.clock(to);
--- a/daemon/src/journal.rs
+++ b/daemon/src/journal.rs
@@ -179,7 +179,7 @@
     let found = journal::read(&fs::read(segment)?);
     for damage in &found.damage {
         let what = if damage.torn { "torn tail" } else { "damage" };
-        eprintln!("{}: {what} at byte {}, {} bytes", segment.display(), damage.at, damage.bytes);
+        eprintln!("{}: {what} at byte {}, {} bytes", segment.display(), damage.offset, damage.bytes);
     }
     Ok(found.entries)
 }
--- a/daemon/src/keys.rs
+++ b/daemon/src/keys.rs
@@ -46,7 +46,7 @@
 
 /// The public key of a secret one, as a roster has it.
 pub fn public(file: &Path) -> Result<String> {
-    Ok(hex::encode(Secrets::new(read(file)?, vec![[0; 32]])?.public()))
+    Ok(hex::encode(Secrets::new(read(file)?, vec![[0; 32]])?.public_key()))
 }
 
 /// Where the keys of one proxy stand.
@@ -103,7 +103,7 @@
         match roster.name(secrets.id()) {
             Some(found) if found == name => Ok(Self { secrets, roster }),
             Some(found) => bail!("{shown}: has the key of {name} under the name {found}"),
-            None => bail!("{shown}: has no member {name} with key {}", hex::encode(secrets.public())),
+            None => bail!("{shown}: has no member {name} with key {}", hex::encode(secrets.public_key())),
         }
     }
 }
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -63,10 +63,10 @@
     GossipTerms {
         address: plan.address.unwrap_or(bound),
         seeds: plan.seeds.clone(),
-        cap: plan.cap,
-        beat: plan.beat,
-        liars: plan.liars,
-        resend,
+        max_bytes_per_second: plan.cap,
+        probe_interval: plan.beat,
+        max_faulty: plan.liars,
+        resend_interval: resend,
     }
 }
 
--- a/daemon/src/settings/distribution.rs
+++ b/daemon/src/settings/distribution.rs
@@ -68,10 +68,10 @@
         let subscribers = self.text(rows, "subscribers", None);
         let most_subscribers = self.whole(rows, "most_subscribers", 1, 100_000, Some(4096));
         // An answer to each of a second's polls needs room beside what it carries.
-        let least = 8 * gossip::wire::LARGEST as u32;
+        let least = 8 * gossip::wire::MAX_DATAGRAM_BYTES as u32;
         let bytes_per_second = self.whole(rows, "bytes_per_second", least, 1_000_000_000, Some(8_000_000));
         // A message of changes and its proof need room in each second.
-        let least_each = 2 * gossip::wire::LARGEST as u32;
+        let least_each = 2 * gossip::wire::MAX_DATAGRAM_BYTES as u32;
         let each =
             self.whole(rows, "subscriber_bytes_per_second", least_each, 1_000_000_000, Some(EACH_BYTES));
         let snapshots_at_once = self.whole(rows, "snapshots_at_once", 1, 10_000, Some(64));
--- a/daemon/src/settings/fleet.rs
+++ b/daemon/src/settings/fleet.rs
@@ -46,7 +46,7 @@
         }
         let roster = self.text(&mut rows, "roster", None);
         // A packet is to fit into the part of the cap that is spent at once.
-        let least = 8 * gossip::wire::LARGEST as u32;
+        let least = 8 * gossip::wire::MAX_DATAGRAM_BYTES as u32;
         let cap = self.whole(&mut rows, "cap", least, 100_000_000, None);
         let beat = self.time(&mut rows, "beat", None);
         let liars = self.whole(&mut rows, "liars", 0, 1000, None);
@@ -84,7 +84,7 @@
             self.fault(line, key, format!("{lease} ms, with a beat of {beat} ms"), "two beats or more");
         }
         let loans = LoanTerms { lease, drift: drift?, spread: spread?, floor: floor? };
-        Some(LimitTerms { fleet: FleetTerms { loans, beat }, window, most, share_window })
+        Some(LimitTerms { fleet: FleetTerms { loans, tick_interval: beat }, window, most, share_window })
     }
 
     /// Names of the roster, each once, of which there are so many.
--- a/daemon/src/tables.rs
+++ b/daemon/src/tables.rs
@@ -94,14 +94,14 @@
     let counts = status.counts;
     println!(
         "asked {}, lent {}, borrowed {}, missed {}; dropped: malformed {}, unknown {}, over {}, stray {}",
-        counts.asked,
+        counts.requested,
         counts.lent,
         counts.borrowed,
-        counts.missed,
+        counts.without_permit,
         counts.malformed,
         counts.unknown,
-        counts.over,
-        counts.stray
+        counts.over_limit,
+        counts.unexpected
     );
 }
 
@@ -300,7 +300,7 @@
         channel.untagged,
         channel.forged,
         channel.replayed,
-        channel.stray
+        channel.unexpected
     );
     let counts: Vec<String> = status.counts.iter().map(|(name, count)| format!("{name} {count}")).collect();
     println!("{}", counts.join(", "));
--- a/distribution/tests/stories.rs
+++ b/distribution/tests/stories.rs
@@ -145,7 +145,7 @@
         world.set(OTHER, &format!("o{number}"), &[1; 60]);
     }
     world.links.loss = loss;
-    world.links.double = 0.2;
+    world.links.duplication = 0.2;
     for round in 0..40 {
         world.set(SERVICE, &format!("k{round}"), &[round as u8; 100]);
         world.set(OTHER, &format!("o{round}"), &[round as u8; 60]);
@@ -204,7 +204,7 @@
     world.run_until_all_are_new(IN_FORCE);
     let cut: Vec<usize> = [4, 5, 6].into_iter().chain((20..40).map(|n| world::SUBSCRIBERS + n)).collect();
     let rest: Vec<usize> = (0..=3).chain((0..20).map(|n| world::SUBSCRIBERS + n)).collect();
-    world.links.part(&cut, &rest);
+    world.links.partition(&cut, &rest);
     let cut_at = world.now;
     world.run(2.0 * HEARTBEAT);
     for round in 0..50 {
--- a/distribution/tests/untrusted.rs
+++ b/distribution/tests/untrusted.rs
@@ -212,9 +212,9 @@
 #[test]
 fn what_is_old_doubled_or_out_of_order_does_no_harm() {
     let mut world = World::new(2, 3);
-    world.links.double = 0.5;
+    world.links.duplication = 0.5;
     // Longer on the way than anything waits for an answer: all that comes is old.
-    world.links.way = 3.0 * HEARTBEAT;
+    world.links.max_delay = 3.0 * HEARTBEAT;
     world.links.loss = 0.2;
     world.set(SERVICE, "a", b"1");
     for _ in 0..8 {
--- a/distribution/tests/world/mod.rs
+++ b/distribution/tests/world/mod.rs
@@ -13,7 +13,7 @@
 use council::{Council, Keys};
 use distribution::placement::ControlMachine;
 use distribution::{Control, ControlTerms, Scope, Subscriber, SubscriberTerms, Version};
-use links::{Links, Place};
+use links::{Links, NodeIndex};
 
 pub const HEARTBEAT: f64 = 1000.0;
 pub const LEASE: f64 = 10_000.0;
@@ -24,9 +24,9 @@
 const PACKET: usize = 120;
 /// Until the council has answered how far decisions are.
 const ASKING: f64 = 30.0;
-pub const COUNCIL: Place = 0;
+pub const COUNCIL: NodeIndex = 0;
 /// The places of subscribers begin here.
-pub const SUBSCRIBERS: Place = 100;
+pub const SUBSCRIBERS: NodeIndex = 100;
 pub const REGION: u16 = 1;
 
 pub fn control_id(number: usize) -> Id {
@@ -37,8 +37,8 @@
     (SUBSCRIBERS + number) as Id
 }
 
-fn place(id: Id) -> Place {
-    id as Place
+fn place(id: Id) -> NodeIndex {
+    id as NodeIndex
 }
 
 pub fn control_terms() -> ControlTerms {
@@ -92,7 +92,7 @@
     pub leaderless: bool,
     /// All control machines are honest: no transfer comes to other content than the proved one.
     pub honest: bool,
-    answers: VecDeque<(f64, Place, FreshnessProof)>,
+    answers: VecDeque<(f64, NodeIndex, FreshnessProof)>,
     seeds: u64,
 }
 
@@ -265,7 +265,7 @@
         self.now += STEP;
         self.follow();
         self.answer();
-        while let Some((from, to, bytes)) = self.links.arrived(self.now) {
+        while let Some((from, to, bytes)) = self.links.next_arrival(self.now) {
             self.deliver(from, to, &bytes);
         }
         for number in 0..self.machines.len() {
@@ -299,7 +299,7 @@
         }
     }
 
-    fn deliver(&mut self, from: Place, to: Place, bytes: &[u8]) {
+    fn deliver(&mut self, from: NodeIndex, to: NodeIndex, bytes: &[u8]) {
         let (now, from) = (self.now, from as Id);
         if to >= SUBSCRIBERS {
             let number = to - SUBSCRIBERS;
--- a/fleet/src/fleet.rs
+++ b/fleet/src/fleet.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 
-use crate::ledger::{Id, Ledger, LoanTerms, Standing};
+use crate::ledger::{Id, Ledger, LedgerStatus, LoanTerms};
 use crate::wire::{self, LimitId, MOST_WORDS, Word};
 
 /// Limits at most: a flood of names cannot grow the books.
@@ -26,7 +26,7 @@
 pub struct FleetTerms {
     pub loans: LoanTerms,
     /// How often a member looks at what it needs.
-    pub beat: f64,
+    pub tick_interval: f64,
 }
 
 /// What is to be told to another member.
@@ -39,27 +39,31 @@
 /// What was done, and what was dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requested: u64,
     pub lent: u64,
     pub borrowed: u64,
     /// Of no form, of a limit or a member that is not known here, more than the limit, not asked for or too
     /// late.
     pub malformed: u64,
     pub unknown: u64,
-    pub over: u64,
-    pub stray: u64,
+    #[serde(rename = "over")]
+    pub over_limit: u64,
+    #[serde(rename = "stray")]
+    pub unexpected: u64,
     /// Set-ups that found no permit.
-    pub missed: u64,
+    #[serde(rename = "missed")]
+    pub without_permit: u64,
 }
 
 /// Where this member stands with a limit, for operators.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LimitStanding {
+pub struct LimitState {
     pub name: String,
     /// Set-ups in any window, over all members, and the window.
     pub permits: usize,
     pub window: f64,
-    pub standing: Standing,
+    pub ledger: LedgerStatus,
 }
 
 struct Limit {
@@ -126,7 +130,7 @@
         members.sort_unstable();
         members.dedup();
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let beat_at = now + terms.beat * chance.random::<f64>();
+        let beat_at = now + terms.tick_interval * chance.random::<f64>();
         let unclear: BTreeSet<Id> = members.iter().copied().filter(|&member| member != id).collect();
         Self {
             id,
@@ -165,7 +169,7 @@
 
     /// A limit for the whole fleet: so many set-ups a second, whole ones in each window. False where there
     /// are too many.
-    pub fn limit(&mut self, name: &str, rate: f64, window: f64) -> bool {
+    pub fn set_limit(&mut self, name: &str, rate: f64, window: f64) -> bool {
         let id = limit_id(name);
         let permits = (rate.max(0.0) * window / 1000.0).min(f64::from(u16::MAX)) as usize;
         if !self.limits.contains_key(&id) && self.limits.len() >= MOST_LIMITS {
@@ -193,34 +197,34 @@
     }
 
     /// The limit holds no more, as when its server has gone.
-    pub fn withdraw(&mut self, now: f64, name: &str) {
+    pub fn remove_limit(&mut self, now: f64, name: &str) {
         if let Some(limit) = self.limits.get_mut(&limit_id(name)) {
             limit.withdrawn.get_or_insert(now);
         }
     }
 
     /// How many set-ups may go now; none told where there is no such limit.
-    pub fn free(&mut self, now: f64, name: &str) -> Option<usize> {
+    pub fn free_permits(&mut self, now: f64, name: &str) -> Option<usize> {
         let limit = self.limits.get_mut(&limit_id(name)).filter(|limit| limit.withdrawn.is_none())?;
-        Some(limit.ledger.free(now))
+        Some(limit.ledger.free_permits(now))
     }
 
     /// Whether this member knows for sure what it lent before it started.
-    pub fn is_sure(&self, now: f64, name: &str) -> bool {
-        self.limits.get(&limit_id(name)).is_some_and(|limit| limit.ledger.is_sure(now))
+    pub fn is_recovered(&self, now: f64, name: &str) -> bool {
+        self.limits.get(&limit_id(name)).is_some_and(|limit| limit.ledger.is_recovered(now))
     }
 
     /// A set-up goes. False where none may.
-    pub fn take(&mut self, now: f64, name: &str) -> bool {
-        self.limits.get_mut(&limit_id(name)).is_none_or(|limit| limit.ledger.take(now))
+    pub fn try_acquire(&mut self, now: f64, name: &str) -> bool {
+        self.limits.get_mut(&limit_id(name)).is_none_or(|limit| limit.ledger.try_acquire(now))
     }
 
     /// So many set-ups more are held, or went elsewhere, for want of a permit; each is told once.
-    pub fn missed(&mut self, now: f64, name: &str, count: usize) {
+    pub fn record_shortage(&mut self, now: f64, name: &str, count: usize) {
         let Some(limit) = self.limits.get_mut(&limit_id(name)).filter(|_| count > 0) else { return };
-        limit.ledger.missed(now, count);
-        self.counts.missed += count as u64;
-        let soon = now + SOON * self.terms.beat * self.chance.random::<f64>();
+        limit.ledger.record_shortage(now, count);
+        self.counts.without_permit += count as u64;
+        let soon = now + SOON * self.terms.tick_interval * self.chance.random::<f64>();
         self.beat_at = self.beat_at.min(soon);
     }
 
@@ -239,7 +243,7 @@
         if now < self.beat_at {
             return;
         }
-        self.beat_at = now + self.terms.beat * (0.9 + 0.2 * self.chance.random::<f64>());
+        self.beat_at = now + self.terms.tick_interval * (0.9 + 0.2 * self.chance.random::<f64>());
         let known =
             self.terms.loans.lease + self.limits.values().map(|l| l.ledger.rest()).fold(0.0, f64::max);
         self.limits.retain(|_, limit| limit.withdrawn.is_none_or(|at| now - at < known));
@@ -281,7 +285,7 @@
                 }
             }
             let bare = limit.ledger.is_bare(now);
-            let again = limit.ledger.unanswered(now, 0.9 * self.terms.beat);
+            let again = limit.ledger.unanswered(now, 0.9 * self.terms.tick_interval);
             for (lender, serial, want) in again {
                 let want = want as u16;
                 words.entry(lender).or_default().push(Word::Ask { limit: id, serial, want, bare });
@@ -289,7 +293,7 @@
             for (lender, want) in asks {
                 let want = if limit.ledger.is_mute(lender) { 0 } else { want.min(limit.permits) };
                 let serial = limit.ledger.ask(now, lender, want);
-                self.counts.asked += 1;
+                self.counts.requested += 1;
                 let want = want as u16;
                 words.entry(lender).or_default().push(Word::Ask { limit: id, serial, want, bare });
             }
@@ -351,12 +355,12 @@
                 Word::Grant { serial, count, left, lease, .. } => {
                     let count = usize::from(count);
                     if count > limit.part(from) {
-                        self.counts.over += 1;
+                        self.counts.over_limit += 1;
                     } else if limit.ledger.granted(now, from, serial, count, f64::from(lease)) {
                         self.counts.borrowed += count as u64;
                         limit.left.insert(from, (usize::from(left), now));
                     } else {
-                        self.counts.stray += 1;
+                        self.counts.unexpected += 1;
                     }
                 }
                 Word::Return { serial, .. } => limit.ledger.returned(now, (from, life), serial),
@@ -376,15 +380,15 @@
         }
     }
 
-    pub fn standings(&mut self, now: f64) -> Vec<LimitStanding> {
+    pub fn limit_states(&mut self, now: f64) -> Vec<LimitState> {
         let held = self.limits.values_mut().filter(|limit| limit.withdrawn.is_none());
-        let standing = |limit: &mut Limit| LimitStanding {
+        let state = |limit: &mut Limit| LimitState {
             name: limit.name.clone(),
             permits: limit.permits,
             window: limit.window,
-            standing: limit.ledger.standing(now),
+            ledger: limit.ledger.status(now),
         };
-        held.map(standing).collect()
+        held.map(state).collect()
     }
 }
 
--- a/fleet/src/ledger.rs
+++ b/fleet/src/ledger.rs
@@ -1,7 +1,7 @@
 //! One limit at one member: the permits that it has a part of, has lent and has borrowed. No I/O.
 //!
 //! A limit of `n` set-ups in any window is `n` permits; one that was used rests for a window. Each member has
-//! a part of its own for good ([`Ledger::set_part`]) and may lend of it. [`Ledger::take`] uses a permit, if
+//! a part of its own for good ([`Ledger::set_part`]) and may lend of it. [`Ledger::try_acquire`] uses a permit, if
 //! one is free. [`Ledger::ask`], [`Ledger::asked`], [`Ledger::granted`], [`Ledger::give_back`] and
 //! [`Ledger::returned`] move permits between two members: whoever lends lets go first, and what is lent
 //! lapses by itself on both clocks, on the taker's first. docs/fleet.md proves that all members together
@@ -83,15 +83,15 @@
 
 /// Where a member stands with one limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct LedgerStatus {
     pub part: usize,
     pub lent: usize,
     pub borrowed: usize,
     /// Permits that rest after use.
-    pub resting: usize,
+    pub cooling_down: usize,
     pub free: usize,
     /// It started lately and does not know yet what it gave away before.
-    pub waits_out: bool,
+    pub recovering: bool,
 }
 
 /// One limit at one member.
@@ -209,7 +209,7 @@
     }
 
     /// Whether all that an earlier life gave away has lapsed, or been let go of, and rested.
-    pub fn is_sure(&self, now: f64) -> bool {
+    pub fn is_recovered(&self, now: f64) -> bool {
         now >= self.sure_at
     }
 
@@ -246,14 +246,14 @@
     }
 
     /// How many set-ups may go now.
-    pub fn free(&mut self, now: f64) -> usize {
+    pub fn free_permits(&mut self, now: f64) -> usize {
         self.pass(now);
         let borrowed: usize = self.borrowed.values().map(|b| Self::borrowed_free(b, now)).sum();
         self.own_free(now) + borrowed
     }
 
     /// Uses a permit: a borrowed one first, that lapses soonest. False where none is free.
-    pub fn take(&mut self, now: f64) -> bool {
+    pub fn try_acquire(&mut self, now: f64) -> bool {
         self.pass(now);
         let own = self.own_free(now);
         let fit = self.borrowed.values_mut().filter(|b| Self::borrowed_free(b, now) > 0);
@@ -284,7 +284,7 @@
     }
 
     /// So many set-ups more found no permit, each told once.
-    pub fn missed(&mut self, now: f64, count: usize) {
+    pub fn record_shortage(&mut self, now: f64, count: usize) {
         let span = self.rest / SPANS;
         add(&mut self.short, now, span, count);
         add(&mut self.demand, now, span, count);
@@ -477,12 +477,12 @@
         }
     }
 
-    pub fn standing(&mut self, now: f64) -> Standing {
-        let free = self.free(now);
+    pub fn status(&mut self, now: f64) -> LedgerStatus {
+        let free = self.free_permits(now);
         let borrowed = self.borrowed.values().filter(|b| now < b.until).map(|b| b.count).sum();
-        let resting = self.used.len() + self.borrowed.values().map(|b| b.used.len()).sum::<usize>();
-        let (part, lent, waits_out) = (self.part, self.lent(), !self.is_sure(now));
-        Standing { part, lent, borrowed, resting, free, waits_out }
+        let cooling_down = self.used.len() + self.borrowed.values().map(|b| b.used.len()).sum::<usize>();
+        let (part, lent, recovering) = (self.part, self.lent(), !self.is_recovered(now));
+        LedgerStatus { part, lent, borrowed, cooling_down, free, recovering }
     }
 }
 
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -13,5 +13,5 @@
 pub mod ledger;
 pub mod wire;
 
-pub use fleet::{Counts, Fleet, FleetTerms, LimitStanding, Outgoing, limit_id};
-pub use ledger::{Id, LoanTerms, Standing};
+pub use fleet::{Counts, Fleet, FleetTerms, LimitState, Outgoing, limit_id};
+pub use ledger::{Id, LedgerStatus, LoanTerms};
--- a/fleet/tests/net/mod.rs
+++ b/fleet/tests/net/mod.rs
@@ -13,7 +13,7 @@
 
 pub fn terms() -> FleetTerms {
     let loans = LoanTerms { lease: 2000.0, drift: 0.05, spread: 0.0, floor: 0.0 };
-    FleetTerms { loans, beat: 100.0 }
+    FleetTerms { loans, tick_interval: 100.0 }
 }
 
 pub struct Net {
@@ -57,7 +57,7 @@
         let all = 0..self.wanted.len() as Id;
         let seed = self.chance.random();
         let mut fleet = Fleet::new(member as Id, all, terms(), seed, self.now * self.clocks[member]);
-        assert!(fleet.limit(SERVER, self.rate, WINDOW));
+        assert!(fleet.set_limit(SERVER, self.rate, WINDOW));
         fleet
     }
 
@@ -68,7 +68,7 @@
     pub fn limit(&mut self, rate: f64) {
         self.rate = rate;
         for member in &mut self.members {
-            member.limit(SERVER, rate, WINDOW);
+            member.set_limit(SERVER, rate, WINDOW);
         }
     }
 
@@ -83,7 +83,7 @@
         let end = self.now + span;
         while self.now < end {
             self.now += 5.0;
-            while let Some((from, to, bytes)) = self.links.arrived(self.now) {
+            while let Some((from, to, bytes)) = self.links.next_arrival(self.now) {
                 if !self.stopped[to] {
                     let clock = self.now * self.clocks[to];
                     self.members[to].receive(clock, from as Id, &bytes);
@@ -103,13 +103,13 @@
                 }
                 let clock = self.now * self.clocks[member];
                 let fleet = &mut self.members[member];
-                while self.wanted[member] >= 1.0 && fleet.free(clock, SERVER) > Some(0) {
-                    assert!(fleet.take(clock, SERVER));
+                while self.wanted[member] >= 1.0 && fleet.free_permits(clock, SERVER) > Some(0) {
+                    assert!(fleet.try_acquire(clock, SERVER));
                     self.wanted[member] -= 1.0;
                     self.taken.push(self.now);
                 }
                 if self.wanted[member] >= 1.0 {
-                    fleet.missed(clock, SERVER, fresh);
+                    fleet.record_shortage(clock, SERVER, fresh);
                 }
                 fleet.turn(clock);
                 self.send(member);
--- a/fleet/tests/stories.rs
+++ b/fleet/tests/stories.rs
@@ -50,7 +50,7 @@
     let had: Vec<_> = net
         .members
         .iter()
-        .map(|member| (member.counts().asked, member.counts().lent, member.counts().borrowed))
+        .map(|member| (member.counts().requested, member.counts().lent, member.counts().borrowed))
         .collect();
     assert!(starved <= 4, "{starved} of twenty never had any: {had:?}");
 }
@@ -73,7 +73,7 @@
 fn pair() -> (Fleet, Fleet, f64) {
     let member = |id, seed| {
         let mut fleet = Fleet::new(id, [1, 2], terms(), seed, 0.0);
-        assert!(fleet.limit(SERVER, 10.0, WINDOW));
+        assert!(fleet.set_limit(SERVER, 10.0, WINDOW));
         fleet
     };
     (member(1, 1), member(2, 2), 10_000.0)
@@ -89,7 +89,7 @@
     let (mut one, _, now) = pair();
     one.receive(now, 2, &bytes);
     assert_eq!(one.counts().malformed, 1);
-    assert_eq!((one.free(now, SERVER), one.outgoing()), (Some(5), None));
+    assert_eq!((one.free_permits(now, SERVER), one.outgoing()), (Some(5), None));
 }
 
 #[rstest]
@@ -100,8 +100,8 @@
     let (mut one, _, now) = pair();
     one.receive(now, 2, &wire::write(7, &[word]));
     let counts = one.counts();
-    assert_eq!(counts.stray + counts.over + counts.unknown, 1, "{counts:?}");
-    assert_eq!(one.free(now, SERVER), Some(5));
+    assert_eq!(counts.unexpected + counts.over_limit + counts.unknown, 1, "{counts:?}");
+    assert_eq!(one.free_permits(now, SERVER), Some(5));
 }
 
 #[test]
@@ -110,24 +110,24 @@
     let ask =
         |serial| wire::write(7, &[Word::Ask { limit: limit_id(SERVER), serial, want: u16::MAX, bare: true }]);
     one.receive(now, 3, &ask(1));
-    assert_eq!((one.counts().unknown, one.free(now, SERVER)), (1, Some(5)));
+    assert_eq!((one.counts().unknown, one.free_permits(now, SERVER)), (1, Some(5)));
     one.receive(now, 3, &wire::write(7, &[Word::Started]));
     assert_eq!((one.counts().unknown, one.outgoing()), (2, None), "nor is it answered");
-    assert!(one.take(now, SERVER) && one.take(now, SERVER));
+    assert!(one.try_acquire(now, SERVER) && one.try_acquire(now, SERVER));
     one.receive(now, 2, &ask(1));
     assert_eq!(one.counts().lent, 3, "two rest after use");
-    assert_eq!(one.free(now, SERVER), Some(0));
+    assert_eq!(one.free_permits(now, SERVER), Some(0));
     for serial in 2..100 {
         one.receive(now, 2, &ask(serial));
     }
-    let standing = one.standings(now)[0].standing;
-    assert_eq!((standing.lent, standing.resting), (3, 2), "however often it asks");
+    let standing = one.limit_states(now)[0].ledger;
+    assert_eq!((standing.lent, standing.cooling_down), (3, 2), "however often it asks");
 }
 
 #[test]
 fn who_joins_after_a_start_has_to_let_go_too_before_all_is_known() {
     let mut one = Fleet::new(1, [1, 2], terms(), 1, 0.0);
-    assert!(one.limit(SERVER, 10.0, WINDOW));
+    assert!(one.set_limit(SERVER, 10.0, WINDOW));
     one.set_members([1, 2, 3]);
     one.turn(200.0);
     let (life, _) =
@@ -135,16 +135,16 @@
     let rested = 300.0 + terms().loans.rest(WINDOW);
     for (member, sure) in [(2, false), (3, true)] {
         one.receive(300.0, member, &wire::write(7, &[Word::Cleared { life: life + 1 }]));
-        assert!(!one.is_sure(rested, SERVER), "meant for another process");
+        assert!(!one.is_recovered(rested, SERVER), "meant for another process");
         one.receive(300.0, member, &wire::write(7, &[Word::Cleared { life }]));
-        assert_eq!(one.is_sure(rested, SERVER), sure);
+        assert_eq!(one.is_recovered(rested, SERVER), sure);
     }
 }
 
 #[test]
 fn a_flood_of_names_does_not_grow_the_books() {
     let (mut one, ..) = pair();
-    let taken = (0..10_000).filter(|n| one.limit(&format!("s-{n}@0"), 10.0, WINDOW)).count();
+    let taken = (0..10_000).filter(|n| one.set_limit(&format!("s-{n}@0"), 10.0, WINDOW)).count();
     assert!(taken < 1000, "{taken}");
 }
 
@@ -159,8 +159,8 @@
         for _ in 0..30 {
             net.links.heal();
             net.links.loss = [0.0, 0.0, 0.3, 0.9][net.chance.random_range(0..4)];
-            net.links.double = [0.0, 0.5][net.chance.random_range(0..2)];
-            net.links.way = [10.0, 200.0, 4000.0][net.chance.random_range(0..3)];
+            net.links.duplication = [0.0, 0.5][net.chance.random_range(0..2)];
+            net.links.max_delay = [10.0, 200.0, 4000.0][net.chance.random_range(0..3)];
             let cuts = net.chance.random_range(0..members * 2);
             for _ in 0..cuts {
                 let (from, to) = (net.chance.random_range(0..members), net.chance.random_range(0..members));
--- a/fleet/tests/sum.rs
+++ b/fleet/tests/sum.rs
@@ -153,7 +153,7 @@
             Step::Take(i) => {
                 let mut any = false;
                 let clock = self.clock(i);
-                while self.members[i].take(clock) {
+                while self.members[i].try_acquire(clock) {
                     any = true;
                     self.taken.push(self.now);
                     let since = self.now - WINDOW;
--- a/frames/src/lib.rs
+++ b/frames/src/lib.rs
@@ -11,12 +11,12 @@
 const MARK: [u8; 2] = [0xC7, 0x5D];
 const HEAD: usize = 8;
 /// Bytes of the longest body.
-pub const LONGEST: usize = 4096;
+pub const MAX_BODY_BYTES: usize = 4096;
 
 /// A stretch that holds no sound frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Damage {
-    pub at: usize,
+    pub offset: usize,
     pub bytes: usize,
     /// At the end, as a crash in the middle of a write leaves it.
     pub torn: bool,
@@ -24,16 +24,16 @@
 
 /// What some bytes hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Found<T> {
+pub struct Decoded<T> {
     pub entries: Vec<T>,
     pub damage: Vec<Damage>,
     /// Up to where it is sound: what follows is cut before anything is appended.
-    pub sound: usize,
+    pub valid_bytes: usize,
 }
 
-impl<T> Default for Found<T> {
+impl<T> Default for Decoded<T> {
     fn default() -> Self {
-        Self { entries: Vec::new(), damage: Vec::new(), sound: 0 }
+        Self { entries: Vec::new(), damage: Vec::new(), valid_bytes: 0 }
     }
 }
 
@@ -48,9 +48,9 @@
 ///
 /// # Panics
 ///
-/// Where the body is over [`LONGEST`]: whoever frames knows how long what it writes can be.
+/// Where the body is over [`MAX_BODY_BYTES`]: whoever frames knows how long what it writes can be.
 pub fn write(to: &mut Vec<u8>, body: &[u8]) {
-    assert!(body.len() <= LONGEST, "a body of {} bytes", body.len());
+    assert!(body.len() <= MAX_BODY_BYTES, "a body of {} bytes", body.len());
     let length = (body.len() as u16).to_le_bytes();
     to.extend(MARK);
     to.extend(length);
@@ -63,7 +63,7 @@
     let (head, rest) = bytes.split_first_chunk::<HEAD>()?;
     let [m0, m1, l0, l1, sum_then @ ..] = *head;
     let length = usize::from(u16::from_le_bytes([l0, l1]));
-    if [m0, m1] != MARK || length > LONGEST {
+    if [m0, m1] != MARK || length > MAX_BODY_BYTES {
         return None;
     }
     let body = rest.get(..length)?;
@@ -71,19 +71,19 @@
 }
 
 /// All that is sound in some bytes. A body that `take` makes nothing of is damage too.
-pub fn read<T>(bytes: &[u8], take: impl Fn(&[u8]) -> Option<T>) -> Found<T> {
-    let mut found = Found::default();
+pub fn read<T>(bytes: &[u8], take: impl Fn(&[u8]) -> Option<T>) -> Decoded<T> {
+    let mut found = Decoded::default();
     let mut at = 0;
     let mut bad = None;
     while at < bytes.len() {
         match frame(&bytes[at..]).and_then(|(body, size)| Some((take(body)?, size))) {
             Some((body, size)) => {
                 if let Some(from) = bad.take() {
-                    found.damage.push(Damage { at: from, bytes: at - from, torn: false });
+                    found.damage.push(Damage { offset: from, bytes: at - from, torn: false });
                 }
                 found.entries.push(body);
                 at += size;
-                found.sound = at;
+                found.valid_bytes = at;
             }
             None => {
                 bad.get_or_insert(at);
@@ -92,7 +92,7 @@
         }
     }
     if let Some(from) = bad {
-        found.damage.push(Damage { at: from, bytes: bytes.len() - from, torn: true });
+        found.damage.push(Damage { offset: from, bytes: bytes.len() - from, torn: true });
     }
     found
 }
--- a/gossip/fuzz/fuzz_targets/packets.rs
+++ b/gossip/fuzz/fuzz_targets/packets.rs
@@ -17,23 +17,23 @@
 
 fuzz_target!(|data: &[u8]| {
     let address = |port| std::net::SocketAddr::from(([127, 0, 0, 1], port));
-    let roster = Roster::new([("a", secrets(0).public()), ("b", secrets(1).public())]).expect("sound");
+    let roster = Roster::new([("a", secrets(0).public_key()), ("b", secrets(1).public_key())]).expect("sound");
     let terms = GossipTerms {
         address: address(1),
         seeds: vec![address(2)],
-        cap: CAP,
-        beat: 200.0,
-        liars: 1,
-        resend: 500.0,
+        max_bytes_per_second: CAP,
+        probe_interval: 200.0,
+        max_faulty: 1,
+        resend_interval: 500.0,
     };
     let mut node = Node::new(terms, secrets(0), roster, 1, 0.0, 1e12);
     let mut sent = 0;
     node.receive(0.0, address(2), data);
-    if let Some((packet, _)) = wire::unsealed(data) {
+    if let Some((packet, _)) = wire::unauthenticated(data) {
         let liar = secrets(1);
         let packet = Packet { version: wire::VERSION, from: liar.id(), ..packet };
         for now in [1.0, 300.0, 999.0] {
-            node.receive(now, address(2), &packet.seal(&liar));
+            node.receive(now, address(2), &packet.authenticate(&liar));
             node.turn(now);
             while let Some(out) = node.outgoing() {
                 sent += out.bytes.len();
--- a/gossip/src/channel.rs
+++ b/gossip/src/channel.rs
@@ -1,7 +1,7 @@
 //! Signed packets between two that are not members of one gossip: the same form and keys, with words of other
 //! subsystems alone and nothing carried along.
 //!
-//! [`Channel::seal`] and [`Channel::open`] are the two ways. Memory is bounded by the roster: one replay
+//! [`Channel::authenticate`] and [`Channel::verify`] are the two ways. Memory is bounded by the roster: one replay
 //! window for each that is named there.
 
 use std::collections::BTreeMap;
@@ -10,10 +10,10 @@
 
 use crate::keys::{Id, Roster, Secrets};
 use crate::node::Window;
-use crate::wire::{self, Dropped, LARGEST, Message, Packet, Part};
+use crate::wire::{self, Dropped, MAX_DATAGRAM_BYTES, Message, Packet, Subsystem};
 
 /// Bytes of the longest words that a packet has room for.
-pub const LONGEST: usize = 1_000;
+pub const MAX_PAYLOAD_BYTES: usize = 1_000;
 
 /// What was sent, taken and dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,15 +32,16 @@
     pub forged: u64,
     /// Seen before, or of an earlier incarnation.
     pub replayed: u64,
-    /// Packets of gossip, or words longer than [`LONGEST`].
-    pub stray: u64,
+    /// Packets of gossip, or words longer than [`MAX_PAYLOAD_BYTES`].
+    #[serde(rename = "stray")]
+    pub unexpected: u64,
 }
 
-/// Words that came, with who said them.
+/// A payload that came, with who sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Received {
     pub from: Id,
-    pub part: Part,
+    pub subsystem: Subsystem,
     pub bytes: Vec<u8>,
 }
 
@@ -90,9 +91,9 @@
         (self.secrets, self.roster) = (secrets, roster);
     }
 
-    /// The datagram that carries some words. Nothing where they are longer than [`LONGEST`].
-    pub fn seal(&mut self, part: Part, bytes: Vec<u8>) -> Option<Vec<u8>> {
-        if bytes.len() > LONGEST {
+    /// The datagram that carries some words. Nothing where they are longer than [`MAX_PAYLOAD_BYTES`].
+    pub fn authenticate(&mut self, subsystem: Subsystem, bytes: Vec<u8>) -> Option<Vec<u8>> {
+        if bytes.len() > MAX_PAYLOAD_BYTES {
             return None;
         }
         self.counter += 1;
@@ -101,12 +102,12 @@
             from: self.id(),
             incarnation: self.incarnation,
             counter: self.counter,
-            message: Message::Words { part, bytes },
+            message: Message::Payload { subsystem, bytes },
             rumours: Vec::new(),
             statements: Vec::new(),
         };
-        let datagram = packet.seal(&self.secrets);
-        debug_assert!(datagram.len() <= LARGEST, "{} bytes", datagram.len());
+        let datagram = packet.authenticate(&self.secrets);
+        debug_assert!(datagram.len() <= MAX_DATAGRAM_BYTES, "{} bytes", datagram.len());
         self.counts.sent += 1;
         self.counts.sent_bytes += datagram.len() as u64;
         Some(datagram)
@@ -118,9 +119,9 @@
     }
 
     /// A datagram came. Anything may stand in it; gives the words of one that is proved and new.
-    pub fn open(&mut self, datagram: &[u8]) -> Option<Received> {
+    pub fn verify(&mut self, datagram: &[u8]) -> Option<Received> {
         self.counts.received_bytes += datagram.len() as u64;
-        let packet = match wire::open(datagram, &self.secrets, &self.roster) {
+        let packet = match wire::verify(datagram, &self.secrets, &self.roster) {
             Ok(packet) => packet,
             Err(dropped) => {
                 *self.count_of(dropped) += 1;
@@ -128,7 +129,7 @@
             }
         };
         if packet.from == self.id() {
-            self.counts.stray += 1;
+            self.counts.unexpected += 1;
             return None;
         }
         if !self.windows.entry(packet.from).or_default().admit(packet.incarnation, packet.counter) {
@@ -136,12 +137,12 @@
             return None;
         }
         match packet.message {
-            Message::Words { part, bytes } if bytes.len() <= LONGEST => {
+            Message::Payload { subsystem, bytes } if bytes.len() <= MAX_PAYLOAD_BYTES => {
                 self.counts.received += 1;
-                Some(Received { from: packet.from, part, bytes })
+                Some(Received { from: packet.from, subsystem, bytes })
             }
             _ => {
-                self.counts.stray += 1;
+                self.counts.unexpected += 1;
                 None
             }
         }
--- a/gossip/src/evidence.rs
+++ b/gossip/src/evidence.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::wire::{Claim, Kind, Life, MOST_CLAIMS};
+use crate::wire::{Claim, Generation, Kind, MOST_CLAIMS};
 
 /// A shot without any answer is a ground after this many resend gaps: two copies have gone out by then, and a
 /// server that is merely jammed has mostly answered.
@@ -21,10 +21,10 @@
     answered: Option<f64>,
 }
 
-/// Own evidence, by life of a server.
+/// Own evidence, by generation of a server.
 #[derive(Clone, Debug)]
 pub struct Evidence {
-    seen: BTreeMap<Life, Seen>,
+    seen: BTreeMap<Generation, Seen>,
     resend: f64,
     /// An own stall until then is no fault of a server's.
     stalled: f64,
@@ -36,16 +36,17 @@
         Self { seen: BTreeMap::new(), resend, stalled: f64::NEG_INFINITY }
     }
 
-    pub fn shot(&mut self, now: f64, life: Life) {
-        let seen = self.seen.entry(life).or_insert(Seen { unanswered: None, shot: now, answered: None });
+    pub fn attempt_sent(&mut self, now: f64, generation: Generation) {
+        let seen =
+            self.seen.entry(generation).or_insert(Seen { unanswered: None, shot: now, answered: None });
         let (_, shots) = seen.unanswered.get_or_insert((now, 0));
         *shots = shots.saturating_add(1);
         seen.shot = now;
     }
 
     /// A shot was called off before it could be a ground, as when its caller left.
-    pub fn called_off(&mut self, life: Life) {
-        if let Some(seen) = self.seen.get_mut(&life)
+    pub fn attempt_cancelled(&mut self, generation: Generation) {
+        if let Some(seen) = self.seen.get_mut(&generation)
             && let Some((_, shots)) = &mut seen.unanswered
         {
             *shots -= 1;
@@ -56,8 +57,9 @@
     }
 
     /// Any answer proves it alive: stands, refuses, reports.
-    pub fn answered(&mut self, now: f64, life: Life) {
-        let seen = self.seen.entry(life).or_insert(Seen { unanswered: None, shot: now, answered: None });
+    pub fn answered(&mut self, now: f64, generation: Generation) {
+        let seen =
+            self.seen.entry(generation).or_insert(Seen { unanswered: None, shot: now, answered: None });
         seen.unanswered = None;
         seen.answered = Some(now);
     }
@@ -68,8 +70,8 @@
     }
 
     /// The list says that it is gone, or has started anew.
-    pub fn forget(&mut self, life: Life) {
-        self.seen.remove(&life);
+    pub fn forget(&mut self, generation: Generation) {
+        self.seen.remove(&generation);
     }
 
     /// An accusation ages: it is withdrawn a while after the last shot that it rests on.
@@ -79,22 +81,22 @@
     }
 
     /// When this proxy last heard from it.
-    pub fn last_answer(&self, life: Life) -> Option<f64> {
-        self.seen.get(&life)?.answered
+    pub fn last_answer(&self, generation: Generation) -> Option<f64> {
+        self.seen.get(&generation)?.answered
     }
 
     /// What to say now; `accused` tells since when a server is accused by others. Silence goes first.
-    pub fn claims(&self, now: f64, accused: impl Fn(Life) -> Option<f64>, window: f64) -> Vec<Claim> {
+    pub fn claims(&self, now: f64, accused: impl Fn(Generation) -> Option<f64>, window: f64) -> Vec<Claim> {
         let mut claims = Vec::new();
-        for (&life, seen) in &self.seen {
+        for (&generation, seen) in &self.seen {
             if let Some((since, shots)) = self.silent(now, seen) {
-                claims.push(Claim { life, kind: Kind::Silent, at: since.max(0.0) as u32, shots });
+                claims.push(Claim { generation, kind: Kind::Silent, at: since.max(0.0) as u32, shots });
             }
         }
-        for (&life, seen) in &self.seen {
+        for (&generation, seen) in &self.seen {
             let later = seen.answered.filter(|&at| now - at < window);
-            if let Some(at) = later.filter(|&at| accused(life).is_some_and(|since| at > since)) {
-                claims.push(Claim { life, kind: Kind::Answering, at: at.max(0.0) as u32, shots: 1 });
+            if let Some(at) = later.filter(|&at| accused(generation).is_some_and(|since| at > since)) {
+                claims.push(Claim { generation, kind: Kind::Answering, at: at.max(0.0) as u32, shots: 1 });
             }
         }
         claims.truncate(MOST_CLAIMS);
--- a/gossip/src/keys.rs
+++ b/gossip/src/keys.rs
@@ -12,18 +12,18 @@
 use thiserror::Error;
 
 /// Bytes of a signature, and of the fleet's tag.
-pub const SIGNATURE: usize = 64;
-pub const TAG: usize = 16;
+pub const SIGNATURE_BYTES: usize = 64;
+pub const TAG_BYTES: usize = 16;
 
 /// A member, by the first eight bytes of the hash of its public key.
 pub type Id = u64;
 
 #[derive(Debug, Error, PartialEq, Eq)]
-pub enum Unfit {
+pub enum KeyError {
     #[error("member {0}: its public key is no Ed25519 key")]
-    Key(String),
+    InvalidPublicKey(String),
     #[error("member {0} has the same key as {1}")]
-    Twice(String, String),
+    DuplicateKey(String, String),
     #[error("no fleet key is given")]
     NoFleetKey,
 }
@@ -40,13 +40,13 @@
 }
 
 impl Roster {
-    pub fn new<'a>(members: impl IntoIterator<Item = (&'a str, [u8; 32])>) -> Result<Self, Unfit> {
+    pub fn new<'a>(members: impl IntoIterator<Item = (&'a str, [u8; 32])>) -> Result<Self, KeyError> {
         let mut roster = Self::default();
         for (name, bytes) in members {
             let key = VerifyingKey::from_bytes(&bytes).ok().filter(|key| !key.is_weak());
-            let key = key.ok_or_else(|| Unfit::Key(name.to_owned()))?;
+            let key = key.ok_or_else(|| KeyError::InvalidPublicKey(name.to_owned()))?;
             if let Some((other, _)) = roster.members.insert(id_of(&bytes), (name.to_owned(), key)) {
-                return Err(Unfit::Twice(name.to_owned(), other));
+                return Err(KeyError::DuplicateKey(name.to_owned(), other));
             }
         }
         Ok(roster)
@@ -73,7 +73,7 @@
     }
 
     /// Whether the member said this.
-    pub fn said(&self, id: Id, bytes: &[u8], signature: &[u8; SIGNATURE]) -> bool {
+    pub fn verify_signature(&self, id: Id, bytes: &[u8], signature: &[u8; SIGNATURE_BYTES]) -> bool {
         let Some((_, key)) = self.members.get(&id) else { return false };
         key.verify_strict(bytes, &Signature::from_bytes(signature)).is_ok()
     }
@@ -88,36 +88,36 @@
 
 impl Secrets {
     /// `fleet` holds the key in use first, then those that are still accepted.
-    pub fn new(own: [u8; 32], fleet: Vec<[u8; 32]>) -> Result<Self, Unfit> {
+    pub fn new(own: [u8; 32], fleet: Vec<[u8; 32]>) -> Result<Self, KeyError> {
         if fleet.is_empty() {
-            return Err(Unfit::NoFleetKey);
+            return Err(KeyError::NoFleetKey);
         }
         Ok(Self { own: SigningKey::from_bytes(&own), fleet })
     }
 
-    pub fn public(&self) -> [u8; 32] {
+    pub fn public_key(&self) -> [u8; 32] {
         self.own.verifying_key().to_bytes()
     }
 
     pub fn id(&self) -> Id {
-        id_of(&self.public())
+        id_of(&self.public_key())
     }
 
-    pub fn sign(&self, bytes: &[u8]) -> [u8; SIGNATURE] {
+    pub fn sign(&self, bytes: &[u8]) -> [u8; SIGNATURE_BYTES] {
         self.own.sign(bytes).to_bytes()
     }
 
     /// The fleet's tag over the bytes.
-    pub fn tag(&self, bytes: &[u8]) -> [u8; TAG] {
+    pub fn tag(&self, bytes: &[u8]) -> [u8; TAG_BYTES] {
         Self::tag_by(&self.fleet[0], bytes)
     }
 
-    fn tag_by(key: &[u8; 32], bytes: &[u8]) -> [u8; TAG] {
-        blake3::keyed_hash(key, bytes).as_bytes()[..TAG].try_into().expect("as many bytes")
+    fn tag_by(key: &[u8; 32], bytes: &[u8]) -> [u8; TAG_BYTES] {
+        blake3::keyed_hash(key, bytes).as_bytes()[..TAG_BYTES].try_into().expect("as many bytes")
     }
 
     /// Whether the tag is the fleet's, by any accepted key; takes the same time wherever it differs.
-    pub fn tagged(&self, bytes: &[u8], tag: &[u8; TAG]) -> bool {
+    pub fn tagged(&self, bytes: &[u8], tag: &[u8; TAG_BYTES]) -> bool {
         let same = |key| bool::from(Self::tag_by(key, bytes)[..].ct_eq(&tag[..]));
         self.fleet.iter().fold(false, |any, key| any | same(key))
     }
--- a/gossip/src/members.rs
+++ b/gossip/src/members.rs
@@ -13,7 +13,7 @@
 use rand::seq::SliceRandom;
 
 use crate::keys::Id;
-use crate::wire::{Rumour, Standing};
+use crate::wire::{MemberState, Rumour};
 
 /// How slow a member can find itself: waits grow up to so many times.
 const MOST_DOUBT: u32 = 8;
@@ -22,8 +22,8 @@
 /// A suspect has so many beats to speak up, times the logarithm of the members.
 const SUSPICION_BEATS: f64 = 10.0;
 
-/// Which of two words on one member stands: the later incarnation, and in the same the worse standing.
-pub fn better(a: (u64, Standing), b: (u64, Standing)) -> (u64, Standing) {
+/// Which of two words on one member stands: the later incarnation, and in the same the worse state.
+pub fn better(a: (u64, MemberState), b: (u64, MemberState)) -> (u64, MemberState) {
     a.max(b)
 }
 
@@ -31,7 +31,7 @@
 pub struct Member {
     pub address: SocketAddr,
     pub incarnation: u64,
-    pub standing: Standing,
+    pub state: MemberState,
     since: f64,
     passes: u32,
 }
@@ -58,13 +58,13 @@
     /// it.
     pub fn doubted_at(&self, address: SocketAddr) -> Option<Rumour> {
         let mut doubted =
-            self.members.iter().filter(|(_, m)| m.address == address && m.standing != Standing::Alive);
-        doubted.next().map(|(&of, m)| Rumour { of, incarnation: m.incarnation, standing: m.standing })
+            self.members.iter().filter(|(_, m)| m.address == address && m.state != MemberState::Alive);
+        doubted.next().map(|(&of, m)| Rumour { of, incarnation: m.incarnation, state: m.state })
     }
 
     /// Members thought alive, this one included.
     pub fn alive(&self) -> usize {
-        1 + self.members.values().filter(|m| m.standing != Standing::Dead).count()
+        1 + self.members.values().filter(|m| m.state != MemberState::Dead).count()
     }
 
     pub fn all(&self) -> impl Iterator<Item = (Id, &Member)> {
@@ -96,8 +96,8 @@
             return;
         }
         let passes = self.passes();
-        let standing = if leaves { Standing::Dead } else { Standing::Alive };
-        let fresh = Member { address, incarnation, standing, since: now, passes };
+        let state = if leaves { MemberState::Dead } else { MemberState::Alive };
+        let fresh = Member { address, incarnation, state, since: now, passes };
         let member = self.members.entry(id).or_insert_with(|| fresh.clone());
         if incarnation >= member.incarnation {
             member.address = address;
@@ -110,7 +110,7 @@
     /// Another's word on a member. True when it is on this one, and has to be refuted.
     pub fn heard(&mut self, now: f64, rumour: Rumour, own_incarnation: u64) -> bool {
         if rumour.of == self.own {
-            let refute = rumour.standing != Standing::Alive && rumour.incarnation >= own_incarnation;
+            let refute = rumour.state != MemberState::Alive && rumour.incarnation >= own_incarnation;
             if refute {
                 self.doubt = (self.doubt + 1).min(MOST_DOUBT);
             }
@@ -119,12 +119,12 @@
         let passes = self.passes();
         // Of one that never spoke itself nothing is known, not even where it is.
         let Some(member) = self.members.get_mut(&rumour.of) else { return false };
-        let former = (member.incarnation, member.standing);
+        let former = (member.incarnation, member.state);
         // An incarnation is the member's own to raise: a word on a later one waits until that one speaks.
         if rumour.incarnation == member.incarnation
-            && better(former, (rumour.incarnation, rumour.standing)) != former
+            && better(former, (rumour.incarnation, rumour.state)) != former
         {
-            (member.standing, member.since, member.passes) = (rumour.standing, now, passes);
+            (member.state, member.since, member.passes) = (rumour.state, now, passes);
         }
         false
     }
@@ -137,10 +137,10 @@
 
     /// It said something, whatever it was.
     pub fn seen(&mut self, now: f64, id: Id) {
-        if let Some(member) = self.members.get_mut(&id).filter(|member| member.standing == Standing::Suspect)
+        if let Some(member) = self.members.get_mut(&id).filter(|member| member.state == MemberState::Suspect)
         {
             // Its incarnation stands; this member alone takes its own doubt back.
-            (member.standing, member.since, member.passes) = (Standing::Alive, now, 0);
+            (member.state, member.since, member.passes) = (MemberState::Alive, now, 0);
         }
     }
 
@@ -148,8 +148,8 @@
     pub fn missed(&mut self, now: f64, id: Id) {
         self.doubt = (self.doubt + 1).min(MOST_DOUBT);
         let passes = self.passes();
-        if let Some(member) = self.members.get_mut(&id).filter(|member| member.standing == Standing::Alive) {
-            (member.standing, member.since, member.passes) = (Standing::Suspect, now, passes);
+        if let Some(member) = self.members.get_mut(&id).filter(|member| member.state == MemberState::Alive) {
+            (member.state, member.since, member.passes) = (MemberState::Suspect, now, passes);
         }
     }
 
@@ -168,8 +168,8 @@
         let span = SUSPICION_BEATS * self.beat * self.logarithm() * f64::from(1 + self.doubt);
         let passes = self.passes();
         for member in self.members.values_mut() {
-            if member.standing == Standing::Suspect && now - member.since > span {
-                (member.standing, member.since, member.passes) = (Standing::Dead, now, passes);
+            if member.state == MemberState::Suspect && now - member.since > span {
+                (member.state, member.since, member.passes) = (MemberState::Dead, now, passes);
             }
         }
     }
@@ -180,7 +180,7 @@
         loop {
             if self.round.is_empty() {
                 let dead_too = chance.random_range(0..4) == 0;
-                let wanted = |m: &Member| dead_too || m.standing != Standing::Dead;
+                let wanted = |m: &Member| dead_too || m.state != MemberState::Dead;
                 self.round = self.members.iter().filter(|(_, m)| wanted(m)).map(|(&id, _)| id).collect();
                 self.round.shuffle(chance);
                 if self.round.is_empty() {
@@ -196,7 +196,7 @@
 
     /// Some that are thought alive, but not this one.
     pub fn some(&self, chance: &mut impl Rng, most: usize, but: Option<Id>) -> Vec<Id> {
-        let fit = |(id, m): &(&Id, &Member)| m.standing != Standing::Dead && Some(**id) != but;
+        let fit = |(id, m): &(&Id, &Member)| m.state != MemberState::Dead && Some(**id) != but;
         let mut all: Vec<Id> = self.members.iter().filter(fit).map(|(&id, _)| id).collect();
         let (chosen, _) = all.partial_shuffle(chance, most);
         chosen.to_vec()
@@ -216,7 +216,7 @@
         for (_, id) in fresh {
             let member = self.members.get_mut(&id).expect("just seen");
             member.passes -= 1;
-            rumours.push(Rumour { of: id, incarnation: member.incarnation, standing: member.standing });
+            rumours.push(Rumour { of: id, incarnation: member.incarnation, state: member.state });
         }
         rumours
     }
--- a/gossip/src/node/beat.rs
+++ b/gossip/src/node/beat.rs
@@ -15,7 +15,7 @@
 impl Node {
     /// Does what has fallen due.
     pub fn turn(&mut self, now: f64) {
-        if now - self.beat_at > STALL_BEATS * self.terms.beat {
+        if now - self.beat_at > STALL_BEATS * self.terms.probe_interval {
             self.members.stalled();
             self.evidence.stalled(now);
             self.pings.clear();
@@ -27,8 +27,8 @@
         }
         if now >= self.beat_at {
             self.beat(now);
-            let next = self.beat_at + self.terms.beat * (0.9 + 0.2 * self.chance.random::<f64>());
-            self.beat_at = if next > now { next } else { now + self.terms.beat };
+            let next = self.beat_at + self.terms.probe_interval * (0.9 + 0.2 * self.chance.random::<f64>());
+            self.beat_at = if next > now { next } else { now + self.terms.probe_interval };
         }
     }
 
@@ -54,7 +54,7 @@
                 self.send_to(now, seed, Message::Ping { nonce }, Priority::Repair);
             }
         }
-        let fresh = self.statements.fresh(self.terms.liars);
+        let fresh = self.statements.fresh(self.terms.max_faulty);
         if !fresh.is_empty() {
             for peer in self.members.some(&mut self.chance, FAN_OUT, None) {
                 self.send(now, peer, Message::Carry, Priority::Spread);
@@ -78,8 +78,8 @@
 
     /// Asks authors for their clocks where it matters how old their words are.
     fn ask_clocks(&mut self, now: f64) {
-        let aged = AGED_BEATS * self.terms.beat;
-        let authors = self.statements.unproven(now, self.terms.liars, aged);
+        let aged = AGED_BEATS * self.terms.probe_interval;
+        let authors = self.statements.unproven(now, self.terms.max_faulty, aged);
         let mut asks: Vec<(bool, u32, Id)> = Vec::new();
         for (author, accuses) in authors.into_iter().filter(|(author, _)| *author != self.id) {
             asks.push((!accuses, self.chance.random(), author));
--- a/gossip/src/node/mod.rs
+++ b/gossip/src/node/mod.rs
@@ -17,8 +17,8 @@
 use crate::evidence::Evidence;
 use crate::keys::{Id, Roster, Secrets};
 use crate::members::Members;
-use crate::statements::{Accused, Statements};
-use crate::wire::{self, Life, Message, Part, Statement};
+use crate::statements::{AccusedServer, Statements};
+use crate::wire::{self, Generation, Message, Statement, Subsystem};
 pub(crate) use window::Window;
 
 /// Helpers asked to reach one that does not answer.
@@ -46,10 +46,10 @@
 const RIPE_BEATS: f64 = 10.0;
 /// Late by so many beats, the member takes itself for stalled.
 const STALL_BEATS: f64 = 3.0;
-/// Another life under this member's own key is told of at most once in so many beats.
+/// Another generation under this member's own key is told of at most once in so many beats.
 const CLASH_BEATS: f64 = 50.0;
 
-/// Words that wait for a subsystem; more are dropped, as the network might.
+/// Payload that wait for a subsystem; more are dropped, as the network might.
 const MOST_WORDS: usize = 256;
 
 /// What is agreed for gossip.
@@ -59,13 +59,13 @@
     pub address: SocketAddr,
     pub seeds: Vec<SocketAddr>,
     /// Bytes a second that are never exceeded.
-    pub cap: f64,
+    pub max_bytes_per_second: f64,
     /// How often each member looks at another, in milliseconds.
-    pub beat: f64,
+    pub probe_interval: f64,
     /// Of how many members it must be borne that they lie.
-    pub liars: usize,
+    pub max_faulty: usize,
     /// The gap after which an unanswered set-up is sent again, in milliseconds.
-    pub resend: f64,
+    pub resend_interval: f64,
 }
 
 /// A datagram to be sent.
@@ -113,8 +113,8 @@
     budget: Budget,
     incarnation: u64,
     /// The incarnation that this process began with.
-    life: u64,
-    /// The clock at which this life began, which statements count from.
+    generation: u64,
+    /// The clock at which this generation began, which statements count from.
     began: f64,
     counter: u64,
     version: u32,
@@ -128,8 +128,8 @@
     leaving: bool,
     clash_at: f64,
     counts: Counts,
-    /// Words to other subsystems, with who said them.
-    words: BTreeMap<Part, VecDeque<(Id, Vec<u8>)>>,
+    /// Payload to other subsystems, with who said them.
+    words: BTreeMap<Subsystem, VecDeque<(Id, Vec<u8>)>>,
 }
 
 impl Node {
@@ -137,18 +137,18 @@
     pub fn new(terms: GossipTerms, secrets: Secrets, roster: Roster, seed: u64, now: f64, unix: f64) -> Self {
         let id = secrets.id();
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let first = chance.random::<f64>() * terms.beat;
+        let first = chance.random::<f64>() * terms.probe_interval;
         let mut node = Self {
-            members: Members::new(id, terms.beat, roster.len()),
-            evidence: Evidence::new(terms.resend),
-            budget: Budget::new(terms.cap, now),
+            members: Members::new(id, terms.probe_interval, roster.len()),
+            evidence: Evidence::new(terms.resend_interval),
+            budget: Budget::new(terms.max_bytes_per_second, now),
             secrets,
             roster,
             id,
             chance,
             statements: Statements::default(),
             incarnation: unix.max(1.0) as u64,
-            life: unix.max(1.0) as u64,
+            generation: unix.max(1.0) as u64,
             began: now,
             counter: 0,
             version: 0,
@@ -174,7 +174,7 @@
     }
 
     /// All members of the roster, this one too.
-    pub fn fleet(&self) -> impl Iterator<Item = Id> {
+    pub fn roster_ids(&self) -> impl Iterator<Item = Id> {
         self.roster.ids()
     }
 
@@ -225,9 +225,9 @@
     }
 
     /// Servers that are accused, and whether it is believed.
-    pub fn accused(&self, now: f64) -> Vec<Accused> {
-        let ripe = now - RIPE_BEATS * self.terms.beat;
-        self.statements.accused(now, self.terms.liars, AGED_BEATS * self.terms.beat, ripe)
+    pub fn accused(&self, now: f64) -> Vec<AccusedServer> {
+        let ripe = now - RIPE_BEATS * self.terms.probe_interval;
+        self.statements.accused(now, self.terms.max_faulty, AGED_BEATS * self.terms.probe_interval, ripe)
     }
 
     /// What the members say.
@@ -236,20 +236,20 @@
     }
 
     /// Who says that the server is silent.
-    pub fn accusers(&self, life: Life) -> Vec<Id> {
-        let silent = |claim: &wire::Claim| claim.life == life && claim.kind == wire::Kind::Silent;
+    pub fn accusers(&self, generation: Generation) -> Vec<Id> {
+        let silent = |claim: &wire::Claim| claim.generation == generation && claim.kind == wire::Kind::Silent;
         let accuses = |statement: &&Statement| statement.claims.iter().any(silent) && !statement.leaves;
         self.statements().filter(accuses).map(|statement| statement.author).collect()
     }
 
     /// Sends another subsystem's words to one member. False where it is not known, or the cap forbids.
-    pub fn say_to(&mut self, now: f64, to: Id, part: Part, bytes: Vec<u8>) -> bool {
+    pub fn send_payload(&mut self, now: f64, to: Id, subsystem: Subsystem, bytes: Vec<u8>) -> bool {
         let Some(address) = self.members.get(to).map(|member| member.address) else { return false };
-        self.send_with(now, address, Message::Words { part, bytes }, Priority::News, Vec::new())
+        self.send_with(now, address, Message::Payload { subsystem, bytes }, Priority::News, Vec::new())
     }
 
     /// The next words that a member said to a subsystem here, with its id.
-    pub fn said_to(&mut self, part: Part) -> Option<(Id, Vec<u8>)> {
-        self.words.get_mut(&part)?.pop_front()
+    pub fn next_payload(&mut self, subsystem: Subsystem) -> Option<(Id, Vec<u8>)> {
+        self.words.get_mut(&subsystem)?.pop_front()
     }
 }
--- a/gossip/src/node/receive.rs
+++ b/gossip/src/node/receive.rs
@@ -11,7 +11,7 @@
 impl Node {
     /// A datagram came. Anything may stand in it.
     pub fn receive(&mut self, now: f64, from: SocketAddr, datagram: &[u8]) {
-        let packet = match wire::open(datagram, &self.secrets, &self.roster) {
+        let packet = match wire::verify(datagram, &self.secrets, &self.roster) {
             Ok(packet) => packet,
             Err(dropped) => {
                 let count = match dropped {
@@ -54,10 +54,10 @@
 
     fn take(&mut self, now: f64, statement: Statement, signed: Signed) {
         if statement.author == self.id {
-            // A former life of its own, or another process with its key: it speaks up after that one.
+            // A former generation of its own, or another process with its key: it speaks up after that one.
             let own = (self.incarnation, self.version);
             if (statement.incarnation, statement.version) > own
-                && now - self.clash_at > CLASH_BEATS * self.terms.beat
+                && now - self.clash_at > CLASH_BEATS * self.terms.probe_interval
             {
                 self.counts.clashes += 1;
                 self.clash_at = now;
@@ -78,15 +78,15 @@
     fn answer(&mut self, now: f64, from: SocketAddr, packet: Packet) {
         match packet.message {
             Message::Ping { nonce } => {
-                let (of, life, clock) = (self.id, self.life, self.clock(now));
-                self.send_to(now, from, Message::Ack { nonce, of, life, clock }, Priority::Answer);
+                let (of, generation, clock) = (self.id, self.generation, self.clock(now));
+                self.send_to(now, from, Message::Ack { nonce, of, generation, clock }, Priority::Answer);
             }
             Message::Clock { nonce } => {
-                let (of, life, clock) = (self.id, self.life, self.clock(now));
-                let answer = Message::Ack { nonce, of, life, clock };
+                let (of, generation, clock) = (self.id, self.generation, self.clock(now));
+                let answer = Message::Ack { nonce, of, generation, clock };
                 self.send_with(now, from, answer, Priority::Answer, Vec::new());
             }
-            Message::Ack { nonce, of, life, clock } => {
+            Message::Ack { nonce, of, generation, clock } => {
                 let Some(ping) = self.pings.get(&nonce) else { return };
                 // Only it can answer for itself, unless helpers were asked.
                 if of != ping.target || (packet.from != of && !ping.helped) {
@@ -96,10 +96,10 @@
                 self.members.answered(now, of);
                 // A helper could say what it likes of another's clock.
                 if packet.from == of {
-                    self.statements.clock(of, life, clock, ping.asked, now);
+                    self.statements.clock(of, generation, clock, ping.asked, now);
                 }
                 if let Some((asker, nonce)) = ping.for_other {
-                    self.send_to(now, asker, Message::Ack { nonce, of, life, clock }, Priority::Answer);
+                    self.send_to(now, asker, Message::Ack { nonce, of, generation, clock }, Priority::Answer);
                 }
             }
             Message::PingFor { nonce, target } => {
@@ -129,8 +129,8 @@
                     self.send_with(now, from, Message::Carry, Priority::Repair, wanted);
                 }
             }
-            Message::Words { part, bytes } => {
-                let words = self.words.entry(part).or_default();
+            Message::Payload { subsystem, bytes } => {
+                let words = self.words.entry(subsystem).or_default();
                 if words.len() < MOST_WORDS {
                     words.push_back((packet.from, bytes));
                 }
--- a/gossip/src/node/sends.rs
+++ b/gossip/src/node/sends.rs
@@ -5,7 +5,7 @@
 use super::{Node, Outgoing, RUMOURS};
 use crate::budget::Priority;
 use crate::keys::Id;
-use crate::wire::{self, LARGEST, Message, Packet};
+use crate::wire::{self, MAX_DATAGRAM_BYTES, Message, Packet};
 
 impl Node {
     pub(super) fn send(&mut self, now: f64, to: Id, message: Message, priority: Priority) -> bool {
@@ -21,7 +21,7 @@
         message: Message,
         priority: Priority,
     ) -> bool {
-        let fresh = self.statements.fresh(self.terms.liars);
+        let fresh = self.statements.fresh(self.terms.max_faulty);
         self.send_with(now, peer, message, priority, fresh)
     }
 
@@ -47,7 +47,7 @@
             .chain(authors.iter().filter(|id| !introduces || **id != self.id))
         {
             let Some(signed) = self.statements.signed(*id) else { continue };
-            if size + signed.size() > LARGEST || statements.len() >= 8 {
+            if size + signed.size() > MAX_DATAGRAM_BYTES || statements.len() >= 8 {
                 break;
             }
             size += signed.size();
@@ -68,7 +68,7 @@
         if !self.budget.take(now, size, priority) {
             return false;
         }
-        let bytes = packet.seal(&self.secrets);
+        let bytes = packet.authenticate(&self.secrets);
         debug_assert!(bytes.len() <= size, "{} over {size}", bytes.len());
         carried.into_iter().for_each(|id| self.statements.passed(id));
         self.counts.sent_bytes += bytes.len() as u64;
--- a/gossip/src/statements.rs
+++ b/gossip/src/statements.rs
@@ -3,7 +3,7 @@
 //! The latest statement of each author counts, by incarnation and version: whatever order, loss or doubling
 //! statements come in, two stores that have seen the same ones hold the same ([`Statements::merge`]).
 //!
-//! **Believing.** A server's life is believed silent when more members accuse it than `liars` and all those
+//! **Believing.** A server's generation is believed silent when more members accuse it than `liars` and all those
 //! together that had an answer after the first `liars + 1` accusations had begun. So at most `liars` who lie
 //! cannot get a server shunned unless more honest members accuse it than vouch for it; and they cannot save
 //! one that more than twice as many honest members accuse and none vouches for. docs/gossip.md has the proof.
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 use crate::keys::Id;
-use crate::wire::{Claim, Kind, Life, Signed, Statement};
+use crate::wire::{Claim, Generation, Kind, Signed, Statement};
 
 /// An author's clock is known too late by as much as its quickest statement was on its way: milliseconds.
 const WAY: f64 = 1_500.0;
@@ -50,10 +50,10 @@
     held: BTreeMap<Id, Held>,
 }
 
-/// A server's life that somebody accuses.
+/// A server's generation that somebody accuses.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Accused {
-    pub life: Life,
+pub struct AccusedServer {
+    pub generation: Generation,
     pub accusers: usize,
     /// Those of them whose words are known to be young enough to act.
     pub acting: usize,
@@ -82,12 +82,12 @@
             return false;
         }
         let stands = |claim: &Claim| {
-            statement.claims.iter().any(|now| (now.life, now.kind) == (claim.life, claim.kind))
+            statement.claims.iter().any(|now| (now.generation, now.kind) == (claim.generation, claim.kind))
         };
         let withdraws = former.is_some_and(|former| {
             former.statement.claims.iter().any(|claim| claim.kind == Kind::Answering && !stands(claim))
         });
-        let same_life = former.filter(|held| held.statement.life == statement.life);
+        let same_life = former.filter(|held| held.statement.generation == statement.generation);
         // An author's clock may run slow, or be lied about: what it says of the past is never ahead of now.
         let epoch = same_life.map_or(epoch, |held| held.epoch.min(epoch));
         let proof = same_life.and_then(|held| held.proof);
@@ -98,8 +98,8 @@
 
     /// The author itself, asked at `asked`, has just told its clock: so it is known not only how new, but how
     /// old what it said can be, whoever passed it on and however late.
-    pub fn clock(&mut self, author: Id, life: u64, clock: u32, asked: f64, now: f64) {
-        let held = self.held.get_mut(&author).filter(|held| held.statement.life == life);
+    pub fn clock(&mut self, author: Id, generation: u64, clock: u32, asked: f64, now: f64) {
+        let held = self.held.get_mut(&author).filter(|held| held.statement.generation == generation);
         if let Some(held) = held {
             held.epoch = held.epoch.min(now - f64::from(clock));
             held.proof = Some((asked - f64::from(clock), asked));
@@ -110,15 +110,17 @@
     /// silent, and whether they accuse it.
     pub fn unproven(&self, now: f64, liars: usize, aged: f64) -> Vec<(Id, bool)> {
         let accused = self.accused(now, liars, aged, f64::INFINITY);
-        let disputed = |life: Life| accused.iter().find(|of| of.life == life && of.accusers > liars);
+        let disputed = |generation: Generation| {
+            accused.iter().find(|of| of.generation == generation && of.accusers > liars)
+        };
         // Asked anew before it lapses.
         let asked = |held: &Held| held.proof.is_some_and(|(_, asked)| now - asked < 0.5 * PROVEN * aged);
         // Once enough accusations act no more are asked for: each author answers all members.
         let accuses = |claim: &Claim| {
             claim.kind == Kind::Silent
-                && disputed(claim.life).is_some_and(|of| of.acting <= liars + of.vouchers)
+                && disputed(claim.generation).is_some_and(|of| of.acting <= liars + of.vouchers)
         };
-        let vouches = |claim: &Claim| claim.kind != Kind::Silent && disputed(claim.life).is_some();
+        let vouches = |claim: &Claim| claim.kind != Kind::Silent && disputed(claim.generation).is_some();
         let mut unproven = Vec::new();
         for (&id, held) in self.held.iter().filter(|(_, held)| !asked(held)) {
             let claims = &held.statement.claims;
@@ -177,15 +179,15 @@
     /// Authors whose statements are still to be passed on: accusations of what is not believed yet and
     /// vouching that is taken back first, then what was passed on least.
     pub fn fresh(&self, liars: usize) -> Vec<Id> {
-        let believed: Vec<Life> = self
+        let believed: Vec<Generation> = self
             .accused(0.0, liars, f64::INFINITY, f64::INFINITY)
             .into_iter()
             .filter(|a| a.believed)
-            .map(|a| a.life)
+            .map(|a| a.generation)
             .collect();
         let mut fresh: Vec<(bool, u32, Id)> = Vec::new();
         for (&id, held) in self.held.iter().filter(|(_, held)| held.passes > 0) {
-            let urgent = |c: &Claim| (c.kind == Kind::Silent) != believed.contains(&c.life);
+            let urgent = |c: &Claim| (c.kind == Kind::Silent) != believed.contains(&c.generation);
             let urgent = held.withdraws || held.statement.claims.iter().any(urgent);
             fresh.push((!urgent, u32::MAX - held.passes, id));
         }
@@ -204,19 +206,19 @@
     /// passed over, and no accusation acts that may have been said longer ago (infinity for none).
     ///
     /// Accusations that began after `ripe` are not believed yet: those who had answers are to be heard first.
-    pub fn accused(&self, now: f64, liars: usize, aged: f64, ripe: f64) -> Vec<Accused> {
+    pub fn accused(&self, now: f64, liars: usize, aged: f64, ripe: f64) -> Vec<AccusedServer> {
         let fresh = |held: &&Held| aged == f64::INFINITY || now - held.came <= aged;
         let proven = |held: &Held| aged == f64::INFINITY || held.acts(now, aged);
-        let mut begun: BTreeMap<Life, (Vec<f64>, usize)> = BTreeMap::new();
+        let mut begun: BTreeMap<Generation, (Vec<f64>, usize)> = BTreeMap::new();
         for held in self.held.values().filter(fresh).filter(|held| !held.statement.leaves) {
             for claim in held.statement.claims.iter().filter(|claim| claim.kind == Kind::Silent) {
-                let (begun, acting) = begun.entry(claim.life).or_default();
+                let (begun, acting) = begun.entry(claim.generation).or_default();
                 begun.push(held.epoch + f64::from(claim.at));
                 *acting += usize::from(proven(held));
             }
         }
         let mut all = Vec::new();
-        for (life, (mut begun, acting)) in begun {
+        for (generation, (mut begun, acting)) in begun {
             begun.sort_by(f64::total_cmp);
             let since = begun[liars.min(begun.len() - 1)];
             // Each voucher itself holds its answer against when the accusations began, as far as it knows,
@@ -224,12 +226,14 @@
             let vouches = |held: &&Held| {
                 let mut claims = held.statement.claims.iter();
                 let after = |at: u32| held.epoch + f64::from(at) > since + WAY;
-                claims.any(|claim| claim.life == life && claim.kind == Kind::Answering && after(claim.at))
+                claims.any(|claim| {
+                    claim.generation == generation && claim.kind == Kind::Answering && after(claim.at)
+                })
             };
             let vouchers = self.held.values().filter(fresh).filter(vouches).count();
             let accusers = begun.len();
             let believed = acting > liars + vouchers && since <= ripe;
-            all.push(Accused { life, accusers, acting, vouchers, since, believed });
+            all.push(AccusedServer { generation, accusers, acting, vouchers, since, believed });
         }
         all
     }
--- a/gossip/src/wire.rs
+++ b/gossip/src/wire.rs
@@ -1,6 +1,6 @@
 //! The form of datagrams: a packet in postcard's compact encoding, its sender's signature, the fleet's tag.
 //!
-//! [`Packet::seal`] and [`open`] are the two ways. What is opened has bounded lists and a sender that is
+//! [`Packet::authenticate`] and [`verify`] are the two ways. What is opened has bounded lists and a sender that is
 //! proved; nothing else of it is.
 
 use std::net::SocketAddr;
@@ -8,11 +8,11 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::keys::{Id, Roster, SIGNATURE, Secrets, TAG};
+use crate::keys::{Id, Roster, SIGNATURE_BYTES, Secrets, TAG_BYTES};
 
 pub const VERSION: u8 = 3;
 /// Bytes of the largest datagram, which fits any path without being cut up.
-pub const LARGEST: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// The longest lists.
 pub const MOST_CLAIMS: usize = 24;
 const MOST_RUMOURS: usize = 32;
@@ -49,16 +49,16 @@
     Answering,
 }
 
-/// One life of a server: a hash of its name, and when its process started.
+/// One generation of a server: a hash of its name, and when its process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct Generation {
     pub server: u64,
     pub started: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    pub life: Life,
+    pub generation: Generation,
     pub kind: Kind,
     /// On its author's clock, in milliseconds since it began.
     pub at: u32,
@@ -70,11 +70,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Statement {
     pub author: Id,
-    /// Grows with each life of the member, and when it refutes its own death.
+    /// Grows with each generation of the member, and when it refutes its own death.
     pub incarnation: u64,
     pub version: u32,
     /// The incarnation that this process began with: its clock counts from there.
-    pub life: u64,
+    pub generation: u64,
     pub address: SocketAddr,
     /// The author's clock when it said this.
     pub clock: u32,
@@ -105,18 +105,18 @@
 
     /// Whether the author said it.
     pub fn proved(&self, statement: &Statement, roster: &Roster) -> bool {
-        let signature: Option<&[u8; SIGNATURE]> = self.signature.as_slice().try_into().ok();
-        signature.is_some_and(|signature| roster.said(statement.author, &self.body, signature))
+        let signature: Option<&[u8; SIGNATURE_BYTES]> = self.signature.as_slice().try_into().ok();
+        signature.is_some_and(|signature| roster.verify_signature(statement.author, &self.body, signature))
     }
 
     pub fn size(&self) -> usize {
-        self.body.len() + SIGNATURE + 4
+        self.body.len() + SIGNATURE_BYTES + 4
     }
 }
 
 /// How a member is thought of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberState {
     Alive,
     Suspect,
     Dead,
@@ -127,12 +127,12 @@
 pub struct Rumour {
     pub of: Id,
     pub incarnation: u64,
-    pub standing: Standing,
+    pub state: MemberState,
 }
 
 /// Whose words a packet carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Part {
+pub enum Subsystem {
     /// Permits of limits that hold for the whole fleet.
     Limits,
     /// Decisions in one order.
@@ -148,11 +148,11 @@
     Ping {
         nonce: u64,
     },
-    /// Answers a ping; `of` is who was reached, with its life and its clock then.
+    /// Answers a ping; `of` is who was reached, with its generation and its clock then.
     Ack {
         nonce: u64,
         of: Id,
-        life: u64,
+        generation: u64,
         clock: u32,
     },
     /// Please ping that one for me.
@@ -170,9 +170,9 @@
     },
     /// Nothing but what is carried along.
     Carry,
-    /// Words of another subsystem, for the receiver alone.
-    Words {
-        part: Part,
+    /// A payload of another subsystem, for the receiver alone.
+    Payload {
+        subsystem: Subsystem,
         bytes: Vec<u8>,
     },
     /// Please answer with your clock, and carry nothing else.
@@ -194,7 +194,7 @@
 }
 
 impl Packet {
-    pub fn seal(&self, secrets: &Secrets) -> Vec<u8> {
+    pub fn authenticate(&self, secrets: &Secrets) -> Vec<u8> {
         let mut bytes = postcard::to_stdvec(self).expect("plain data");
         let signature = secrets.sign(&bytes);
         bytes.extend(signature);
@@ -207,16 +207,16 @@
     pub fn overhead(message: &Message, rumours: usize) -> usize {
         let digests = match message {
             Message::Compare { have, .. } => have.len() * 25,
-            Message::Words { bytes, .. } => bytes.len() + 2,
+            Message::Payload { bytes, .. } => bytes.len() + 2,
             Message::Ack { .. } => 16,
             _ => 0,
         };
-        80 + SIGNATURE + TAG + digests + rumours * 21
+        80 + SIGNATURE_BYTES + TAG_BYTES + digests + rumours * 21
     }
 }
 
 /// The packet that stands in some bytes, and what follows it; nothing of it is proved, nor its lists bounded.
-pub fn unsealed(bytes: &[u8]) -> Option<(Packet, &[u8])> {
+pub fn unauthenticated(bytes: &[u8]) -> Option<(Packet, &[u8])> {
     postcard::take_from_bytes(bytes).ok()
 }
 
@@ -227,19 +227,19 @@
 }
 
 /// Takes a datagram apart, cheapest check first.
-pub fn open(datagram: &[u8], secrets: &Secrets, roster: &Roster) -> Result<Packet, Dropped> {
-    if datagram.len() > LARGEST {
+pub fn verify(datagram: &[u8], secrets: &Secrets, roster: &Roster) -> Result<Packet, Dropped> {
+    if datagram.len() > MAX_DATAGRAM_BYTES {
         return Err(Dropped::Oversized);
     }
-    let (signed, tag) = datagram.split_last_chunk::<TAG>().ok_or(Dropped::Short)?;
-    let (body, signature) = signed.split_last_chunk::<SIGNATURE>().ok_or(Dropped::Short)?;
+    let (signed, tag) = datagram.split_last_chunk::<TAG_BYTES>().ok_or(Dropped::Short)?;
+    let (body, signature) = signed.split_last_chunk::<SIGNATURE_BYTES>().ok_or(Dropped::Short)?;
     if !secrets.tagged(signed, tag) {
         return Err(Dropped::Tag);
     }
     if body.first() != Some(&VERSION) {
         return Err(Dropped::Version);
     }
-    let (packet, rest) = unsealed(body).ok_or(Dropped::Form)?;
+    let (packet, rest) = unauthenticated(body).ok_or(Dropped::Form)?;
     let digests = if let Message::Compare { have, .. } = &packet.message { have.len() } else { 0 };
     let bounded = packet.rumours.len() <= MOST_RUMOURS
         && packet.statements.len() <= MOST_STATEMENTS
@@ -250,7 +250,7 @@
     if !roster.contains(packet.from) {
         return Err(Dropped::Stranger);
     }
-    if !roster.said(packet.from, body, signature) {
+    if !roster.verify_signature(packet.from, body, signature) {
         return Err(Dropped::Signature);
     }
     Ok(packet)
--- a/gossip/tests/channel.rs
+++ b/gossip/tests/channel.rs
@@ -1,11 +1,11 @@
-//! Words between two ends that do not gossip: what is taken, what is dropped, and that memory is bounded.
+//! Payloads between two ends that do not gossip: what is taken, what is dropped, and that memory is bounded.
 
 mod fleet;
 
 use fleet::{roster, secret, secrets};
-use gossip::channel::{Channel, ChannelCounts, LONGEST, Received};
+use gossip::channel::{Channel, ChannelCounts, MAX_PAYLOAD_BYTES, Received};
 use gossip::keys::Secrets;
-use gossip::wire::{self, LARGEST, Message, Packet, Part};
+use gossip::wire::{self, MAX_DATAGRAM_BYTES, Message, Packet, Subsystem};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -16,18 +16,19 @@
 }
 
 fn words(from: &mut Channel, bytes: &[u8]) -> Vec<u8> {
-    from.seal(Part::State, bytes.to_vec()).expect("fits")
+    from.authenticate(Subsystem::State, bytes.to_vec()).expect("fits")
 }
 
 #[test]
 fn words_come_with_who_said_them_once_in_whatever_order() {
     let (mut a, mut b) = (channel(0, 1e12), channel(1, 1e12));
     let [first, second] = [words(&mut a, b"one"), words(&mut a, b"two")];
-    let said = |bytes: &[u8]| Some(Received { from: a.id(), part: Part::State, bytes: bytes.to_vec() });
+    let said =
+        |bytes: &[u8]| Some(Received { from: a.id(), subsystem: Subsystem::State, bytes: bytes.to_vec() });
     assert_eq!(Channel::sender(&first), Some(a.id()));
-    assert_eq!(b.open(&second), said(b"two"));
-    assert_eq!(b.open(&first), said(b"one"));
-    assert_eq!(b.open(&first), None, "a second time");
+    assert_eq!(b.verify(&second), said(b"two"));
+    assert_eq!(b.verify(&first), said(b"one"));
+    assert_eq!(b.verify(&first), None, "a second time");
     let counts = b.counts();
     assert_eq!((counts.received, counts.replayed), (2, 1));
     assert_eq!(counts.received_bytes as usize, second.len() + 2 * first.len());
@@ -36,10 +37,10 @@
 #[test]
 fn the_longest_words_fit_a_datagram_and_longer_ones_are_refused() {
     let (mut a, mut b) = (channel(0, 1e12), channel(1, 1e12));
-    let datagram = words(&mut a, &[9; LONGEST]);
-    assert!(datagram.len() <= LARGEST, "{} bytes", datagram.len());
-    assert_eq!(b.open(&datagram).map(|received| received.bytes.len()), Some(LONGEST));
-    assert_eq!(a.seal(Part::State, vec![9; LONGEST + 1]), None);
+    let datagram = words(&mut a, &[9; MAX_PAYLOAD_BYTES]);
+    assert!(datagram.len() <= MAX_DATAGRAM_BYTES, "{} bytes", datagram.len());
+    assert_eq!(b.verify(&datagram).map(|received| received.bytes.len()), Some(MAX_PAYLOAD_BYTES));
+    assert_eq!(a.authenticate(Subsystem::State, vec![9; MAX_PAYLOAD_BYTES + 1]), None);
 }
 
 #[test]
@@ -47,28 +48,28 @@
     let mut b = channel(1, 1e12);
     let early = words(&mut channel(0, 1e12), b"early");
     let late = words(&mut channel(0, 2e12), b"late");
-    assert!(b.open(&late).is_some());
-    assert_eq!(b.open(&early), None);
+    assert!(b.verify(&late).is_some());
+    assert_eq!(b.verify(&early), None);
     assert_eq!(b.counts().replayed, 1);
 }
 
 /// A datagram that is not taken, and where that is counted.
 #[rstest]
 #[case::nothing(Vec::new(), |counts: ChannelCounts| counts.malformed)]
-#[case::too_long(vec![3; LARGEST + 1], |counts: ChannelCounts| counts.malformed)]
+#[case::too_long(vec![3; MAX_DATAGRAM_BYTES + 1], |counts: ChannelCounts| counts.malformed)]
 #[case::noise(vec![3; 300], |counts: ChannelCounts| counts.untagged)]
 #[case::another_version(packet(0, 9, Message::Carry), |counts: ChannelCounts| counts.version)]
-#[case::gossip(packet(0, wire::VERSION, Message::Ping { nonce: 1 }), |counts: ChannelCounts| counts.stray)]
+#[case::gossip(packet(0, wire::VERSION, Message::Ping { nonce: 1 }), |counts: ChannelCounts| counts.unexpected)]
 #[case::words_too_long(
-    packet(0, wire::VERSION, Message::Words { part: Part::State, bytes: vec![1; LONGEST + 1] }),
-    |counts: ChannelCounts| counts.stray
+    packet(0, wire::VERSION, Message::Payload { subsystem: Subsystem::State, bytes: vec![1; MAX_PAYLOAD_BYTES + 1] }),
+    |counts: ChannelCounts| counts.unexpected
 )]
 #[case::its_own(
-    packet(1, wire::VERSION, Message::Words { part: Part::State, bytes: vec![1] }),
-    |counts: ChannelCounts| counts.stray
+    packet(1, wire::VERSION, Message::Payload { subsystem: Subsystem::State, bytes: vec![1] }),
+    |counts: ChannelCounts| counts.unexpected
 )]
 #[case::a_stranger(
-    packet(7, wire::VERSION, Message::Words { part: Part::State, bytes: vec![1] }),
+    packet(7, wire::VERSION, Message::Payload { subsystem: Subsystem::State, bytes: vec![1] }),
     |counts: ChannelCounts| counts.forged
 )]
 #[case::another_fleet(foreign(), |counts: ChannelCounts| counts.untagged)]
@@ -78,7 +79,7 @@
     #[case] count: fn(ChannelCounts) -> u64,
 ) {
     let mut b = channel(1, 1e12);
-    assert_eq!(b.open(&datagram), None);
+    assert_eq!(b.verify(&datagram), None);
     assert_eq!((count(b.counts()), b.counts().received), (1, 0), "{:?}", b.counts());
 }
 
@@ -88,27 +89,27 @@
 }
 
 fn packet(member: usize, version: u8, message: Message) -> Vec<u8> {
-    plain(secrets(member).id(), version, message).seal(&secrets(member))
+    plain(secrets(member).id(), version, message).authenticate(&secrets(member))
 }
 
 fn foreign() -> Vec<u8> {
     let secrets = Secrets::new(secret(0), vec![[8; 32]]).expect("a key");
-    plain(secrets.id(), wire::VERSION, Message::Carry).seal(&secrets)
+    plain(secrets.id(), wire::VERSION, Message::Carry).authenticate(&secrets)
 }
 
 fn forged() -> Vec<u8> {
-    let words = Message::Words { part: Part::State, bytes: vec![1] };
-    plain(secrets(0).id(), wire::VERSION, words).seal(&secrets(2))
+    let words = Message::Payload { subsystem: Subsystem::State, bytes: vec![1] };
+    plain(secrets(0).id(), wire::VERSION, words).authenticate(&secrets(2))
 }
 
 #[test]
 fn with_other_keys_it_goes_on_and_whoever_left_the_roster_is_dropped() {
     let (mut a, mut b) = (channel(0, 1e12), channel(2, 1e12));
     let former = words(&mut b, b"still there");
-    assert!(a.open(&former).is_some());
+    assert!(a.verify(&former).is_some());
     a.rekey(secrets(0), roster(2));
     let later = words(&mut b, b"gone");
-    assert_eq!(a.open(&later), None);
+    assert_eq!(a.verify(&later), None);
     assert_eq!(a.counts().forged, 1);
     a.rekey(secrets(1), roster(MEMBERS));
     assert_eq!(a.id(), secrets(0).id(), "its own key stays");
@@ -127,7 +128,7 @@
             let tag = secrets(0).tag(&datagram);
             datagram.extend(tag);
         }
-        prop_assert!(b.open(&datagram).is_none());
+        prop_assert!(b.verify(&datagram).is_none());
         Channel::sender(&datagram);
     }
 }
--- a/gossip/tests/fleet/mod.rs
+++ b/gossip/tests/fleet/mod.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use gossip::keys::{Roster, Secrets};
-use gossip::wire::Life;
+use gossip::wire::Generation;
 use gossip::{GossipTerms, Node};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -19,8 +19,8 @@
     SocketAddr::from(([10, 0, (member >> 8) as u8, member as u8], 7000))
 }
 
-pub fn life(server: u64) -> Life {
-    Life { server, started: 1 }
+pub fn generation(server: u64) -> Generation {
+    Generation { server, started: 1 }
 }
 
 pub fn secret(member: usize) -> [u8; 32] {
@@ -35,7 +35,7 @@
 
 pub fn roster(members: usize) -> Roster {
     let names: Vec<String> = (0..members).map(|m| format!("p{m}")).collect();
-    let keys = (0..members).map(|m| secrets(m).public());
+    let keys = (0..members).map(|m| secrets(m).public_key());
     Roster::new(names.iter().map(|n| &n[..]).zip(keys)).expect("sound keys")
 }
 
@@ -43,10 +43,10 @@
     let terms = GossipTerms {
         address: address(member),
         seeds: vec![address(0), address(1), address(2)],
-        cap: CAP,
-        beat: BEAT,
-        liars,
-        resend: 500.0,
+        max_bytes_per_second: CAP,
+        probe_interval: BEAT,
+        max_faulty: liars,
+        resend_interval: 500.0,
     };
     Node::new(terms, secrets(member), roster(members), member as u64, now, unix)
 }
@@ -117,7 +117,7 @@
         let now = self.now;
         while let Some((_, member, server)) = self.answers.pop_front_if(|answer| answer.0 <= now) {
             if let Some(node) = &mut self.nodes[member] {
-                node.evidence.answered(now, life(server));
+                node.evidence.answered(now, generation(server));
             }
         }
         for member in 0..self.nodes.len() {
@@ -147,7 +147,7 @@
                 node.turn(now);
             }
             for accused in node.accused(now).into_iter().filter(|accused| accused.believed) {
-                self.believed.entry((member, accused.life.server)).or_insert(now);
+                self.believed.entry((member, accused.generation.server)).or_insert(now);
             }
             let mut out = Vec::new();
             while let Some(outgoing) = node.outgoing() {
@@ -179,9 +179,9 @@
         let now = self.now;
         let silent = self.silent.get(&server).is_some_and(|&since| now >= since);
         let Some(node) = &mut self.nodes[member] else { return };
-        node.evidence.shot(now, life(server));
+        node.evidence.attempt_sent(now, generation(server));
         if self.praisers.contains(&member) {
-            node.evidence.answered(now, life(server));
+            node.evidence.answered(now, generation(server));
         } else if !silent && !self.accusers.contains(&member) {
             let delay = 30.0 + 60.0 * self.chance.random::<f64>();
             let place = self.answers.iter().position(|a| a.0 > now + delay).unwrap_or(self.answers.len());
--- a/gossip/tests/stories.rs
+++ b/gossip/tests/stories.rs
@@ -2,11 +2,11 @@
 
 mod fleet;
 
-use fleet::{BEAT, CAP, Fleet, life, node, roster, secrets};
+use fleet::{BEAT, CAP, Fleet, generation, node, roster, secrets};
 use gossip::budget::{Budget, Priority};
 use gossip::members::better;
 use gossip::statements::Statements;
-use gossip::wire::{self, Claim, Dropped, Kind, Message, Packet, Signed, Standing, Statement};
+use gossip::wire::{self, Claim, Dropped, Kind, MemberState, Message, Packet, Signed, Statement};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -52,7 +52,7 @@
     fleet.run(6_000.0);
     for liar in 0..liars {
         let now = fleet.now;
-        fleet.nodes[liar].as_mut().expect("there").evidence.shot(now, life(0));
+        fleet.nodes[liar].as_mut().expect("there").evidence.attempt_sent(now, generation(0));
     }
     fleet.run(6_000.0);
     assert_eq!(fleet.believed.keys().any(|(m, _)| *m >= liars), believed);
@@ -141,7 +141,7 @@
     };
     assert!(
         heard(0).is_some_and(|clock| f64::from(clock) < 16_000.0),
-        "its new life's clock: {:?}",
+        "its new generation's clock: {:?}",
         heard(0)
     );
     assert_eq!(fleet.alive(0), 20);
@@ -160,12 +160,12 @@
 }
 
 fn statement(author: usize, incarnation: u64, version: u32) -> (Statement, Signed) {
-    let claim = Claim { life: life(1), kind: Kind::Silent, at: version, shots: 1 };
+    let claim = Claim { generation: generation(1), kind: Kind::Silent, at: version, shots: 1 };
     let statement = Statement {
         author: secrets(author).id(),
         incarnation,
         version,
-        life: incarnation,
+        generation: incarnation,
         address: fleet::address(author),
         clock: 5_000,
         leaves: false,
@@ -227,7 +227,7 @@
         rumours: Vec::new(),
         statements,
     }
-    .seal(&secrets(from))
+    .authenticate(&secrets(from))
 }
 
 #[test]
@@ -254,23 +254,23 @@
 fn what_is_wrong_with_a_packet_is_told_apart() {
     let (own, all) = (secrets(0), roster(3));
     let good = packet(1, 1, Vec::new());
-    assert!(wire::open(&good, &own, &all).is_ok());
-    assert_eq!(wire::open(&good[..60], &own, &all), Err(Dropped::Short));
-    assert_eq!(wire::open(&[0; 1300], &own, &all), Err(Dropped::Oversized));
+    assert!(wire::verify(&good, &own, &all).is_ok());
+    assert_eq!(wire::verify(&good[..60], &own, &all), Err(Dropped::Short));
+    assert_eq!(wire::verify(&[0; 1300], &own, &all), Err(Dropped::Oversized));
     let mut touched = good.clone();
     touched[3] ^= 1;
-    assert_eq!(wire::open(&touched, &own, &all), Err(Dropped::Tag));
-    assert_eq!(wire::open(&packet(8, 1, Vec::new()), &own, &all), Err(Dropped::Stranger));
+    assert_eq!(wire::verify(&touched, &own, &all), Err(Dropped::Tag));
+    assert_eq!(wire::verify(&packet(8, 1, Vec::new()), &own, &all), Err(Dropped::Stranger));
     let other = gossip::keys::Secrets::new(fleet::secret(1), vec![[1; 32]]).expect("a key");
-    assert_eq!(wire::open(&good, &other, &all), Err(Dropped::Tag), "another fleet's");
+    assert_eq!(wire::verify(&good, &other, &all), Err(Dropped::Tag), "another fleet's");
     let both = gossip::keys::Secrets::new(fleet::secret(1), vec![[1; 32], [9; 32]]).expect("a key");
-    assert!(wire::open(&good, &both, &all).is_ok(), "the old key is accepted during a rotation");
+    assert!(wire::verify(&good, &both, &all).is_ok(), "the old key is accepted during a rotation");
 }
 
 /// All orders of a few rumours on one member, each also doubled: one view.
 #[test]
 fn every_order_of_rumours_gives_the_same_view() {
-    use Standing::{Alive, Dead, Suspect};
+    use MemberState::{Alive, Dead, Suspect};
     let words = [(1, Alive), (1, Suspect), (1, Dead), (2, Alive), (2, Suspect)];
     let wanted = (2, Suspect);
     let mut orders = vec![Vec::new()];
@@ -313,7 +313,7 @@
 
     #[test]
     fn arbitrary_datagrams_are_dropped(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        prop_assert!(wire::open(&bytes, &secrets(0), &roster(1)).is_err());
+        prop_assert!(wire::verify(&bytes, &secrets(0), &roster(1)).is_err());
     }
 
     #[test]
--- a/lab/src/capacity/members.rs
+++ b/lab/src/capacity/members.rs
@@ -11,7 +11,7 @@
 use anyhow::Result;
 use fleet::{Fleet, FleetTerms, LoanTerms};
 use gossip::keys::{Roster, Secrets};
-use gossip::wire::{Life, Part};
+use gossip::wire::{Generation, Subsystem};
 use gossip::{GossipTerms, Node};
 use nix::time::{ClockId, clock_gettime};
 use rand::{Rng, SeedableRng};
@@ -148,8 +148,8 @@
     Ok(Secrets::new(key, vec![[9; 32]])?)
 }
 
-fn life(server: u64) -> Life {
-    Life { server, started: 1 }
+fn life(server: u64) -> Generation {
+    Generation { server, started: 1 }
 }
 
 fn limit_name(limit: usize) -> String {
@@ -161,7 +161,7 @@
     pub fn new(terms: Terms) -> Result<Self> {
         let all: Vec<Secrets> = (0..terms.members).map(secrets).collect::<Result<_>>()?;
         let names: Vec<String> = (0..terms.members).map(|member| format!("p{member}")).collect();
-        let roster = Roster::new(names.iter().map(String::as_str).zip(all.iter().map(Secrets::public)))?;
+        let roster = Roster::new(names.iter().map(String::as_str).zip(all.iter().map(Secrets::public_key)))?;
         let mut chance = Pcg64Mcg::seed_from_u64(terms.seed);
         let founders: Vec<_> = all.iter().take(COUNCIL).map(Secrets::id).collect();
         let mut members = Vec::new();
@@ -169,10 +169,10 @@
             let gossip = GossipTerms {
                 address: address(place),
                 seeds: vec![address(0), address(1), address(2)],
-                cap: terms.cap,
-                beat: BEAT,
-                liars: terms.liars,
-                resend: RESEND,
+                max_bytes_per_second: terms.cap,
+                probe_interval: BEAT,
+                max_faulty: terms.liars,
+                resend_interval: RESEND,
             };
             let keys = FleetKeys { secrets: secrets(place)?, roster: roster.clone() };
             let node = Node::new(gossip, own, roster.clone(), chance.random(), 0.0, BORN as f64);
@@ -185,10 +185,10 @@
             };
             let limits = (terms.limits > 0).then(|| {
                 let loans = LoanTerms { lease: 2.0 * WINDOW, drift: 0.01, spread: 0.0, floor: 0.0 };
-                let of = FleetTerms { loans, beat: BEAT };
-                let mut limits = Fleet::new(node.id(), node.fleet(), of, chance.random(), 0.0);
+                let of = FleetTerms { loans, tick_interval: BEAT };
+                let mut limits = Fleet::new(node.id(), node.roster_ids(), of, chance.random(), 0.0);
                 for limit in 0..terms.limits {
-                    limits.limit(&limit_name(limit), terms.limit_rate, WINDOW);
+                    limits.set_limit(&limit_name(limit), terms.limit_rate, WINDOW);
                 }
                 limits
             });
@@ -367,16 +367,16 @@
     fn shoot(&mut self, place: usize, server: u64, answers: bool) {
         let (now, used) = (self.now, self.terms.limits_used);
         let member = &mut self.members[place];
-        member.node.evidence.shot(now, life(server));
+        member.node.evidence.attempt_sent(now, life(server));
         if answers {
             member.answers.push_back((now + 50.0, server));
         }
         if let Some(limits) = member.limits.as_mut().filter(|_| used > 0) {
             let name = limit_name(server as usize % used);
-            if limits.free(now, &name) > Some(0) {
-                limits.take(now, &name);
+            if limits.free_permits(now, &name) > Some(0) {
+                limits.try_acquire(now, &name);
             } else {
-                limits.missed(now, &name, 1);
+                limits.record_shortage(now, &name, 1);
             }
         }
     }
@@ -394,12 +394,12 @@
             exchange(now, agreement, &mut member.node);
         }
         if let Some(limits) = &mut member.limits {
-            while let Some((from, bytes)) = member.node.said_to(Part::Limits) {
+            while let Some((from, bytes)) = member.node.next_payload(Subsystem::Limits) {
                 limits.receive(now, from, &bytes);
             }
             limits.turn(now);
             while let Some(out) = limits.outgoing() {
-                member.node.say_to(now, out.to, Part::Limits, out.bytes);
+                member.node.send_payload(now, out.to, Subsystem::Limits, out.bytes);
             }
         }
     }
@@ -431,8 +431,9 @@
         let now = self.now;
         let member = &mut self.members[place];
         if let Some((server, _)) = self.silent.filter(|_| member.believed.is_none()) {
-            let believed =
-                |accused: &gossip::statements::Accused| accused.life == life(server) && accused.believed;
+            let believed = |accused: &gossip::statements::AccusedServer| {
+                accused.generation == life(server) && accused.believed
+            };
             if member.node.accused(now).iter().any(believed) {
                 member.believed = Some(now);
             }
@@ -449,11 +450,11 @@
 
 /// Words between the log and the gossip, as `proxy::decided` moves them; a disk that writes at once.
 fn exchange(now: f64, agreement: &mut Agreement<Book, FleetKeys>, node: &mut Node) {
-    while let Some((from, bytes)) = node.said_to(Part::Agreement) {
+    while let Some((from, bytes)) = node.next_payload(Subsystem::Agreement) {
         agreement.receive(now, from, &bytes);
     }
     if agreement.due() <= now {
-        let alive = node.members.all().filter(|(_, m)| m.standing != gossip::wire::Standing::Dead);
+        let alive = node.members.all().filter(|(_, m)| m.state != gossip::wire::MemberState::Dead);
         agreement.set_peers(alive.map(|(id, _)| id).collect::<Vec<_>>());
         agreement.turn(now);
     }
@@ -462,6 +463,6 @@
     }
     while agreement.outcome().is_some() {}
     while let Some(out) = agreement.outgoing() {
-        node.say_to(now, out.to, Part::Agreement, out.bytes);
+        node.send_payload(now, out.to, Subsystem::Agreement, out.bytes);
     }
 }
--- a/lab/src/drill.rs
+++ b/lab/src/drill.rs
@@ -441,7 +441,7 @@
     /// What proxies hold the limit on servers by, where there is one that they are told of.
     pub fn limit_terms(&self) -> Option<LimitTerms> {
         let loans = LoanTerms { lease: LEASE, drift: 0.001, spread: SPREAD, floor: 0.25 };
-        let fleet = FleetTerms { loans, beat: LIMIT_BEAT };
+        let fleet = FleetTerms { loans, tick_interval: LIMIT_BEAT };
         let most = Some(self.gossip.limit as f64).filter(|&most| most > 0.0 && self.gossip.limit_told)?;
         Some(LimitTerms { fleet, window: LIMIT_WINDOW, most: Some(most), share_window: None })
     }
@@ -453,7 +453,7 @@
             format!(
                 "\n[fleet]\nwindow = \"{window} ms\"\nbeat = \"{} ms\"\nlease = \"{lease} ms\"\ndrift = {drift:?}\n\
                  spread = \"{spread} ms\"\nfloor = {floor:?}\nmost = {:?}\n",
-                fleet.beat,
+                fleet.tick_interval,
                 most.unwrap_or_default()
             )
         })
--- a/lab/src/drills/permits.rs
+++ b/lab/src/drills/permits.rs
@@ -148,11 +148,11 @@
             }
             Way::Lent => {
                 let loans = LoanTerms { lease: 2.0 * WINDOW, drift: DRIFT, spread: 0.0, floor: 0.0 };
-                let terms = FleetTerms { loans, beat: 0.1 * WINDOW };
+                let terms = FleetTerms { loans, tick_interval: 0.1 * WINDOW };
                 let all = 0..self.case.members as Id;
                 let mut fleet =
                     Fleet::new(member as Id, all, terms, self.chance.random(), self.clock(member));
-                fleet.limit(SERVER, self.case.rate, WINDOW);
+                fleet.set_limit(SERVER, self.case.rate, WINDOW);
                 Holder::Lent(Box::new(fleet))
             }
         }
@@ -226,13 +226,13 @@
         let mut tells = None;
         match &mut self.holders[member] {
             Holder::Lent(fleet) => {
-                while self.wanted[member] >= 1.0 && fleet.free(clock, SERVER) > Some(0) {
-                    fleet.take(clock, SERVER);
+                while self.wanted[member] >= 1.0 && fleet.free_permits(clock, SERVER) > Some(0) {
+                    fleet.try_acquire(clock, SERVER);
                     self.wanted[member] -= 1.0;
                     self.went.push(now);
                 }
                 if self.wanted[member] >= 1.0 {
-                    fleet.missed(clock, SERVER, fresh);
+                    fleet.record_shortage(clock, SERVER, fresh);
                 }
                 fleet.turn(clock);
             }
--- a/lab/src/drills/sockets/gossip.rs
+++ b/lab/src/drills/sockets/gossip.rs
@@ -38,7 +38,7 @@
         let folder = self._folder.path();
         write_key(&folder.join("fleet.key"), &peers::FLEET_KEY)?;
         let line = |member| {
-            format!("{} = \"{}\"\n", peers::name(member), hex::encode(peers::secrets(member).public()))
+            format!("{} = \"{}\"\n", peers::name(member), hex::encode(peers::secrets(member).public_key()))
         };
         fs::write(folder.join("roster.toml"), (0..members).map(line).collect::<String>())?;
         let (proxies, roster) = (self.world.drill.fleet.proxies, peers::roster(members));
@@ -73,9 +73,9 @@
             seeds.join(", "),
             folder.join("fleet.key"),
             folder.join("roster.toml"),
-            terms.cap,
-            terms.beat,
-            terms.liars,
+            terms.max_bytes_per_second,
+            terms.probe_interval,
+            terms.max_faulty,
             self.world.drill.limit_settings()
                 + &self.world.drill.release.map_or(String::new(), |play| release::settings(&play)),
         ))
--- a/lab/src/scale/council.rs
+++ b/lab/src/scale/council.rs
@@ -6,7 +6,7 @@
 
 use agree::{AgreeTerms, Agreement, Id, Machine, Outcome};
 use gossip::keys::Roster;
-use gossip::wire::{Part, Standing};
+use gossip::wire::{MemberState, Subsystem};
 use gossip::{GossipTerms, Node as Member};
 
 use super::book;
@@ -68,10 +68,10 @@
         let gossip = GossipTerms {
             address: Layout::address(node),
             seeds: terms.voters.iter().copied().map(Layout::address).collect(),
-            cap: terms.cap,
-            beat: PROBE_INTERVAL,
-            liars: LIARS,
-            resend: RESEND,
+            max_bytes_per_second: terms.cap,
+            probe_interval: PROBE_INTERVAL,
+            max_faulty: LIARS,
+            resend_interval: RESEND,
         };
         let seed = node as u64 ^ u64::from(life) << 32;
         let member = Member::new(gossip, secrets.clone(), (*terms.roster).clone(), seed, now, EPOCH + now);
@@ -101,18 +101,18 @@
         if self.member.due() <= now {
             self.member.turn(now);
         }
-        while let Some((from, bytes)) = self.member.said_to(Part::Agreement) {
+        while let Some((from, bytes)) = self.member.next_payload(Subsystem::Agreement) {
             self.agreement.receive(now, from, &bytes);
         }
         if self.agreement.due() <= now {
-            let alive = self.member.members.all().filter(|(_, member)| member.standing != Standing::Dead);
+            let alive = self.member.members.all().filter(|(_, member)| member.state != MemberState::Dead);
             self.agreement.set_peers(alive.map(|(id, _)| id).collect::<Vec<Id>>());
             self.agreement.turn(now);
         }
         self.write(now);
         while let Some(out) = self.agreement.outgoing() {
             // What the cap forbids is lost, as on the network: it is said again.
-            self.member.say_to(now, out.to, Part::Agreement, out.bytes);
+            self.member.send_payload(now, out.to, Subsystem::Agreement, out.bytes);
         }
         self.take_outcomes(now);
     }
--- a/lab/src/scale/keys.rs
+++ b/lab/src/scale/keys.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use agree::{Id, Signs};
-use gossip::keys::{Roster, SIGNATURE, Secrets};
+use gossip::keys::{Roster, SIGNATURE_BYTES, Secrets};
 
 use super::layout::NodeId;
 use crate::stand_ins::peers::FLEET_KEY;
@@ -25,7 +25,7 @@
 
 /// The names and public keys of some nodes.
 pub fn roster(nodes: impl IntoIterator<Item = NodeId>) -> Roster {
-    let members: Vec<_> = nodes.into_iter().map(|node| (name(node), secrets(node).public())).collect();
+    let members: Vec<_> = nodes.into_iter().map(|node| (name(node), secrets(node).public_key())).collect();
     let members = members.iter().map(|(name, key)| (name.as_str(), *key));
     Roster::new(members).expect("keys of their own")
 }
@@ -38,11 +38,11 @@
 }
 
 impl Signs for SharedKeys {
-    fn sign(&self, bytes: &[u8]) -> [u8; SIGNATURE] {
+    fn sign(&self, bytes: &[u8]) -> [u8; SIGNATURE_BYTES] {
         self.secrets.sign(bytes)
     }
 
-    fn said(&self, by: Id, bytes: &[u8], signature: &[u8; SIGNATURE]) -> bool {
-        self.roster.said(by, bytes, signature)
+    fn said(&self, by: Id, bytes: &[u8], signature: &[u8; SIGNATURE_BYTES]) -> bool {
+        self.roster.verify_signature(by, bytes, signature)
     }
 }
--- a/lab/src/scale/tier.rs
+++ b/lab/src/scale/tier.rs
@@ -10,7 +10,7 @@
 use distribution::{Control, ControlTerms, Subscriber, SubscriberTerms};
 use gossip::channel::Channel;
 use gossip::keys::Roster;
-use gossip::wire::Part;
+use gossip::wire::Subsystem;
 
 use super::council::{CouncilNode, EPOCH, Terms};
 use super::keys::{self, SharedKeys};
@@ -120,7 +120,9 @@
 
 impl Node for SubscriberNode {
     fn receive(&mut self, now: f64, _: SocketAddr, datagram: &[u8]) {
-        if let Some(received) = self.channel.open(datagram).filter(|received| received.part == Part::State) {
+        if let Some(received) =
+            self.channel.verify(datagram).filter(|received| received.subsystem == Subsystem::State)
+        {
             self.subscriber.receive(now, received.from, &received.bytes);
         }
     }
@@ -139,7 +141,7 @@
     fn outgoing(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         let out = self.subscriber.outgoing()?;
         let to = *self.controls.get(&out.to)?;
-        Some((to, self.channel.seal(Part::State, out.bytes)?))
+        Some((to, self.channel.authenticate(Subsystem::State, out.bytes)?))
     }
 
     fn in_force(&self, scope: Scope) -> Version {
@@ -227,7 +229,9 @@
         if Channel::sender(datagram).is_some_and(|sender| self.members.contains(sender)) {
             return self.council.receive(now, from, datagram);
         }
-        if let Some(received) = self.channel.open(datagram).filter(|received| received.part == Part::State) {
+        if let Some(received) =
+            self.channel.verify(datagram).filter(|received| received.subsystem == Subsystem::State)
+        {
             self.addresses.insert(received.from, from);
             self.control.receive(now, received.from, &received.bytes);
         }
@@ -248,7 +252,7 @@
         }
         let out = self.control.outgoing()?;
         let to = *self.addresses.get(&out.to)?;
-        Some((to, self.channel.seal(Part::State, out.bytes)?))
+        Some((to, self.channel.authenticate(Subsystem::State, out.bytes)?))
     }
 
     fn in_force(&self, _: Scope) -> Version {
--- a/lab/src/stand_ins/peers.rs
+++ b/lab/src/stand_ins/peers.rs
@@ -36,7 +36,7 @@
 /// All members of a drill: its proxies, then its liars.
 pub fn roster(members: usize) -> Roster {
     let names: Vec<String> = (0..members).map(name).collect();
-    let keys = (0..members).map(|member| secrets(member).public());
+    let keys = (0..members).map(|member| secrets(member).public_key());
     Roster::new(names.iter().map(String::as_str).zip(keys)).expect("keys of their own")
 }
 
@@ -45,10 +45,10 @@
     GossipTerms {
         address: addresses[member],
         seeds: addresses.iter().copied().take(SEEDS).collect(),
-        cap: play.cap,
-        beat: play.beat * 1000.0,
-        liars: play.liars_borne,
-        resend: REPEAT,
+        max_bytes_per_second: play.cap,
+        probe_interval: play.beat * 1000.0,
+        max_faulty: play.liars_borne,
+        resend_interval: REPEAT,
     }
 }
 
@@ -132,7 +132,7 @@
         for node in &mut self.nodes {
             let servers: Vec<Server> = self.pool.servers().collect();
             for life in servers.into_iter().filter(|_| lies).filter_map(|server| self.pool.life(server)) {
-                node.evidence.shot(now, life);
+                node.evidence.attempt_sent(now, life);
             }
             if node.due() <= now {
                 node.turn(now);
--- a/links/src/lib.rs
+++ b/links/src/lib.rs
@@ -1,5 +1,5 @@
 //! Links between members under a virtual clock: what is sent comes later, twice, or never. [`Links::send`]
-//! puts something on its way, [`Links::arrived`] gives what has come by a time. The same seed gives the same
+//! puts something on its way, [`Links::next_arrival`] gives what has come by a time. The same seed gives the same
 //! order.
 
 #![forbid(unsafe_code)]
@@ -10,18 +10,18 @@
 use rand_pcg::Pcg64Mcg;
 
 /// A member, by its place.
-pub type Place = usize;
+pub type NodeIndex = usize;
 
 /// All links there are, and what is on its way.
 #[derive(Clone, Debug)]
 pub struct Links<T> {
     /// Shares of what is sent that are lost, and that come twice.
     pub loss: f64,
-    pub double: f64,
+    pub duplication: f64,
     /// The longest that anything is on its way, in milliseconds.
-    pub way: f64,
-    cut: BTreeSet<(Place, Place)>,
-    flying: BTreeMap<(u64, u64), (Place, Place, T)>,
+    pub max_delay: f64,
+    cut: BTreeSet<(NodeIndex, NodeIndex)>,
+    flying: BTreeMap<(u64, u64), (NodeIndex, NodeIndex, T)>,
     sent: u64,
     /// What was sent, cut or lost with the rest.
     pub messages: u64,
@@ -29,11 +29,11 @@
 }
 
 impl<T: Clone> Links<T> {
-    pub fn new(way: f64, seed: u64) -> Self {
+    pub fn new(max_delay: f64, seed: u64) -> Self {
         Self {
             loss: 0.0,
-            double: 0.0,
-            way,
+            duplication: 0.0,
+            max_delay,
             cut: BTreeSet::new(),
             flying: BTreeMap::new(),
             sent: 0,
@@ -43,7 +43,7 @@
     }
 
     /// One way: what the ones say does not reach the others any more, or again.
-    pub fn cut(&mut self, from: &[Place], to: &[Place], cut: bool) {
+    pub fn cut(&mut self, from: &[NodeIndex], to: &[NodeIndex], cut: bool) {
         for link in from.iter().flat_map(|&from| to.iter().map(move |&to| (from, to))) {
             if cut {
                 self.cut.insert(link)
@@ -54,7 +54,7 @@
     }
 
     /// Both ways.
-    pub fn part(&mut self, ones: &[Place], others: &[Place]) {
+    pub fn partition(&mut self, ones: &[NodeIndex], others: &[NodeIndex]) {
         self.cut(ones, others, true);
         self.cut(others, ones, true);
     }
@@ -62,21 +62,21 @@
     /// All links are whole again; what was lost stays so.
     pub fn heal(&mut self) {
         self.cut.clear();
-        (self.loss, self.double) = (0.0, 0.0);
+        (self.loss, self.duplication) = (0.0, 0.0);
     }
 
-    pub fn is_cut(&self, from: Place, to: Place) -> bool {
+    pub fn is_cut(&self, from: NodeIndex, to: NodeIndex) -> bool {
         self.cut.contains(&(from, to))
     }
 
-    pub fn send(&mut self, now: f64, from: Place, to: Place, what: T) {
+    pub fn send(&mut self, now: f64, from: NodeIndex, to: NodeIndex, what: T) {
         self.messages += 1;
         if self.is_cut(from, to) || self.chance.random::<f64>() < self.loss {
             return;
         }
-        let copies = if self.chance.random::<f64>() < self.double { 2 } else { 1 };
+        let copies = if self.chance.random::<f64>() < self.duplication { 2 } else { 1 };
         for _ in 0..copies {
-            let at = now + self.way * self.chance.random::<f64>();
+            let at = now + self.max_delay * self.chance.random::<f64>();
             self.sent += 1;
             // Whole microseconds keep the order and can be compared.
             self.flying.insert(((at * 1000.0) as u64, self.sent), (from, to, what.clone()));
@@ -84,7 +84,7 @@
     }
 
     /// The next that has come by now.
-    pub fn arrived(&mut self, now: f64) -> Option<(Place, Place, T)> {
+    pub fn next_arrival(&mut self, now: f64) -> Option<(NodeIndex, NodeIndex, T)> {
         let first = self.flying.first_entry().filter(|flight| flight.key().0 as f64 / 1000.0 <= now)?;
         Some(first.remove())
     }
--- a/proxy/src/border/callers.rs
+++ b/proxy/src/border/callers.rs
@@ -117,7 +117,7 @@
         if let Some(shot) = &conversation.shot {
             self.hands.servers.end(now, shot.leg, &Elements::new().with_cause(cause::NORMAL_CLEARING));
             if !conversation.stands {
-                self.hands.witness(shot.server, Evidence::called_off);
+                self.hands.witness(shot.server, Evidence::attempt_cancelled);
             }
         }
         if conversation.stands {
--- a/proxy/src/border/hands.rs
+++ b/proxy/src/border/hands.rs
@@ -5,7 +5,7 @@
 use frostthread::host::{Ending, Handle, Host, Server};
 use gossip::Node;
 use gossip::evidence::Evidence;
-use gossip::wire::Life;
+use gossip::wire::Generation;
 use iax2::element::Elements;
 use iax2::{Endpoint, Leg, cause};
 use records::entry::Outcome;
@@ -94,7 +94,7 @@
     }
 
     /// Keeps what was seen of a server as evidence, where there is gossip.
-    pub(super) fn witness(&mut self, server: Server, keep: impl FnOnce(&mut Evidence, Life)) {
+    pub(super) fn witness(&mut self, server: Server, keep: impl FnOnce(&mut Evidence, Generation)) {
         if let Some((node, life)) = self.gossip.as_mut().zip(self.pool.life(server)) {
             keep(&mut node.evidence, life);
         }
@@ -140,7 +140,7 @@
         if let Some(scribe) = &mut self.scribe {
             scribe.shot(now, serial, self.pool.name(server));
         }
-        self.witness(server, |evidence, life| evidence.shot(now, life));
+        self.witness(server, |evidence, life| evidence.attempt_sent(now, life));
         self.by_server.insert(leg, handle);
         self.conversation(handle).expect("just there").shot = Some(Shot { leg, server });
         self.timers.time_out(now + time_out, leg);
--- a/proxy/src/border/peers.rs
+++ b/proxy/src/border/peers.rs
@@ -93,7 +93,7 @@
         self.hands.believed.clear();
         for server in self.hands.pool.servers() {
             let Some(life) = self.hands.pool.life(server) else { continue };
-            let of = accused.iter().find(|accused| accused.life == life && accused.believed);
+            let of = accused.iter().find(|accused| accused.generation == life && accused.believed);
             self.hands.believed.extend(of.map(|_| server));
             self.module.suspected(server, of.map(|of| Suspicion { strength: 1.0, since: of.since }));
         }
--- a/proxy/src/decided/mod.rs
+++ b/proxy/src/decided/mod.rs
@@ -13,7 +13,7 @@
 use agree::{AgreeStanding, AgreeTerms, Agreement, Id, Unknown};
 use distribution::ScopedState;
 use gossip::Node;
-use gossip::wire::{Part, Standing};
+use gossip::wire::{MemberState, Subsystem};
 use outs::evidence::{Evidence, Judgement, Report};
 use outs::holder::{Holder, HolderTerms, Own, Replace};
 use outs::{Command, Drains, Kind, OUTS, Outs, Phase};
@@ -83,7 +83,7 @@
         let beat = terms.0.beat;
         let agreement = Agreement::new(node.id(), terms.0, keys, Outs::default(), file, seed, now)?;
         let Life { runs, failed, callers } = life;
-        let (fleet, silent) = (node.fleet().collect(), BTreeSet::new());
+        let (fleet, silent) = (node.roster_ids().collect(), BTreeSet::new());
         let own = Own { id: node.id(), fleet, runs, callers, leads: false, silent, failed, staged: None };
         Ok(Self {
             agreement,
@@ -124,16 +124,16 @@
 
     /// Does what has fallen due, and moves words between the agreement and the gossip.
     pub fn exchange(&mut self, now: f64, node: &mut Node) {
-        while let Some((from, bytes)) = node.said_to(Part::Agreement) {
+        while let Some((from, bytes)) = node.next_payload(Subsystem::Agreement) {
             self.agreement.receive(now, from, &bytes);
         }
-        while let Some((from, bytes)) = node.said_to(Part::Evidence) {
+        while let Some((from, bytes)) = node.next_payload(Subsystem::Evidence) {
             if let Some((report, span)) = Report::read(&bytes).zip(self.terms.span) {
                 self.evidence.told((now / span) as u64, from, report);
             }
         }
         if self.agreement.due() <= now {
-            let alive = node.members.all().filter(|(_, member)| member.standing != Standing::Dead);
+            let alive = node.members.all().filter(|(_, member)| member.state != MemberState::Dead);
             self.agreement.set_peers(alive.map(|(id, _)| id).collect::<Vec<_>>());
             self.agreement.turn(now);
         }
@@ -143,7 +143,7 @@
         }
         while let Some(out) = self.agreement.outgoing() {
             // What the cap forbids is lost, as on the network: it is said again.
-            node.say_to(now, out.to, Part::Agreement, out.bytes);
+            node.send_payload(now, out.to, Subsystem::Agreement, out.bytes);
         }
     }
 
@@ -153,9 +153,9 @@
 
     /// What this proxy itself does by what is decided.
     fn hold(&mut self, now: f64, node: &Node) {
-        let dead = node.members.all().filter(|(_, member)| member.standing == Standing::Dead);
+        let dead = node.members.all().filter(|(_, member)| member.state == MemberState::Dead);
         self.own.silent = dead.map(|(id, _)| id).collect();
-        self.own.fleet = node.fleet().collect();
+        self.own.fleet = node.roster_ids().collect();
         self.own.leads = self.agreement.role() == agree::Role::Leads;
         let outs = self.agreement.machine();
         let runs = |id: Id, release: u64| outs.releases.runs(id) == release;
@@ -208,7 +208,7 @@
         self.evidence.told((now / span) as u64, self.own.id, report);
         let council = self.agreement.standing(now).council;
         for member in council.ids().filter(|&id| id != self.own.id) {
-            node.say_to(now, member, Part::Evidence, report.write());
+            node.send_payload(now, member, Subsystem::Evidence, report.write());
         }
     }
 
--- a/proxy/src/decided/wishes.rs
+++ b/proxy/src/decided/wishes.rs
@@ -80,7 +80,7 @@
     /// What would be asked for, and why it would not be.
     fn command(&self, wish: &Wish, node: &Node, pool: &PoolList, unix: f64) -> Result<Asked, String> {
         let id = |name: &str| {
-            node.fleet()
+            node.roster_ids()
                 .find(|&id| node.name(id) == Some(name))
                 .ok_or_else(|| format!("{name}: not in the roster"))
         };
@@ -98,7 +98,7 @@
             })),
             Wish::Start => Asked::Outs(Command::Releases(releases::Command::Start {
                 release: self.release()?,
-                proxies: node.fleet().count() as u16,
+                proxies: node.roster_ids().count() as u16,
             })),
             Wish::Halt { why } => {
                 let (release, why) = (self.release()?, why.clone());
--- a/proxy/src/distributed/service.rs
+++ b/proxy/src/distributed/service.rs
@@ -9,7 +9,7 @@
 use gossip::Outgoing;
 use gossip::channel::Channel;
 use gossip::keys::{Roster, Secrets};
-use gossip::wire::Part;
+use gossip::wire::Subsystem;
 use outs::Changes;
 
 use super::status::{
@@ -71,7 +71,9 @@
         if !Channel::sender(datagram).is_some_and(|from| self.channel.roster().contains(from)) {
             return false;
         }
-        if let Some(received) = self.channel.open(datagram).filter(|received| received.part == Part::State) {
+        if let Some(received) =
+            self.channel.verify(datagram).filter(|received| received.subsystem == Subsystem::State)
+        {
             self.addresses.insert(received.from, peer);
             self.control.receive(now, received.from, &received.bytes);
             self.send();
@@ -106,7 +108,7 @@
     fn send(&mut self) {
         while let Some(out) = self.control.outgoing() {
             let Some(&peer) = self.addresses.get(&out.to) else { continue };
-            let sealed = self.channel.seal(Part::State, out.bytes);
+            let sealed = self.channel.authenticate(Subsystem::State, out.bytes);
             self.out.extend(sealed.map(|bytes| Outgoing { peer, bytes }));
         }
     }
--- a/proxy/src/distributed/subscription.rs
+++ b/proxy/src/distributed/subscription.rs
@@ -13,7 +13,7 @@
 use gossip::Outgoing;
 use gossip::channel::Channel;
 use gossip::keys::{Roster, Secrets};
-use gossip::wire::Part;
+use gossip::wire::Subsystem;
 use outs::drains::{self, Notice};
 
 use super::status::{DistributedDrain, DistributionRole, DistributionStatus, ScopeStatus, finite};
@@ -89,7 +89,9 @@
 
     /// A datagram came. Anything may stand in it.
     pub fn receive(&mut self, now: f64, datagram: &[u8]) {
-        if let Some(received) = self.channel.open(datagram).filter(|received| received.part == Part::State) {
+        if let Some(received) =
+            self.channel.verify(datagram).filter(|received| received.subsystem == Subsystem::State)
+        {
             self.subscriber.receive(now, received.from, &received.bytes);
             self.send();
         }
@@ -106,7 +108,7 @@
     fn send(&mut self) {
         while let Some(out) = self.subscriber.outgoing() {
             let Some(&peer) = self.addresses.get(&out.to) else { continue };
-            let sealed = self.channel.seal(Part::State, out.bytes);
+            let sealed = self.channel.authenticate(Subsystem::State, out.bytes);
             self.out.extend(sealed.map(|bytes| Outgoing { peer, bytes }));
         }
     }
--- a/proxy/src/limits.rs
+++ b/proxy/src/limits.rs
@@ -1,10 +1,10 @@
 //! The tie between the fleet's limits, the list of central servers and the gossip that carries what members
 //! say. [`FleetLimits`] is told rates; [`FleetLimits::exchange`] moves words both ways.
 
-use fleet::{Counts, Fleet, FleetTerms, LimitStanding};
+use fleet::{Counts, Fleet, FleetTerms, LimitState};
 use frostthread::host::{Server, State};
 use gossip::Node;
-use gossip::wire::Part;
+use gossip::wire::Subsystem;
 
 use crate::pool::PoolList;
 
@@ -42,7 +42,7 @@
         seed: u64,
         now: f64,
     ) -> Self {
-        let mut fleet = Fleet::new(node.id(), node.fleet(), terms.fleet, seed, now);
+        let mut fleet = Fleet::new(node.id(), node.roster_ids(), terms.fleet, seed, now);
         let mut shares = Vec::new();
         for (name, quota) in tenants.into_iter().take_while(|_| terms.share_window.is_some()) {
             // No server's name ends so.
@@ -50,7 +50,7 @@
             let window = terms.share_window.unwrap_or_default();
             // Under one whole conversation in a window nobody could have any: that is guessed.
             if quota * window >= 1000.0 {
-                fleet.limit(&name, quota, window);
+                fleet.set_limit(&name, quota, window);
             }
             shares.push(name);
         }
@@ -61,11 +61,11 @@
     /// known, as for a while after a start.
     pub fn within_share(&mut self, now: f64, tenant: usize) -> Option<bool> {
         let name = self.shares.get(tenant)?;
-        let free = self.fleet.free(now, name).filter(|_| self.fleet.is_sure(now, name))?;
+        let free = self.fleet.free_permits(now, name).filter(|_| self.fleet.is_recovered(now, name))?;
         if free == 0 {
-            self.fleet.missed(now, name, 1);
+            self.fleet.record_shortage(now, name, 1);
         }
-        Some(free > 0 && self.fleet.take(now, name))
+        Some(free > 0 && self.fleet.try_acquire(now, name))
     }
 
     /// The list has changed: limits on what runs no more are withdrawn, a new life is another server.
@@ -80,7 +80,7 @@
             let name = life.map(|life| format!("{}@{}", pool.name(server), life.started));
             if name != self.names[index] {
                 if let Some(former) = std::mem::replace(&mut self.names[index], name) {
-                    self.fleet.withdraw(now, &former);
+                    self.fleet.remove_limit(now, &former);
                 }
                 self.told[index] = None;
                 self.set(server);
@@ -106,39 +106,39 @@
             },
         };
         if let Some(name) = &self.names[index] {
-            self.fleet.limit(name, rate, self.terms.window);
+            self.fleet.set_limit(name, rate, self.terms.window);
         }
     }
 
     /// How many set-ups may go there now; none told where there is no limit.
     pub fn free(&mut self, now: f64, server: Server) -> Option<u32> {
         let name = self.names.get(server.0 as usize)?.as_ref()?;
-        self.fleet.free(now, name).map(|free| free as u32)
+        self.fleet.free_permits(now, name).map(|free| free as u32)
     }
 
     /// A set-up has been sent there.
     pub fn take(&mut self, now: f64, server: Server) {
         if let Some(Some(name)) = self.names.get(server.0 as usize) {
-            let taken = self.fleet.take(now, name);
+            let taken = self.fleet.try_acquire(now, name);
             debug_assert!(taken, "the module sends no more than it is allotted");
         }
     }
 
     pub fn missed(&mut self, now: f64, server: Server, count: u32) {
         if let Some(Some(name)) = self.names.get(server.0 as usize) {
-            self.fleet.missed(now, name, count as usize);
+            self.fleet.record_shortage(now, name, count as usize);
         }
     }
 
     /// Does what has fallen due, and moves words between the fleet and the gossip.
     pub fn exchange(&mut self, now: f64, node: &mut Node) {
-        while let Some((from, bytes)) = node.said_to(Part::Limits) {
+        while let Some((from, bytes)) = node.next_payload(Subsystem::Limits) {
             self.fleet.receive(now, from, &bytes);
         }
         self.fleet.turn(now);
         while let Some(out) = self.fleet.outgoing() {
             // What the cap forbids is lost, as on the network: it lapses.
-            node.say_to(now, out.to, Part::Limits, out.bytes);
+            node.send_payload(now, out.to, Subsystem::Limits, out.bytes);
         }
     }
 
@@ -147,10 +147,10 @@
     }
 
     pub fn set_members(&mut self, node: &Node) {
-        self.fleet.set_members(node.fleet());
+        self.fleet.set_members(node.roster_ids());
     }
 
-    pub fn standings(&mut self, now: f64) -> (Vec<LimitStanding>, Counts) {
-        (self.fleet.standings(now), self.fleet.counts())
+    pub fn standings(&mut self, now: f64) -> (Vec<LimitState>, Counts) {
+        (self.fleet.limit_states(now), self.fleet.counts())
     }
 }
--- a/proxy/src/pool.rs
+++ b/proxy/src/pool.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 use frostthread::host::{Listed, Server, State};
-use gossip::wire::Life;
+use gossip::wire::Generation;
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 use thiserror::Error;
@@ -201,11 +201,11 @@
 
     /// The server's present life, by which proxies speak of it to each other. A name and start of their own
     /// keep what was said of an earlier process, or of another machine at the same address, apart.
-    pub fn life(&self, server: Server) -> Option<Life> {
+    pub fn life(&self, server: Server) -> Option<Generation> {
         let known = self.known.get(self.name(server))?;
         let mut hasher = SipHasher13::new();
         hasher.write(known.entry.name.as_bytes());
-        Some(Life { server: hasher.finish(), started: known.entry.started.unwrap_or(0.0) as u64 })
+        Some(Generation { server: hasher.finish(), started: known.entry.started.unwrap_or(0.0) as u64 })
     }
 
     /// All servers ever listed, in the order of their indices.
--- a/proxy/src/status.rs
+++ b/proxy/src/status.rs
@@ -1,6 +1,6 @@
 //! What a border proxy says of itself: counters, and the servers as its module sees them.
 
-use gossip::wire::Standing;
+use gossip::wire::MemberState;
 use gossip::{Counts, Node};
 use serde::{Deserialize, Serialize};
 
@@ -107,10 +107,10 @@
         let members = node.members.all().map(|(id, member)| MemberStatus {
             name: name(id),
             address: member.address.to_string(),
-            standing: match member.standing {
-                Standing::Alive => "alive",
-                Standing::Suspect => "suspect",
-                Standing::Dead => "dead",
+            standing: match member.state {
+                MemberState::Alive => "alive",
+                MemberState::Suspect => "suspect",
+                MemberState::Dead => "dead",
             }
             .to_owned(),
             incarnation: member.incarnation,
@@ -124,13 +124,13 @@
         let listed = |life| pool.servers().find(|&server| pool.life(server) == Some(life));
         let suspicions = node.accused(now).into_iter().map(|accused| SuspicionStatus {
             // What is not on this proxy's list, or not in this life, has no name here.
-            server: listed(accused.life).map_or("?".to_owned(), |server| pool.name(server).to_owned()),
-            started: accused.life.started,
-            accusers: node.accusers(accused.life).into_iter().map(name).collect(),
+            server: listed(accused.generation).map_or("?".to_owned(), |server| pool.name(server).to_owned()),
+            started: accused.generation.started,
+            accusers: node.accusers(accused.generation).into_iter().map(name).collect(),
             vouchers: accused.vouchers,
             age: now - accused.since,
             believed: accused.believed,
-            answered: node.evidence.last_answer(accused.life).map(|at| now - at),
+            answered: node.evidence.last_answer(accused.generation).map(|at| now - at),
         });
         Self {
             members: std::iter::once(own).chain(members).collect(),
@@ -166,9 +166,16 @@
 }
 
 impl LimitsStatus {
-    pub fn of((standings, counts): (Vec<fleet::LimitStanding>, fleet::Counts)) -> Self {
-        let row = |limit: fleet::LimitStanding| {
-            let fleet::Standing { part, lent, borrowed, resting, free, waits_out } = limit.standing;
+    pub fn of((standings, counts): (Vec<fleet::LimitState>, fleet::Counts)) -> Self {
+        let row = |limit: fleet::LimitState| {
+            let fleet::LedgerStatus {
+                part,
+                lent,
+                borrowed,
+                cooling_down: resting,
+                free,
+                recovering: waits_out,
+            } = limit.ledger;
             let why = match (free, waits_out) {
                 (1.., _) => "",
                 (0, true) => "started lately: what an earlier process may have lent is waited out",
--- a/proxy/tests/distributed.rs
+++ b/proxy/tests/distributed.rs
@@ -10,7 +10,7 @@
 use distribution::placement::ControlMachine;
 use gossip::channel::Channel;
 use gossip::keys::{Roster, Secrets};
-use gossip::wire::Part;
+use gossip::wire::Subsystem;
 
 const HEARTBEAT: f64 = 1_000.0;
 const CONTROL: u8 = 1;
@@ -23,7 +23,7 @@
 
 fn roster(members: &[u8]) -> Roster {
     let names: Vec<String> = members.iter().map(|member| format!("p{member}")).collect();
-    let keys = members.iter().map(|&member| secrets(member).public());
+    let keys = members.iter().map(|&member| secrets(member).public_key());
     Roster::new(names.iter().map(|name| &name[..]).zip(keys)).expect("sound")
 }
 
@@ -59,18 +59,18 @@
     Channel::new(secrets(of), roster(&[CONTROL, SUBSCRIBER]), 1e12)
 }
 
-fn words(from: u8, part: Part, bytes: &[u8]) -> Vec<u8> {
-    channel(from).seal(part, bytes.to_vec()).expect("fits")
+fn words(from: u8, part: Subsystem, bytes: &[u8]) -> Vec<u8> {
+    channel(from).authenticate(part, bytes.to_vec()).expect("fits")
 }
 
 #[test]
 fn what_is_no_word_of_a_control_machine_changes_nothing_at_a_subscriber() {
     let mut subscription = subscription();
     subscription.receive(1.0, &[3; 200]);
-    subscription.receive(2.0, &words(STRANGER, Part::State, &[1, 2, 3]));
+    subscription.receive(2.0, &words(STRANGER, Subsystem::State, &[1, 2, 3]));
     let mut control = channel(CONTROL);
-    let other = control.seal(Part::Agreement, vec![1, 2, 3]).expect("fits");
-    let rubbish = control.seal(Part::State, vec![1, 255, 255]).expect("fits");
+    let other = control.authenticate(Subsystem::Agreement, vec![1, 2, 3]).expect("fits");
+    let rubbish = control.authenticate(Subsystem::State, vec![1, 255, 255]).expect("fits");
     subscription.receive(3.0, &other);
     subscription.receive(4.0, &rubbish);
     subscription.receive(5.0, &rubbish);
@@ -102,9 +102,9 @@
     let mut service = service();
     assert!(!service.receive(1.0, address(40), &[3; 200]));
     assert!(!service.receive(2.0, address(40), &[]));
-    assert!(!service.receive(3.0, address(40), &words(STRANGER, Part::State, &[1])));
+    assert!(!service.receive(3.0, address(40), &words(STRANGER, Subsystem::State, &[1])));
     // In a subscriber's name without its key: its own, and dropped.
-    let mut forged = words(SUBSCRIBER, Part::State, &[1]);
+    let mut forged = words(SUBSCRIBER, Subsystem::State, &[1]);
     *forged.last_mut().expect("bytes") ^= 1;
     assert!(service.receive(4.0, address(40), &forged));
     assert!(service.outgoing().is_none());
--- a/proxy/tests/stories.rs
+++ b/proxy/tests/stories.rs
@@ -41,18 +41,18 @@
 #[test]
 fn a_tenants_share_holds_in_every_window_and_is_not_told_before_it_is_known() {
     let secrets = Secrets::new([7; 32], vec![[9; 32]]).expect("a key");
-    let roster = Roster::new([("p", secrets.public())]).expect("one member");
+    let roster = Roster::new([("p", secrets.public_key())]).expect("one member");
     let gossip = GossipTerms {
         address: address(1),
         seeds: Vec::new(),
-        cap: 16_000.0,
-        beat: 200.0,
-        liars: 0,
-        resend: 500.0,
+        max_bytes_per_second: 16_000.0,
+        probe_interval: 200.0,
+        max_faulty: 0,
+        resend_interval: 500.0,
     };
     let node = Node::new(gossip, secrets, roster, 1, 0.0, 1.0);
     let loans = LoanTerms { lease: 2000.0, drift: 0.0, spread: 0.0, floor: 1.0 };
-    let fleet = FleetTerms { loans, beat: 100.0 };
+    let fleet = FleetTerms { loans, tick_interval: 100.0 };
     let terms = LimitTerms { fleet, window: 1000.0, most: None, share_window: Some(2000.0) };
     let shares = [("gold".to_owned(), 2.0), ("under one in a window".to_owned(), 0.1)];
     let mut limits = FleetLimits::new(&node, terms, shares, 1, 0.0);
--- a/records/src/journal.rs
+++ b/records/src/journal.rs
@@ -2,7 +2,7 @@
 //!
 //! Entries are in postcard's encoding, in the frames of [`frames`].
 
-use frames::LONGEST;
+use frames::MAX_BODY_BYTES;
 
 use crate::entry::Entry;
 
@@ -10,7 +10,7 @@
 pub const LONGEST_TEXT: usize = 255;
 
 /// What a segment holds.
-pub type Found = frames::Found<Entry>;
+pub type Found = frames::Decoded<Entry>;
 
 fn fit(text: &str) -> String {
     let end = (0..=LONGEST_TEXT.min(text.len())).rev().find(|&at| text.is_char_boundary(at)).unwrap_or(0);
@@ -35,7 +35,7 @@
 /// Appends a framed entry.
 pub fn write(to: &mut Vec<u8>, entry: &Entry) {
     let body = postcard::to_stdvec(&fitted(entry)).expect("plain data");
-    debug_assert!(body.len() <= LONGEST, "texts are cut to fit");
+    debug_assert!(body.len() <= MAX_BODY_BYTES, "texts are cut to fit");
     frames::write(to, &body);
 }
 
--- a/records/tests/stories.rs
+++ b/records/tests/stories.rs
@@ -81,14 +81,14 @@
         let found = journal::read(&bytes[..cut]);
         let whole = ends.iter().filter(|&&end| end <= cut).count();
         assert_eq!(found.entries, entries[..whole], "cut at {cut}");
-        assert_eq!(found.sound, whole.checked_sub(1).map_or(0, |last| ends[last]));
-        let torn = cut > found.sound;
+        assert_eq!(found.valid_bytes, whole.checked_sub(1).map_or(0, |last| ends[last]));
+        let torn = cut > found.valid_bytes;
         assert_eq!(
-            found.damage.iter().map(|d| (d.at, d.torn)).collect::<Vec<_>>(),
-            Vec::from_iter(torn.then_some((found.sound, true)))
+            found.damage.iter().map(|d| (d.offset, d.torn)).collect::<Vec<_>>(),
+            Vec::from_iter(torn.then_some((found.valid_bytes, true)))
         );
         // Twice in recovery: what the first one cut is read the same by the second.
-        assert_eq!(journal::read(&bytes[..found.sound]).entries, found.entries);
+        assert_eq!(journal::read(&bytes[..found.valid_bytes]).entries, found.entries);
     }
 }
 
@@ -222,7 +222,7 @@
     #[test]
     fn any_bytes_are_read_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let found = journal::read(&bytes);
-        prop_assert!(found.sound <= bytes.len());
+        prop_assert!(found.valid_bytes <= bytes.len());
     }
 }
 
