--- a/proxy/src/decided/commands.rs
+++ b/proxy/src/decided/commands.rs
@@ -87,7 +87,7 @@
         unix: f64,
     ) -> Result<Asked, String> {
         let id = |name: &str| {
-            node.fleet()
+            node.roster_ids()
                 .find(|&id| node.name(id) == Some(name))
                 .ok_or_else(|| format!("{name}: not in the roster"))
         };
@@ -107,7 +107,7 @@
             }
             OperatorCommand::Start => Asked::Outs(Command::Releases(releases::Command::Start {
                 release: self.release()?,
-                proxies: node.fleet().count() as u16,
+                proxies: node.roster_ids().count() as u16,
             })),
             OperatorCommand::Halt { why } => {
                 let (release, why) = (self.release()?, why.clone());
--- a/proxy/src/status.rs
+++ b/proxy/src/status.rs
@@ -1,6 +1,6 @@
 //! What a border proxy says of itself: counters, and the servers as its module sees them.
 
-use gossip::wire::Standing;
+use gossip::wire::MemberState;
 use gossip::{Counts, Node};
 use serde::{Deserialize, Serialize};
 
@@ -125,10 +125,10 @@
         let members = node.members.all().map(|(id, member)| MemberStatus {
             name: name(id),
             address: member.address.to_string(),
-            state: match member.standing {
-                Standing::Alive => "alive",
-                Standing::Suspect => "suspect",
-                Standing::Dead => "dead",
+            state: match member.state {
+                MemberState::Alive => "alive",
+                MemberState::Suspect => "suspect",
+                MemberState::Dead => "dead",
             }
             .to_owned(),
             incarnation: member.incarnation,
@@ -142,13 +142,13 @@
         let listed = |life| pool.servers().find(|&server| pool.generation(server) == Some(life));
         let suspicions = node.accused(now).into_iter().map(|accused| SuspicionStatus {
             // What is not on this proxy's list, or not in this life, has no name here.
-            server: listed(accused.life).map_or("?".to_owned(), |server| pool.name(server).to_owned()),
-            started: accused.life.started,
-            accusers: node.accusers(accused.life).into_iter().map(name).collect(),
+            server: listed(accused.generation).map_or("?".to_owned(), |server| pool.name(server).to_owned()),
+            started: accused.generation.started,
+            accusers: node.accusers(accused.generation).into_iter().map(name).collect(),
             vouchers: accused.vouchers,
             age_ms: now - accused.since,
             believed: accused.believed,
-            last_answer_ms: node.evidence.last_answer(accused.life).map(|at| now - at),
+            last_answer_ms: node.evidence.last_answer(accused.generation).map(|at| now - at),
         });
         Self {
             members: std::iter::once(own).chain(members).collect(),
@@ -185,9 +185,16 @@
 }
 
 impl LimitsStatus {
-    pub fn of((standings, counts): (Vec<fleet::LimitStanding>, fleet::Counts)) -> Self {
-        let row = |limit: fleet::LimitStanding| {
-            let fleet::Standing { part, lent, borrowed, resting, free, waits_out } = limit.standing;
+    pub fn of((standings, counts): (Vec<fleet::LimitState>, fleet::Counts)) -> Self {
+        let row = |limit: fleet::LimitState| {
+            let fleet::LedgerStatus {
+                part,
+                lent,
+                borrowed,
+                cooling_down: resting,
+                free,
+                recovering: waits_out,
+            } = limit.ledger;
             let why = match (free, waits_out) {
                 (1.., _) => "",
                 (0, true) => "started lately: what an earlier process may have lent is waited out",
