--- a/agree/src/agreement.rs
+++ b/agree/src/agreement.rs
@@ -7,18 +7,18 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::Id;
+use crate::certificate::Signer;
 use crate::council::Council;
-use crate::disk::{Kept, Lost, Pending, Snapshot, Write};
+use crate::disk::{DiskWrite, Pending, PersistedState, RecoveryError, Snapshot};
 use crate::election::Post;
 use crate::follow::Following;
 use crate::founding::Founding;
 use crate::fresh::Freshness;
 use crate::freshness::FreshnessProof;
-use crate::log::{Entry, Hash, Index, Log, Mark, What};
-use crate::machine::{Machine, Unknown};
+use crate::log::{Entry, Hash, Index, Log, LogPosition, Payload};
+use crate::machine::{Machine, UnsupportedDecision};
 use crate::requests::Requests;
-use crate::seal::Signs;
-use crate::standing::Counts;
+use crate::status::Counts;
 use crate::wire::{self, Message, Stage, Unfit};
 
 /// Messages that wait to be sent, or for the disk; past that the oldest are lost, as on the network.
@@ -38,11 +38,11 @@
 
 /// What is agreed for the agreement itself.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AgreeTerms {
+pub struct AgreementTerms {
     /// Who votes at first.
-    pub founders: Vec<Id>,
+    pub bootstrap_members: Vec<Id>,
     /// How often a leader speaks, and anybody looks at what it needs: milliseconds.
-    pub beat: f64,
+    pub heartbeat: f64,
     /// How old the word may become by which a proxy acts: it is asked for well before.
     pub lease: f64,
 }
@@ -65,20 +65,20 @@
 #[derive(Clone)]
 pub struct Agreement<M, S> {
     pub(crate) id: Id,
-    pub(crate) terms: AgreeTerms,
+    pub(crate) terms: AgreementTerms,
     pub(crate) keys: S,
     pub(crate) machine: M,
     pub(crate) chance: Pcg64Mcg,
     /// Others that are there, as far as is known.
     peers: Vec<Id>,
-    pub(crate) kept: Kept,
+    pub(crate) kept: PersistedState,
     pub(crate) disk: Pending,
     pub(crate) founding: Founding,
     pub(crate) post: Post,
     /// Up to where decisions are known, and are carried out.
     pub(crate) decided: Index,
     pub(crate) applied: Index,
-    pub(crate) stopped: Option<Unknown>,
+    pub(crate) stopped: Option<UnsupportedDecision>,
     /// The council whose proofs are believed, by the index since which it votes, and the one before it.
     pub(crate) trust: (Index, Council),
     pub(crate) former: Option<Council>,
@@ -101,27 +101,27 @@
     pub(crate) fault: Option<crate::tests::Fault>,
 }
 
-impl<M: Machine, S: Signs> Agreement<M, S> {
+impl<M: Machine, S: Signer> Agreement<M, S> {
     /// `file` is what the disk gave, as [`crate::disk::recover`] reads it. An error only where the machine
     /// makes nothing of its own snapshot.
     pub fn new(
         id: Id,
-        terms: AgreeTerms,
+        terms: AgreementTerms,
         keys: S,
         machine: M,
-        file: Result<Kept, Lost>,
+        file: Result<PersistedState, RecoveryError>,
         seed: u64,
         now: f64,
-    ) -> Result<Self, Unknown> {
+    ) -> Result<Self, UnsupportedDecision> {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let founders = Council::founders(terms.founders.iter().copied());
-        let kept = file.unwrap_or_else(|_| Kept {
+        let founders = Council::bootstrap(terms.bootstrap_members.iter().copied());
+        let kept = file.unwrap_or_else(|_| PersistedState {
             stage: Stage::Fresh,
             // 0 is a founder's.
-            life: chance.random_range(1..=u64::MAX),
+            disk_id: chance.random_range(1..=u64::MAX),
             term: 0,
             voted: None,
-            log: Log::new(Mark::default(), 0, founders.clone()),
+            log: Log::new(LogPosition::default(), 0, founders.clone()),
             snapshot: None,
             links: Vec::new(),
         });
@@ -146,7 +146,7 @@
             fresh: Freshness::default(),
             requests: Requests::default(),
             out: VecDeque::new(),
-            beat_at: now + terms.beat * chance.random::<f64>(),
+            beat_at: now + terms.heartbeat * chance.random::<f64>(),
             beats: 0,
             counts: Counts::default(),
             #[cfg(test)]
@@ -161,7 +161,7 @@
         agreement.believe_links();
         agreement.idle(now);
         // A torn tail goes with it, and a disk that cannot be written shows at once.
-        agreement.disk.anew();
+        agreement.disk.replace_file();
         Ok(agreement)
     }
 
@@ -221,8 +221,8 @@
         if now < self.beat_at {
             return;
         }
-        let next = self.beat_at + self.terms.beat * (0.9 + 0.2 * self.chance.random::<f64>());
-        self.beat_at = if next > now { next } else { now + self.terms.beat };
+        let next = self.beat_at + self.terms.heartbeat * (0.9 + 0.2 * self.chance.random::<f64>());
+        self.beat_at = if next > now { next } else { now + self.terms.heartbeat };
         self.beats += 1;
         self.found(now);
         self.stand(now);
@@ -247,17 +247,19 @@
             return;
         }
         match message {
-            Message::Hello { nonce, stage, life } => self.hello(from, nonce, stage, life),
+            Message::Hello { nonce, stage, disk_id } => self.hello(from, nonce, stage, disk_id),
             Message::Known { nonce, stage, term, acked } => self.known(now, from, nonce, stage, term, acked),
-            Message::Ask { term, trial, life, index, of } => {
-                self.asked(now, from, term, trial, life, index, of);
+            Message::Ask { term, trial, disk_id, index, of } => {
+                self.asked(now, from, term, trial, disk_id, index, of);
             }
-            Message::Vote { term, trial, granted, life } => self.voted(now, from, term, trial, granted, life),
-            Message::Append { term, round, life, prev, hash, entries, decided } => {
-                self.appended(now, from, term, round, life, (prev, hash), entries, decided);
+            Message::Vote { term, trial, granted, disk_id } => {
+                self.voted(now, from, term, trial, granted, disk_id)
             }
-            Message::Have { term, round, life, index, fits, signed } => {
-                self.has(now, from, term, round, life, index, fits, signed);
+            Message::Append { term, round, disk_id, prev, hash, entries, decided } => {
+                self.appended(now, from, term, round, disk_id, (prev, hash), entries, decided);
+            }
+            Message::Have { term, round, disk_id, index, fits, signed } => {
+                self.has(now, from, term, round, disk_id, index, fits, signed);
             }
             Message::Tell { seal } => self.told(from, seal),
             Message::Pull { index, hash, version, sealed, piece } => {
@@ -266,9 +268,9 @@
             Message::Entries { prev, hash, entries } => self.entries(from, prev, &hash, entries),
             Message::Council { link } => self.linked(from, *link),
             Message::Piece { index, hash, term, at, of, bytes } => {
-                self.piece(from, Mark { index, term, hash }, at, of, &bytes);
+                self.piece(from, LogPosition { index, term, hash }, at, of, &bytes);
             }
-            Message::Propose { request, what } => self.proposed(now, from, request, what),
+            Message::Propose { request, payload } => self.proposed(now, from, request, payload),
             Message::Refused { request, refusal } => self.refused(from, request, refusal),
             Message::Fresh { nonce } => self.fresh_wanted(from, nonce),
             Message::FreshIs { nonce, index, signature } => {
@@ -305,7 +307,7 @@
 
     /// Whether anything of this proxy's must last: it was named as a founder, or has a seat.
     pub(crate) fn keeps(&self) -> bool {
-        self.terms.founders.contains(&self.id) || self.kept.log.council().contains(self.id)
+        self.terms.bootstrap_members.contains(&self.id) || self.kept.log.council().contains(self.id)
     }
 
     pub(crate) fn keep(&mut self, bytes: Vec<u8>) {
@@ -315,8 +317,8 @@
     }
 
     /// Bytes for the disk: to be written and synced, in place of the whole file where they begin anew. The
-    /// next ones come when these are told as [`Agreement::written`] or [`Agreement::unwritten`].
-    pub fn to_write(&mut self, now: f64) -> Option<Write> {
+    /// next ones come when these are told as [`Agreement::write_succeeded`] or [`Agreement::write_failed`].
+    pub fn next_write(&mut self, now: f64) -> Option<DiskWrite> {
         if !self.keeps() {
             self.disk.skip();
             return None;
@@ -324,15 +326,15 @@
         self.disk.begin(now, || self.kept.whole())
     }
 
-    pub fn written(&mut self, now: f64) {
+    pub fn write_succeeded(&mut self, now: f64) {
         self.disk.done();
         self.has_own(now);
         self.tally(now);
     }
 
     /// The disk refused: it is tried again after a while, with all that is to last.
-    pub fn unwritten(&mut self, now: f64) {
-        self.disk.refused(now, self.terms.beat);
+    pub fn write_failed(&mut self, now: f64) {
+        self.disk.refused(now, self.terms.heartbeat);
         self.idle(now);
     }
 
@@ -340,24 +342,26 @@
     pub(crate) fn apply(&mut self) {
         while self.applied < self.decided && self.stopped.is_none() {
             let index = self.applied + 1;
-            let Some(Entry { request, what, .. }) = self.kept.log.entry(index).cloned() else { return };
+            let Some(Entry { request, payload, .. }) = self.kept.log.entry(index).cloned() else { return };
             let done = request != 0 && self.recent.contains(&request);
             let mut answer = Vec::new();
-            let changes_council = matches!(what, What::Council(_));
-            match what {
-                What::Begin => {}
-                What::Council(council) => {
+            let changes_council = matches!(payload, Payload::Council(_));
+            match payload {
+                Payload::Begin => {}
+                Payload::Council(council) => {
                     self.applied_former = Some(self.kept.log.council_at(index - 1).1.clone());
                     self.trust_at_least((index, council), self.applied_former.clone());
                 }
-                What::Decide { part, command } if !done => match self.machine.decide(index, part, &command) {
-                    Ok(came_to) => answer = came_to,
-                    Err(unknown) => {
-                        self.stopped = Some(unknown);
-                        return;
+                Payload::Decide { part, command } if !done => {
+                    match self.machine.decide(index, part, &command) {
+                        Ok(came_to) => answer = came_to,
+                        Err(unknown) => {
+                            self.stopped = Some(unknown);
+                            return;
+                        }
                     }
-                },
-                What::Decide { .. } => {}
+                }
+                Payload::Decide { .. } => {}
             }
             self.applied = index;
             self.note_root();
@@ -427,15 +431,18 @@
             self.kept.log.fold(self.snapshots[0].0.mark.index);
         }
         self.kept.snapshot = Some(snapshot);
-        self.disk.anew();
+        self.disk.replace_file();
     }
 
     /// Begins anew from a snapshot that is proved, or its own.
-    pub(crate) fn restore(&mut self, snapshot: &Snapshot) -> Result<(), Unknown> {
+    pub(crate) fn restore(&mut self, snapshot: &Snapshot) -> Result<(), UnsupportedDecision> {
         type State = ((Index, Council), Option<Council>, VecDeque<u64>, Vec<u8>);
         let mark = snapshot.mark;
-        let unread =
-            |_| Unknown { index: mark.index, part: 0, what: "a snapshot of no known form".to_owned() };
+        let unread = |_| UnsupportedDecision {
+            index: mark.index,
+            part: 0,
+            reason: "a snapshot of no known form".to_owned(),
+        };
         let (council, former, recent, state): State =
             postcard::from_bytes(&snapshot.bytes).map_err(unread)?;
         self.machine.restore(mark.index, &state)?;
--- a/agree/src/seal.rs
+++ b/agree/src/certificate.rs
@@ -1,6 +1,6 @@
 //! The proof that something is decided, for those who have no vote. Each member of the council signs what it
-//! knows to be decided; a majority's signatures on the same statement are a [`Seal`], which anybody can pass
-//! on. A council is proved by a seal of the one before it ([`Link`]).
+//! knows to be decided; a majority's signatures on the same statement are a [`Certificate`], which anybody can pass
+//! on. A council is proved by a seal of the one before it ([`CouncilProof`]).
 
 use std::collections::BTreeMap;
 
@@ -16,9 +16,9 @@
 const DOMAIN: &[u8] = b"frostthread agree 2";
 
 /// How members sign, and who said what.
-pub trait Signs {
+pub trait Signer {
     fn sign(&self, bytes: &[u8]) -> [u8; SIGNATURE];
-    fn said(&self, by: Id, bytes: &[u8], signature: &[u8; SIGNATURE]) -> bool;
+    fn verify(&self, by: Id, bytes: &[u8], signature: &[u8; SIGNATURE]) -> bool;
 }
 
 /// What a member says of the log: all up to `index` is decided, and comes to this.
@@ -27,13 +27,13 @@
     pub index: Index,
     pub hash: Hash,
     /// The newest snapshot at or before it, and the digest of that.
-    pub snapshot: Index,
-    pub digest: Hash,
+    pub snapshot_index: Index,
+    pub snapshot_digest: Hash,
     /// Since when its council votes, and the digest of that.
     pub version: Index,
-    pub council: Hash,
+    pub council_digest: Hash,
     /// The machine's root once all up to `index` is carried out.
-    pub state: Hash,
+    pub state_root: Hash,
 }
 
 impl Statement {
@@ -43,42 +43,47 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Seal {
+pub struct Certificate {
     pub statement: Statement,
     pub signatures: Vec<(Id, Vec<u8>)>,
 }
 
-impl Seal {
+impl Certificate {
     /// Signatures of a majority of a council, and no more, where there are so many.
-    pub fn of(statement: &Statement, by: &BTreeMap<Id, Vec<u8>>, council: &Council) -> Option<Self> {
+    pub fn from_signatures(
+        statement: &Statement,
+        by: &BTreeMap<Id, Vec<u8>>,
+        council: &Council,
+    ) -> Option<Self> {
         let signed = council.ids().filter_map(|id| Some((id, by.get(&id)?.clone())));
         let signatures: Vec<_> = signed.take(council.majority()).collect();
         (signatures.len() == council.majority()).then(|| Self { statement: statement.clone(), signatures })
     }
 
     /// Whether a majority of the council signed it.
-    pub fn proved(&self, council: &Council, keys: &impl Signs) -> bool {
+    pub fn is_valid(&self, council: &Council, keys: &impl Signer) -> bool {
         let bytes = self.statement.bytes();
         let said = |id: Id| {
             let mut of = self.signatures.iter().filter(|(by, _)| *by == id);
             let signature = of.next().and_then(|(_, signature)| signature.as_slice().try_into().ok());
-            signature.is_some_and(|signature| keys.said(id, &bytes, signature))
+            signature.is_some_and(|signature| keys.verify(id, &bytes, signature))
         };
-        self.signatures.len() <= crate::council::MOST_SEATS && council.is_majority(|seat| said(seat.id))
+        self.signatures.len() <= crate::council::MAX_VOTERS && council.is_majority(|voter| said(voter.id))
     }
 }
 
 /// A council, proved by the one before it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Link {
+pub struct CouncilProof {
     pub council: Council,
-    pub seal: Seal,
+    pub certificate: Certificate,
 }
 
-impl Link {
+impl CouncilProof {
     /// Whether the former council says that this one votes.
-    pub fn proved(&self, former: &Council, keys: &impl Signs) -> bool {
-        self.council.digest() == self.seal.statement.council && self.seal.proved(former, keys)
+    pub fn is_valid(&self, former: &Council, keys: &impl Signer) -> bool {
+        self.council.digest() == self.certificate.statement.council_digest
+            && self.certificate.is_valid(former, keys)
     }
 }
 
@@ -88,12 +93,12 @@
     pub roster: gossip::keys::Roster,
 }
 
-impl Signs for FleetKeys {
+impl Signer for FleetKeys {
     fn sign(&self, bytes: &[u8]) -> [u8; SIGNATURE] {
         self.secrets.sign(bytes)
     }
 
-    fn said(&self, by: Id, bytes: &[u8], signature: &[u8; SIGNATURE]) -> bool {
+    fn verify(&self, by: Id, bytes: &[u8], signature: &[u8; SIGNATURE]) -> bool {
         self.roster.said(by, bytes, signature)
     }
 }
--- a/agree/src/council.rs
+++ b/agree/src/council.rs
@@ -7,71 +7,71 @@
 use crate::log::Hash;
 
 /// Seats at most: a proof of seven fits a message.
-pub const MOST_SEATS: usize = 7;
+pub const MAX_VOTERS: usize = 7;
 
 /// A voter. `life` is 0 for who was there from the founding on with its disk; one that was let in anew votes
 /// by the number that its new disk drew.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Seat {
+pub struct Voter {
     pub id: Id,
-    pub life: u64,
+    pub disk_id: u64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Council {
-    seats: Vec<Seat>,
+    voters: Vec<Voter>,
 }
 
 impl Council {
-    pub fn founders(ids: impl IntoIterator<Item = Id>) -> Self {
-        let mut seats: Vec<Seat> = ids.into_iter().map(|id| Seat { id, life: 0 }).collect();
-        seats.sort_unstable();
-        seats.dedup();
-        Self { seats }
+    pub fn bootstrap(ids: impl IntoIterator<Item = Id>) -> Self {
+        let mut voters: Vec<Voter> = ids.into_iter().map(|id| Voter { id, disk_id: 0 }).collect();
+        voters.sort_unstable();
+        voters.dedup();
+        Self { voters }
     }
 
     pub fn ids(&self) -> impl Iterator<Item = Id> {
-        self.seats.iter().map(|seat| seat.id)
+        self.voters.iter().map(|voter| voter.id)
     }
 
-    pub fn seats(&self) -> &[Seat] {
-        &self.seats
+    pub fn voters(&self) -> &[Voter] {
+        &self.voters
     }
 
-    pub fn seat(&self, id: Id) -> Option<Seat> {
-        self.seats.iter().copied().find(|seat| seat.id == id)
+    pub fn voter(&self, id: Id) -> Option<Voter> {
+        self.voters.iter().copied().find(|voter| voter.id == id)
     }
 
     pub fn contains(&self, id: Id) -> bool {
-        self.seat(id).is_some()
+        self.voter(id).is_some()
     }
 
     pub fn majority(&self) -> usize {
-        self.seats.len() / 2 + 1
+        self.voters.len() / 2 + 1
     }
 
     /// Whether those are enough of it.
-    pub fn is_majority(&self, has: impl Fn(Seat) -> bool) -> bool {
-        !self.seats.is_empty() && self.seats.iter().filter(|seat| has(**seat)).count() >= self.majority()
+    pub fn is_majority(&self, has: impl Fn(Voter) -> bool) -> bool {
+        !self.voters.is_empty() && self.voters.iter().filter(|voter| has(**voter)).count() >= self.majority()
     }
 
-    pub fn with(&self, seat: Seat) -> Self {
+    pub fn with(&self, voter: Voter) -> Self {
         let mut council = self.clone();
-        council.seats.push(seat);
-        council.seats.sort_unstable();
+        council.voters.push(voter);
+        council.voters.sort_unstable();
         council
     }
 
     pub fn without(&self, id: Id) -> Self {
-        Self { seats: self.seats.iter().copied().filter(|seat| seat.id != id).collect() }
+        Self { voters: self.voters.iter().copied().filter(|voter| voter.id != id).collect() }
     }
 
     /// Whether it is fit to follow the other: one seat more or less, nobody twice, not empty, not too many.
     pub fn follows(&self, former: &Self) -> bool {
-        let gone = former.seats.iter().filter(|seat| !self.seats.contains(seat)).count();
-        let come = self.seats.iter().filter(|seat| !former.seats.contains(seat)).count();
-        let sorted = self.seats.windows(2).all(|pair| pair[0].id < pair[1].id);
-        gone + come == 1 && sorted && (1..=MOST_SEATS).contains(&self.seats.len())
+        let gone = former.voters.iter().filter(|voter| !self.voters.contains(voter)).count();
+        let come = self.voters.iter().filter(|voter| !former.voters.contains(voter)).count();
+        let sorted = self.voters.windows(2).all(|pair| pair[0].id < pair[1].id);
+        gone + come == 1 && sorted && (1..=MAX_VOTERS).contains(&self.voters.len())
     }
 
     pub fn digest(&self) -> Hash {
--- a/agree/src/disk.rs
+++ b/agree/src/disk.rs
@@ -1,6 +1,6 @@
 //! What lasts of one member: its seat's life, its votes, its log, its newest snapshot, the proofs of
-//! councils. A file of [`frames`]; [`recover`] reads it. The shell writes what [`crate::Agreement::to_write`]
-//! gives and tells [`crate::Agreement::written`] once it is synced; what rests on it leaves only then.
+//! councils. A file of [`frames`]; [`recover`] reads it. The shell writes what [`crate::Agreement::next_write`]
+//! gives and tells [`crate::Agreement::write_succeeded`] once it is synced; what rests on it leaves only then.
 //!
 //! | the file | what comes of it |
 //! | --- | --- |
@@ -13,9 +13,9 @@
 use thiserror::Error;
 
 use crate::Id;
+use crate::certificate::CouncilProof;
 use crate::council::Council;
-use crate::log::{Entry, Index, Log, Mark, Term};
-use crate::seal::Link;
+use crate::log::{Entry, Index, Log, LogPosition, Term};
 use crate::wire::Stage;
 
 /// Bytes of a snapshot in a frame.
@@ -24,15 +24,15 @@
 /// A snapshot of what the decisions up to a mark came to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
-    pub mark: Mark,
+    pub mark: LogPosition,
     pub bytes: Vec<u8>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Record {
-    Seat {
+    Voter {
         stage: Stage,
-        life: u64,
+        disk_id: u64,
     },
     Vote {
         term: Term,
@@ -45,36 +45,36 @@
     },
     /// The log begins after a snapshot.
     Begins {
-        mark: Mark,
+        mark: LogPosition,
         version: Index,
         council: Council,
         bytes: u32,
     },
     Piece(Vec<u8>),
-    Link(Link),
+    CouncilProof(CouncilProof),
 }
 
 /// What a member holds that must last.
 #[derive(Clone, Debug)]
-pub struct Kept {
+pub struct PersistedState {
     pub stage: Stage,
     /// Drawn when the disk was new.
-    pub life: u64,
+    pub disk_id: u64,
     pub term: Term,
     pub voted: Option<Id>,
     pub log: Log,
     pub snapshot: Option<Snapshot>,
-    pub links: Vec<Link>,
+    pub links: Vec<CouncilProof>,
 }
 
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Lost {
+pub enum RecoveryError {
     #[error("no state yet")]
-    Nothing,
-    #[error("damaged at byte {at}")]
-    Damaged { at: usize },
+    Empty,
+    #[error("damaged at byte {offset}")]
+    Damaged { offset: usize },
     #[error("sound frames that make no state")]
-    Nonsense,
+    Inconsistent,
 }
 
 fn frame(to: &mut Vec<u8>, record: &Record) {
@@ -82,9 +82,9 @@
 }
 
 /// The frame of a seat's standing.
-pub fn seat(stage: Stage, life: u64) -> Vec<u8> {
+pub fn seat(stage: Stage, disk_id: u64) -> Vec<u8> {
     let mut bytes = Vec::new();
-    frame(&mut bytes, &Record::Seat { stage, life });
+    frame(&mut bytes, &Record::Voter { stage, disk_id });
     bytes
 }
 
@@ -94,9 +94,9 @@
     bytes
 }
 
-pub fn link(link: &Link) -> Vec<u8> {
+pub fn link(link: &CouncilProof) -> Vec<u8> {
     let mut bytes = Vec::new();
-    frame(&mut bytes, &Record::Link(link.clone()));
+    frame(&mut bytes, &Record::CouncilProof(link.clone()));
     bytes
 }
 
@@ -112,10 +112,10 @@
     bytes
 }
 
-impl Kept {
+impl PersistedState {
     /// The whole file.
     pub fn whole(&self) -> Vec<u8> {
-        let mut bytes = seat(self.stage, self.life);
+        let mut bytes = seat(self.stage, self.disk_id);
         bytes.extend(vote(self.term, self.voted));
         let snapshot = self.snapshot.as_ref();
         // The log in memory may reach further back than the snapshot, for those who are behind.
@@ -131,47 +131,54 @@
 }
 
 /// What a file holds.
-pub fn recover(bytes: &[u8]) -> Result<Kept, Lost> {
+pub fn recover(bytes: &[u8]) -> Result<PersistedState, RecoveryError> {
     let found = frames::read(bytes, |body| {
         let (record, rest) = postcard::take_from_bytes::<Record>(body).ok()?;
         rest.is_empty().then_some(record)
     });
     if let Some(damage) = found.damage.iter().find(|damage| !damage.torn) {
-        return Err(Lost::Damaged { at: damage.at });
+        return Err(RecoveryError::Damaged { offset: damage.at });
     }
     let mut records = found.entries.into_iter();
-    let Some(Record::Seat { stage, life }) = records.next() else { return Err(Lost::Nothing) };
-    let nowhere = Log::new(Mark::default(), 0, Council::default());
-    let mut kept =
-        Kept { stage, life, term: 0, voted: None, log: nowhere, snapshot: None, links: Vec::new() };
+    let Some(Record::Voter { stage, disk_id }) = records.next() else { return Err(RecoveryError::Empty) };
+    let nowhere = Log::new(LogPosition::default(), 0, Council::default());
+    let mut kept = PersistedState {
+        stage,
+        disk_id,
+        term: 0,
+        voted: None,
+        log: nowhere,
+        snapshot: None,
+        links: Vec::new(),
+    };
     // Bytes of the snapshot that are still to come.
     let mut wanted = 0;
     let mut begun = false;
     for record in records {
         match record {
-            Record::Seat { stage, life } => (kept.stage, kept.life) = (stage, life),
+            Record::Voter { stage, disk_id } => (kept.stage, kept.disk_id) = (stage, disk_id),
             Record::Vote { term, voted } => (kept.term, kept.voted) = (term, voted),
             Record::Begins { mark, version, council, bytes } => {
                 (kept.log, wanted, begun) = (Log::new(mark, version, council), bytes as usize, true);
                 kept.snapshot = (mark.index > 0).then(|| Snapshot { mark, bytes: Vec::new() });
             }
             Record::Piece(piece) => {
-                let snapshot = kept.snapshot.as_mut().ok_or(Lost::Nonsense)?;
-                wanted = wanted.checked_sub(piece.len()).ok_or(Lost::Nonsense)?;
+                let snapshot = kept.snapshot.as_mut().ok_or(RecoveryError::Inconsistent)?;
+                wanted = wanted.checked_sub(piece.len()).ok_or(RecoveryError::Inconsistent)?;
                 snapshot.bytes.extend(piece);
             }
             Record::Append { after, entries } => {
                 if !begun || after > kept.log.last().index || after < kept.log.base().index {
-                    return Err(Lost::Nonsense);
+                    return Err(RecoveryError::Inconsistent);
                 }
                 kept.log.cut(after);
                 kept.log.extend(entries);
             }
-            Record::Link(link) => kept.links.push(link),
+            Record::CouncilProof(link) => kept.links.push(link),
         }
     }
     // A file is written whole before it takes the place of another: a part of one is no torn tail.
-    if !begun || wanted > 0 { Err(Lost::Nonsense) } else { Ok(kept) }
+    if !begun || wanted > 0 { Err(RecoveryError::Inconsistent) } else { Ok(kept) }
 }
 
 impl Snapshot {
@@ -182,9 +189,9 @@
 
 /// What the shell is to write and sync.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Write {
+pub struct DiskWrite {
     /// In place of the whole file: beside it, synced, and then put in its place.
-    pub anew: bool,
+    pub replaces_file: bool,
     pub bytes: Vec<u8>,
 }
 
@@ -195,7 +202,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Pending {
     bytes: Vec<u8>,
-    anew: bool,
+    replaces_file: bool,
     position: u64,
     /// What is being written now reaches this.
     writing: Option<u64>,
@@ -211,8 +218,8 @@
     }
 
     /// The whole file is to be written at the next write.
-    pub(crate) fn anew(&mut self) {
-        self.anew = true;
+    pub(crate) fn replace_file(&mut self) {
+        self.replaces_file = true;
         self.position += 1;
     }
 
@@ -239,15 +246,15 @@
         self.retry_at.filter(|_| self.writing.is_none()).unwrap_or(f64::INFINITY)
     }
 
-    pub(crate) fn begin(&mut self, now: f64, whole: impl FnOnce() -> Vec<u8>) -> Option<Write> {
+    pub(crate) fn begin(&mut self, now: f64, whole: impl FnOnce() -> Vec<u8>) -> Option<DiskWrite> {
         let waits = self.writing.is_some() || self.retry_at.is_some_and(|at| now < at);
-        if waits || (self.bytes.is_empty() && !self.anew) {
+        if waits || (self.bytes.is_empty() && !self.replaces_file) {
             return None;
         }
         self.writing = Some(self.position);
-        let anew = std::mem::take(&mut self.anew);
+        let replaces_file = std::mem::take(&mut self.replaces_file);
         let pending = std::mem::take(&mut self.bytes);
-        Some(Write { anew, bytes: if anew { whole() } else { pending } })
+        Some(DiskWrite { replaces_file, bytes: if replaces_file { whole() } else { pending } })
     }
 
     pub(crate) fn done(&mut self) {
@@ -255,9 +262,9 @@
         self.retry_at = None;
     }
 
-    pub(crate) fn refused(&mut self, now: f64, beat: f64) {
-        (self.writing, self.anew) = (None, true);
+    pub(crate) fn refused(&mut self, now: f64, heartbeat: f64) {
+        (self.writing, self.replaces_file) = (None, true);
         self.bytes.clear();
-        self.retry_at = Some(now + RETRY_BEATS * beat);
+        self.retry_at = Some(now + RETRY_BEATS * heartbeat);
     }
 }
--- a/agree/src/election.rs
+++ b/agree/src/election.rs
@@ -8,11 +8,11 @@
 
 use crate::Id;
 use crate::agreement::Agreement;
+use crate::certificate::Signer;
 use crate::disk;
 use crate::log::{Index, Term};
 use crate::machine::Machine;
 use crate::replicate::Lead;
-use crate::seal::Signs;
 use crate::wire::Message;
 
 /// A member that hears no leader for so many beats, up to twice as many by chance, asks for votes; a leader
@@ -46,9 +46,9 @@
     }
 }
 
-impl<M: Machine, S: Signs> Agreement<M, S> {
+impl<M: Machine, S: Signer> Agreement<M, S> {
     pub(crate) fn patience(&self) -> f64 {
-        PATIENCE_BEATS * self.terms.beat
+        PATIENCE_BEATS * self.terms.heartbeat
     }
 
     /// Waits for a leader, as from now.
@@ -114,10 +114,10 @@
         }
         let (waits, position) = (self.chance.random(), self.disk.position());
         self.post = Post::Asking { trial, term, votes: BTreeSet::new(), since: now, waits, position };
-        let (life, last) = (self.life(), self.kept.log.last());
+        let (disk_id, last) = (self.disk_id(), self.kept.log.last());
         let others: Vec<Id> = self.kept.log.council().ids().filter(|&id| id != self.id).collect();
         for to in others {
-            self.send_kept(to, &Message::Ask { term, trial, life, index: last.index, of: last.term });
+            self.send_kept(to, &Message::Ask { term, trial, disk_id, index: last.index, of: last.term });
         }
         self.tally(now);
     }
@@ -129,7 +129,7 @@
         from: Id,
         term: Term,
         trial: bool,
-        life: u64,
+        disk_id: u64,
         index: Index,
         of: Term,
     ) {
@@ -137,7 +137,7 @@
             self.counts.stray += u64::from(!self.kept.log.council().contains(from));
             return;
         }
-        self.met(from, life, if trial { 0 } else { term }, 0);
+        self.met(from, disk_id, if trial { 0 } else { term }, 0);
         let last = self.kept.log.last();
         let whole = (of, index) >= (last.term, last.index);
         let led = match &self.post {
@@ -148,7 +148,7 @@
         if trial {
             let granted = term > self.kept.term && whole && !led;
             let term = if granted { term } else { self.kept.term };
-            return self.send_kept(from, &Message::Vote { term, trial, granted, life: self.life() });
+            return self.send_kept(from, &Message::Vote { term, trial, granted, disk_id: self.disk_id() });
         }
         if term > self.kept.term {
             self.adopt(now, term);
@@ -160,20 +160,20 @@
             self.keep(disk::vote(term, self.kept.voted));
             self.idle(now);
         }
-        let (term, life) = (self.kept.term, self.life());
-        self.send_kept(from, &Message::Vote { term, trial, granted, life });
+        let (term, disk_id) = (self.kept.term, self.disk_id());
+        self.send_kept(from, &Message::Vote { term, trial, granted, disk_id });
     }
 
-    pub(crate) fn voted(&mut self, now: f64, from: Id, term: Term, trial: bool, granted: bool, life: u64) {
-        let Some(seat) = self.kept.log.council().seat(from) else { return };
-        self.met(from, life, if granted && trial { 0 } else { term }, 0);
+    pub(crate) fn voted(&mut self, now: f64, from: Id, term: Term, trial: bool, granted: bool, disk_id: u64) {
+        let Some(voter) = self.kept.log.council().voter(from) else { return };
+        self.met(from, disk_id, if granted && trial { 0 } else { term }, 0);
         if !granted {
             self.learn_term(now, term);
             return;
         }
         if let Post::Asking { trial: asks, term: of, votes, .. } = &mut self.post
             && (*asks, *of) == (trial, term)
-            && seat.life == life
+            && voter.disk_id == disk_id
         {
             votes.insert(from);
             self.tally(now);
@@ -186,7 +186,7 @@
         let own = self.disk.synced() >= *position;
         let trial = *trial;
         let council = self.kept.log.council();
-        if !council.is_majority(|seat| if seat.id == self.id { own } else { votes.contains(&seat.id) }) {
+        if !council.is_majority(|voter| if voter.id == self.id { own } else { votes.contains(&voter.id) }) {
             return;
         }
         if trial { self.ask_votes(now, false) } else { self.lead(now) }
--- a/agree/src/follow.rs
+++ b/agree/src/follow.rs
@@ -1,7 +1,7 @@
 //! Decisions on their way to those without a vote, and to members that are too far behind for their leader's
 //! log.
 //!
-//! The leader puts signatures together into a [`Seal`]; whoever gets a newer one passes it to a few others,
+//! The leader puts signatures together into a [`Certificate`]; whoever gets a newer one passes it to a few others,
 //! and pulls what it lacks from whoever it came from. So decisions reach hundreds without one member telling
 //! them all, and nobody need be believed but a majority of the council.
 
@@ -9,11 +9,11 @@
 
 use crate::Id;
 use crate::agreement::{Agreement, SNAPSHOT_EVERY};
+use crate::certificate::{Certificate, CouncilProof, Signer, Statement};
 use crate::disk::{self, Snapshot};
 use crate::election::Post;
-use crate::log::{Entry, Hash, Index, Log, Mark};
+use crate::log::{Entry, Hash, Index, Log, LogPosition};
 use crate::machine::Machine;
-use crate::seal::{Link, Seal, Signs, Statement};
 use crate::wire::{ENTRIES, Message, PIECE, Signed};
 
 /// Others that a new proof is passed to at each beat.
@@ -34,7 +34,7 @@
 /// A snapshot that is being fetched.
 #[derive(Clone, Debug)]
 struct Loading {
-    mark: Mark,
+    mark: LogPosition,
     digest: Hash,
     of: u32,
     bytes: Vec<u8>,
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Following {
     /// The newest proof.
-    pub(crate) seal: Option<Seal>,
+    pub(crate) seal: Option<Certificate>,
     /// How often it is still passed on.
     passes: u32,
     /// Signatures that have come, by what they are of.
@@ -54,7 +54,7 @@
     staged: Option<Log>,
 }
 
-impl<M: Machine, S: Signs> Agreement<M, S> {
+impl<M: Machine, S: Signer> Agreement<M, S> {
     /// What a member that knows all up to an index to be decided says of it; none where that is too long ago.
     fn statement(&self, index: Index) -> Option<Statement> {
         let mark = self.kept.log.mark(index).filter(|_| index <= self.applied)?;
@@ -64,7 +64,15 @@
         let (version, council) = self.kept.log.council_at(index);
         let (version, council) = (*version, council.digest());
         let state = self.root_at(index)?;
-        Some(Statement { index, hash: mark.hash, snapshot, digest, version, council, state })
+        Some(Statement {
+            index,
+            hash: mark.hash,
+            snapshot_index: snapshot,
+            snapshot_digest: digest,
+            version,
+            council_digest: council,
+            state_root: state,
+        })
     }
 
     /// Its signature on the newest that it knows to be decided.
@@ -72,7 +80,8 @@
         let statement = self.statement(self.applied).filter(|of| of.index > 0 && self.is_seated())?;
         let sealed = self.following.seal.as_ref().is_some_and(|seal| seal.statement.index >= statement.index);
         // A proof of its council may be wanting though the statement has one.
-        let linked = self.kept.links.iter().any(|link| link.seal.statement.version == statement.version);
+        let linked =
+            self.kept.links.iter().any(|link| link.certificate.statement.version == statement.version);
         (!sealed || !linked && statement.version > 0).then(|| Signed {
             index: statement.index,
             signature: self.keys.sign(&statement.bytes()).to_vec(),
@@ -83,7 +92,8 @@
     pub(crate) fn note_signature(&mut self, from: Id, signed: Signed) {
         let Some(statement) = self.statement(signed.index) else { return };
         let bytes = statement.bytes();
-        let proved = |of: &Vec<u8>| of.as_slice().try_into().is_ok_and(|of| self.keys.said(from, &bytes, of));
+        let proved =
+            |of: &Vec<u8>| of.as_slice().try_into().is_ok_and(|of| self.keys.verify(from, &bytes, of));
         if !proved(&signed.signature) {
             self.counts.diverged += 1;
             return;
@@ -99,14 +109,14 @@
         }
         let newer = self.following.seal.as_ref().is_none_or(|of| of.statement.index < signed.index);
         let council = &self.kept.log.council_at(signed.index).1;
-        if let Some(seal) = Seal::of(&statement, &by, council).filter(|_| newer) {
+        if let Some(seal) = Certificate::from_signatures(&statement, &by, council).filter(|_| newer) {
             self.hold_seal(seal);
         }
         // Where a majority of the council before signed too, that proves the council.
         let now_votes = statement.version == self.trust.0 && !self.is_linked();
         let former = self.former.as_ref().filter(|_| now_votes);
-        if let Some(seal) = former.and_then(|former| Seal::of(&statement, &by, former)) {
-            let link = Link { council: self.trust.1.clone(), seal };
+        if let Some(seal) = former.and_then(|former| Certificate::from_signatures(&statement, &by, former)) {
+            let link = CouncilProof { council: self.trust.1.clone(), certificate: seal };
             for to in self.trust.1.ids().filter(|&id| id != self.id).collect::<Vec<_>>() {
                 self.send(to, &Message::Council { link: Box::new(link.clone()) });
             }
@@ -114,8 +124,13 @@
         }
     }
 
-    fn keep_link(&mut self, link: Link) {
-        if !self.kept.links.iter().any(|of| of.seal.statement.version >= link.seal.statement.version) {
+    fn keep_link(&mut self, link: CouncilProof) {
+        if !self
+            .kept
+            .links
+            .iter()
+            .any(|of| of.certificate.statement.version >= link.certificate.statement.version)
+        {
             self.keep(disk::link(&link));
             self.kept.links.push(link);
             if self.kept.links.len() > MOST_LINKS {
@@ -128,38 +143,38 @@
     /// Tells those who asked for a council that it is proved.
     pub(crate) fn tell_proved(&mut self) {
         if let Some(link) = self.kept.links.last() {
-            self.requests.council_proved(link.seal.statement.version);
+            self.requests.council_proved(link.certificate.statement.version);
         }
     }
 
     /// Whether the council that votes now is proved to those who only follow.
     pub(crate) fn is_linked(&self) -> bool {
         let version = self.trust.0;
-        version == 0 || self.kept.links.iter().any(|link| link.seal.statement.version == version)
+        version == 0 || self.kept.links.iter().any(|link| link.certificate.statement.version == version)
     }
 
     /// Goes from council to council by the proofs that it kept.
     pub(crate) fn believe_links(&mut self) {
         for link in self.kept.links.clone() {
-            if link.seal.statement.version > self.trust.0 && link.proved(&self.trust.1, &self.keys) {
+            if link.certificate.statement.version > self.trust.0 && link.is_valid(&self.trust.1, &self.keys) {
                 self.former = Some(self.trust.1.clone());
-                self.trust = (link.seal.statement.version, link.council);
+                self.trust = (link.certificate.statement.version, link.council);
             }
         }
     }
 
-    fn hold_seal(&mut self, seal: Seal) {
+    fn hold_seal(&mut self, seal: Certificate) {
         self.following.seal = Some(seal);
         self.following.passes = (self.peers().len() as f64 + 2.0).log2().ceil() as u32;
     }
 
     /// The newest proof, to be passed on.
-    pub fn seal(&self) -> Option<&Seal> {
+    pub fn certificate(&self) -> Option<&Certificate> {
         self.following.seal.as_ref()
     }
 
     /// The proofs of the councils since the founding, as far as they are kept, the oldest first.
-    pub fn links(&self) -> &[Link] {
+    pub fn council_proofs(&self) -> &[CouncilProof] {
         &self.kept.links
     }
 
@@ -203,13 +218,13 @@
     fn pull(&mut self, to: Id, piece: Option<(Index, u32)>) {
         let decided = self.kept.log.mark(self.decided).unwrap_or_default();
         let staged = self.following.staged.as_ref().map(Log::last).filter(|last| last.index > decided.index);
-        let Mark { index, hash, .. } = staged.unwrap_or(decided);
+        let LogPosition { index, hash, .. } = staged.unwrap_or(decided);
         let (version, sealed) = (self.trust.0, self.sealed());
         self.send(to, &Message::Pull { index, hash, version, sealed, piece });
     }
 
     /// A proof came.
-    pub(crate) fn told(&mut self, from: Id, seal: Seal) {
+    pub(crate) fn told(&mut self, from: Id, seal: Certificate) {
         let of = &seal.statement;
         let held = self.following.seal.as_ref().map_or(0, |held| held.statement.index);
         if of.index < held {
@@ -221,7 +236,7 @@
         if of.version > self.trust.0 {
             return self.pull(from, None);
         }
-        if of.council != self.trust.1.digest() || !seal.proved(&self.trust.1, &self.keys) {
+        if of.council_digest != self.trust.1.digest() || !seal.is_valid(&self.trust.1, &self.keys) {
             self.counts.unproved += 1;
             return;
         }
@@ -252,14 +267,14 @@
             self.counts.diverged += 1;
             return;
         }
-        let loading = self.following.loading.as_ref().filter(|loading| loading.digest == of.digest);
+        let loading = self.following.loading.as_ref().filter(|loading| loading.digest == of.snapshot_digest);
         let piece = loading.map(|loading| (loading.mark.index, loading.bytes.len() as u32));
         // A voter gets entries from its leader alone: what others send is not proved entry by entry.
         if piece.is_some() || !seated {
             self.pull(from, piece);
-        } else if of.snapshot > self.applied {
+        } else if of.snapshot_index > self.applied {
             // Also where its log is longer: what it holds there may be of a leader whose entries were not decided.
-            self.pull(from, Some((of.snapshot, 0)));
+            self.pull(from, Some((of.snapshot_index, 0)));
         }
     }
 
@@ -274,7 +289,7 @@
     ) {
         if version < self.trust.0 {
             let mut links = self.kept.links.iter();
-            let next = links.find(|link| link.seal.statement.version > version).cloned();
+            let next = links.find(|link| link.certificate.statement.version > version).cloned();
             return match next {
                 Some(link) => self.send(from, &Message::Council { link: Box::new(link) }),
                 None => self.counts.unlinked += 1,
@@ -292,7 +307,7 @@
         }
         let log = &self.kept.log;
         if index < log.base().index {
-            self.send_piece(from, of.snapshot, 0);
+            self.send_piece(from, of.snapshot_index, 0);
         } else if log.has(index, hash) {
             let mut entries = log.since(index, ENTRIES);
             entries.truncate((self.applied.saturating_sub(index)) as usize);
@@ -306,7 +321,7 @@
         let Some((snapshot, _)) = self.snapshots.iter().find(|(held, _)| held.mark.index == index) else {
             return;
         };
-        let (of, Mark { index, term, hash }) = (snapshot.bytes.len() as u32, snapshot.mark);
+        let (of, LogPosition { index, term, hash }) = (snapshot.bytes.len() as u32, snapshot.mark);
         let Some(rest) = snapshot.bytes.get(at as usize..) else { return };
         let bytes = rest[..rest.len().min(PIECE)].to_vec();
         self.send(to, &Message::Piece { index, hash, term, at, of, bytes });
@@ -333,11 +348,11 @@
     }
 
     /// The proof of a council came.
-    pub(crate) fn linked(&mut self, from: Id, link: Link) {
-        let version = link.seal.statement.version;
+    pub(crate) fn linked(&mut self, from: Id, link: CouncilProof) {
+        let version = link.certificate.statement.version;
         if version == self.trust.0 {
             // It votes here already by the log: the proof is kept for those who follow.
-            let proved = self.former.as_ref().is_some_and(|former| link.proved(former, &self.keys));
+            let proved = self.former.as_ref().is_some_and(|former| link.is_valid(former, &self.keys));
             if proved && !self.is_linked() && link.council == self.trust.1 {
                 self.keep_link(link);
             }
@@ -346,24 +361,24 @@
         if version < self.trust.0 {
             return;
         }
-        if !link.proved(&self.trust.1, &self.keys) {
+        if !link.is_valid(&self.trust.1, &self.keys) {
             self.counts.unproved += 1;
             return;
         }
         self.former = Some(self.trust.1.clone());
-        self.trust = (link.seal.statement.version, link.council.clone());
+        self.trust = (link.certificate.statement.version, link.council.clone());
         self.keep_link(link);
         self.pull(from, None);
     }
 
-    pub(crate) fn piece(&mut self, from: Id, mark: Mark, at: u32, of: u32, bytes: &[u8]) {
+    pub(crate) fn piece(&mut self, from: Id, mark: LogPosition, at: u32, of: u32, bytes: &[u8]) {
         let Some(sealed) = self.following.seal.as_ref().map(|seal| seal.statement.clone()) else { return };
         let wanted =
-            mark.index == sealed.snapshot && mark.index > self.applied && of as usize <= MOST_SNAPSHOT;
+            mark.index == sealed.snapshot_index && mark.index > self.applied && of as usize <= MOST_SNAPSHOT;
         if !wanted {
             return;
         }
-        let digest = sealed.digest;
+        let digest = sealed.snapshot_digest;
         let fresh = Loading { mark, digest, of, bytes: Vec::new() };
         let loading = self.following.loading.get_or_insert_with(|| fresh.clone());
         if (loading.mark, loading.digest, loading.of) != (mark, digest, of) {
--- a/agree/src/founding.rs
+++ b/agree/src/founding.rs
@@ -10,12 +10,12 @@
 
 use crate::Id;
 use crate::agreement::Agreement;
-use crate::council::{Council, Seat};
+use crate::certificate::Signer;
+use crate::council::{Council, Voter};
 use crate::disk;
 use crate::election::{PATIENCE_BEATS, Post};
 use crate::log::{Index, Term};
 use crate::machine::Machine;
-use crate::seal::Signs;
 use crate::wire::{Message, Stage};
 
 /// One that has no vote asks only once in so many beats: an operator has to let it in.
@@ -42,7 +42,7 @@
     pub(crate) checked: bool,
     /// What this process knows of others, by the life that they spoke under: what a lost disk held says nothing
     /// about the new disk of a member that is let in anew.
-    met: BTreeMap<Seat, Met>,
+    met: BTreeMap<Voter, Met>,
     /// Lives of those who have no vote by them, for an operator who lets them in.
     pub(crate) lives: BTreeMap<Id, u64>,
 }
@@ -55,14 +55,14 @@
 }
 
 /// The life that a member votes under, by its stage and the number that its disk drew.
-fn seat_life(stage: Stage, drawn: u64) -> u64 {
+fn voting_disk_id(stage: Stage, drawn: u64) -> u64 {
     if stage == Stage::Founder { 0 } else { drawn }
 }
 
-impl<M: Machine, S: Signs> Agreement<M, S> {
+impl<M: Machine, S: Signer> Agreement<M, S> {
     /// The number that its votes go by.
-    pub(crate) fn life(&self) -> u64 {
-        seat_life(self.kept.stage, self.kept.life)
+    pub(crate) fn disk_id(&self) -> u64 {
+        voting_disk_id(self.kept.stage, self.kept.disk_id)
     }
 
     /// Who votes, as far as this proxy knows: by its log, or by a proof of a council that its log does not
@@ -85,7 +85,7 @@
 
     /// Whether it has a seat by its disk's life.
     pub(crate) fn is_seated(&self) -> bool {
-        self.voters().seat(self.id).is_some_and(|seat| seat.life == self.life())
+        self.voters().voter(self.id).is_some_and(|voter| voter.disk_id == self.disk_id())
     }
 
     pub(crate) fn may_vote(&self) -> bool {
@@ -93,7 +93,7 @@
     }
 
     fn named(&self) -> BTreeSet<Id> {
-        let founders = self.terms.founders.iter().copied();
+        let founders = self.terms.bootstrap_members.iter().copied();
         founders.chain(self.kept.log.council().ids()).filter(|&id| id != self.id).collect()
     }
 
@@ -107,31 +107,31 @@
         if barred && !self.is_seated() && !self.beats.is_multiple_of(BARRED_BEATS) {
             return;
         }
-        let (nonce, stage, life) = (self.founding.nonce, self.kept.stage, self.kept.life);
+        let (nonce, stage, disk_id) = (self.founding.nonce, self.kept.stage, self.kept.disk_id);
         for to in self.named() {
-            self.send_kept(to, &Message::Hello { nonce, stage, life });
+            self.send_kept(to, &Message::Hello { nonce, stage, disk_id });
         }
         self.judge(now);
     }
 
-    pub(crate) fn hello(&mut self, from: Id, nonce: u64, stage: Stage, life: u64) {
+    pub(crate) fn hello(&mut self, from: Id, nonce: u64, stage: Stage, disk_id: u64) {
         if !self.keeps() {
             return;
         }
         let stands = self.stands();
         if stage == Stage::Fresh && stands == Stage::Founder && self.named().contains(&from) {
-            self.founding.lives.insert(from, life);
+            self.founding.lives.insert(from, disk_id);
         }
         // What it said that it has counts no more until it says so again.
         if let Post::Leading(lead) = &mut self.post
             && let Some(progress) = lead.progress.get_mut(&from)
         {
-            let (former, has) = (progress.life, progress.has);
+            let (former, has) = (progress.disk_id, progress.has);
             (progress.has, progress.counts) = (0, false);
             self.met(from, former, 0, has.min(self.decided));
         }
         // One that is ready is about to vote as a founder: it asks for that seat.
-        let asks = Seat { id: from, life: if stage == Stage::Fresh { life } else { 0 } };
+        let asks = Voter { id: from, disk_id: if stage == Stage::Fresh { disk_id } else { 0 } };
         let Met { term, acked } = self.founding.met.get(&asks).copied().unwrap_or_default();
         self.send_kept(from, &Message::Known { nonce, stage: stands, term, acked });
     }
@@ -159,17 +159,17 @@
     /// Its votes until now count no more; let in again, it votes under another number.
     fn lose_seat(&mut self) {
         use rand::Rng;
-        (self.kept.stage, self.kept.life) = (Stage::Fresh, self.chance.random_range(1..=u64::MAX));
-        self.keep(disk::seat(self.kept.stage, self.kept.life));
+        (self.kept.stage, self.kept.disk_id) = (Stage::Fresh, self.chance.random_range(1..=u64::MAX));
+        self.keep(disk::seat(self.kept.stage, self.kept.disk_id));
     }
 
     fn judge(&mut self, now: f64) {
         let named = self.named();
         let known = &self.founding.known;
         let all = |fit: &dyn Fn(Stage) -> bool| named.iter().all(|id| known.get(id).is_some_and(|&s| fit(s)));
-        let patience = PATIENCE_BEATS * self.terms.beat;
+        let patience = PATIENCE_BEATS * self.terms.heartbeat;
         let council = self.kept.log.council();
-        let heard = council.is_majority(|seat| seat.id == self.id || known.contains_key(&seat.id));
+        let heard = council.is_majority(|voter| voter.id == self.id || known.contains_key(&voter.id));
         let checked = all(&|_| true) || (now - self.founding.began >= patience && heard);
         let next = match self.kept.stage {
             // Only at the founding, before any entry: a seat that was lost later is not had again this way.
@@ -179,23 +179,23 @@
             Stage::Ready if all(&|stage| stage != Stage::Fresh) => Stage::Founder,
             stage => stage,
         };
-        if next != self.kept.stage && self.terms.founders.contains(&self.id) {
+        if next != self.kept.stage && self.terms.bootstrap_members.contains(&self.id) {
             self.kept.stage = next;
-            self.keep(disk::seat(next, self.kept.life));
+            self.keep(disk::seat(next, self.kept.disk_id));
         }
         self.founding.checked |= checked;
     }
 
     /// A member of the council spoke in a term under one of its lives, or said up to where it has the log.
-    pub(crate) fn met(&mut self, from: Id, life: u64, term: Term, acked: Index) {
-        let Some(seated) = self.kept.log.council().seat(from) else { return };
-        let spoke = Seat { id: from, life };
+    pub(crate) fn met(&mut self, from: Id, disk_id: u64, term: Term, acked: Index) {
+        let Some(seated) = self.kept.log.council().voter(from) else { return };
+        let spoke = Voter { id: from, disk_id };
         let met = self.founding.met.entry(spoke).or_default();
         *met = Met { term: met.term.max(term), acked: met.acked.max(acked) };
         // What a member says is signed by it: with many lives it only drives out what is known of itself.
-        let lives = Seat { id: from, life: 0 }..=Seat { id: from, life: u64::MAX };
-        let others = self.founding.met.range(lives).map(|(&seat, _)| seat);
-        let others: Vec<Seat> = others.filter(|&seat| seat != spoke && seat != seated).collect();
+        let lives = Voter { id: from, disk_id: 0 }..=Voter { id: from, disk_id: u64::MAX };
+        let others = self.founding.met.range(lives).map(|(&voter, _)| voter);
+        let others: Vec<Voter> = others.filter(|&voter| voter != spoke && voter != seated).collect();
         if others.len() + 2 > MOST_LIVES {
             self.founding.met.remove(&others[0]);
         }
--- a/agree/src/fresh.rs
+++ b/agree/src/fresh.rs
@@ -9,11 +9,11 @@
 
 use crate::Id;
 use crate::agreement::Agreement;
+use crate::certificate::Signer;
 use crate::election::Post;
 use crate::freshness::{FreshnessProof, Nonce};
 use crate::log::Index;
 use crate::machine::Machine;
-use crate::seal::Signs;
 use crate::wire::Message;
 
 /// A proxy asks so many times in a lease.
@@ -48,7 +48,7 @@
     }
 }
 
-impl<M: Machine, S: Signs> Agreement<M, S> {
+impl<M: Machine, S: Signer> Agreement<M, S> {
     /// How old what this proxy knows of the decisions can be, in milliseconds; infinity before it was ever
     /// told.
     pub fn age(&self, now: f64) -> f64 {
@@ -61,9 +61,9 @@
     }
 
     /// Asks the council how far decisions are, by a nonce of the caller's own. The answer can be passed on to
-    /// others: [`Agreement::freshness`] gives it. Without one after a while it is to be asked again, by
+    /// others: [`Agreement::next_freshness_proof`] gives it. Without one after a while it is to be asked again, by
     /// another nonce.
-    pub fn ask_freshness(&mut self, nonce: Nonce) {
+    pub fn request_freshness(&mut self, nonce: Nonce) {
         self.fresh.wanted.push_back(nonce);
         if self.fresh.wanted.len() > MOST_PROOFS {
             self.fresh.wanted.pop_front();
@@ -75,8 +75,8 @@
         }
     }
 
-    /// The next answer to [`Agreement::ask_freshness`].
-    pub fn freshness(&mut self) -> Option<FreshnessProof> {
+    /// The next answer to [`Agreement::request_freshness`].
+    pub fn next_freshness_proof(&mut self) -> Option<FreshnessProof> {
         self.fresh.proofs.pop_front()
     }
 
@@ -129,7 +129,8 @@
         let Post::Leading(lead) = &self.post else { return };
         let council = self.kept.log.council();
         let rounds = |id: Id| lead.progress.get(&id).filter(|of| of.counts).map_or(0, |of| of.round);
-        let heard = |round: u64| council.is_majority(|seat| seat.id == self.id || rounds(seat.id) >= round);
+        let heard =
+            |round: u64| council.is_majority(|voter| voter.id == self.id || rounds(voter.id) >= round);
         // Before an entry of its own term is decided it may not know what earlier leaders decided.
         let knows = self.kept.log.mark(self.decided).is_some_and(|mark| mark.term == self.kept.term);
         let answered = self.fresh.waits.iter().take_while(|(_, _, round)| knows && heard(*round)).count();
@@ -154,7 +155,7 @@
         if wanted.is_none() && asked.is_none() {
             return;
         }
-        let signed = |council| proof.proved(council, &self.keys);
+        let signed = |council| proof.is_valid(council, &self.keys);
         if proof.signer != self.id && !signed(&self.trust.1) && !signed(self.kept.log.council()) {
             self.counts.unproved += 1;
             return;
--- a/agree/src/freshness.rs
+++ b/agree/src/freshness.rs
@@ -4,9 +4,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Id;
+use crate::certificate::{SIGNATURE, Signer};
 use crate::council::Council;
 use crate::log::Index;
-use crate::seal::{SIGNATURE, Signs};
 
 /// Drawn by whoever asks: an answer that holds it was given after it was drawn.
 pub type Nonce = [u8; 16];
@@ -26,15 +26,15 @@
 
 impl FreshnessProof {
     /// The signed answer to a nonce.
-    pub fn sign(signer: Id, nonce: Nonce, index: Index, keys: &impl Signs) -> Self {
+    pub fn sign(signer: Id, nonce: Nonce, index: Index, keys: &impl Signer) -> Self {
         let signature = keys.sign(&Self::bytes(&nonce, index)).to_vec();
         Self { nonce, index, signer, signature }
     }
 
     /// Whether a voter of the council signed it.
-    pub fn proved(&self, council: &Council, keys: &impl Signs) -> bool {
+    pub fn is_valid(&self, council: &Council, keys: &impl Signer) -> bool {
         let signature: Option<&[u8; SIGNATURE]> = self.signature.as_slice().try_into().ok();
-        let signed = |of| keys.said(self.signer, &Self::bytes(&self.nonce, self.index), of);
+        let signed = |of| keys.verify(self.signer, &Self::bytes(&self.nonce, self.index), of);
         council.contains(self.signer) && signature.is_some_and(signed)
     }
 
--- a/agree/src/lib.rs
+++ b/agree/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Agreement`] is one proxy's part in it. It is handed messages, the time and what its disk came to; it
 //! hands back messages, bytes for the disk, and gives each decision to its [`Machine`] in the one order.
-//! [`council`] is who votes, [`log`] the decisions, [`seal`] the proof by which those outside the council
+//! [`council`] is who votes, [`log`] the decisions, [`certificate`] the proof by which those outside the council
 //! believe them, [`disk`] what lasts, [`wire`] the form of messages. docs/agree.md weighs the ways and states
 //! the bounds.
 //!
@@ -11,6 +11,7 @@
 #![forbid(unsafe_code)]
 
 mod agreement;
+pub mod certificate;
 pub mod council;
 pub mod disk;
 mod election;
@@ -22,20 +23,19 @@
 mod machine;
 mod replicate;
 mod requests;
-pub mod seal;
-mod standing;
+mod status;
 #[cfg(test)]
 mod tests;
 pub mod wire;
 
-pub use agreement::{AgreeTerms, Agreement, Outgoing};
-pub use council::{Council, Seat};
+pub use agreement::{Agreement, AgreementTerms, Outgoing};
+pub use certificate::Signer;
+pub use council::{Council, Voter};
 pub use freshness::{FreshnessProof, Nonce};
-pub use log::{Entry, Hash, Index, Mark, Term, What};
-pub use machine::{Machine, Unknown};
+pub use log::{Entry, Hash, Index, LogPosition, Payload, Term};
+pub use machine::{Machine, UnsupportedDecision};
 pub use requests::{Outcome, Refusal};
-pub use seal::Signs;
-pub use standing::{AgreeStanding, Counts, Role};
+pub use status::{AgreementStatus, Counts, Role};
 
 /// A member of the fleet, as gossip knows it.
 pub type Id = gossip::keys::Id;
--- a/agree/src/log.rs
+++ b/agree/src/log.rs
@@ -12,11 +12,11 @@
 pub type Hash = [u8; 32];
 
 /// Bytes of the longest command of a part.
-pub const MOST_COMMAND: usize = 400;
+pub const MAX_COMMAND_BYTES: usize = 400;
 
 /// What an entry is for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum What {
+pub enum Payload {
     /// A leader's first one: what earlier leaders left behind is decided with it.
     Begin,
     /// Who votes from here on.
@@ -30,7 +30,7 @@
     pub term: Term,
     /// Drawn by who asks: asked for twice, it is done once. 0 where nobody asked.
     pub request: u64,
-    pub what: What,
+    pub payload: Payload,
 }
 
 impl Entry {
@@ -48,7 +48,7 @@
 
 /// A place in the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Mark {
+pub struct LogPosition {
     pub index: Index,
     pub term: Term,
     pub hash: Hash,
@@ -57,24 +57,28 @@
 /// Entries after a base, whose own are folded into a snapshot.
 #[derive(Clone, Debug)]
 pub struct Log {
-    base: Mark,
+    base: LogPosition,
     entries: VecDeque<(Entry, Hash)>,
     /// The councils of the log, with the index from which each votes; the first is the base's.
     councils: Vec<(Index, Council)>,
 }
 
 impl Log {
-    pub fn new(base: Mark, version: Index, council: Council) -> Self {
+    pub fn new(base: LogPosition, version: Index, council: Council) -> Self {
         Self { base, entries: VecDeque::new(), councils: vec![(version, council)] }
     }
 
-    pub fn base(&self) -> Mark {
+    pub fn base(&self) -> LogPosition {
         self.base
     }
 
-    pub fn last(&self) -> Mark {
+    pub fn last(&self) -> LogPosition {
         let index = self.base.index + self.entries.len() as u64;
-        self.entries.back().map_or(self.base, |(entry, hash)| Mark { index, term: entry.term, hash: *hash })
+        self.entries.back().map_or(self.base, |(entry, hash)| LogPosition {
+            index,
+            term: entry.term,
+            hash: *hash,
+        })
     }
 
     fn place(&self, index: Index) -> Option<usize> {
@@ -85,12 +89,12 @@
         self.entries.get(self.place(index)?).map(|(entry, _)| entry)
     }
 
-    pub fn mark(&self, index: Index) -> Option<Mark> {
+    pub fn mark(&self, index: Index) -> Option<LogPosition> {
         if index == self.base.index {
             return Some(self.base);
         }
         let (entry, hash) = self.entries.get(self.place(index)?)?;
-        Some(Mark { index, term: entry.term, hash: *hash })
+        Some(LogPosition { index, term: entry.term, hash: *hash })
     }
 
     /// Whether the log has that hash there.
@@ -98,16 +102,16 @@
         self.mark(index).is_some_and(|mark| mark.hash == *hash)
     }
 
-    pub fn append(&mut self, entry: Entry) -> Mark {
+    pub fn append(&mut self, entry: Entry) -> LogPosition {
         let former = self.last();
         let hash = entry.chained(&former.hash);
         let index = former.index + 1;
-        if let What::Council(council) = &entry.what {
+        if let Payload::Council(council) = &entry.payload {
             self.councils.push((index, council.clone()));
         }
         let term = entry.term;
         self.entries.push_back((entry, hash));
-        Mark { index, term, hash }
+        LogPosition { index, term, hash }
     }
 
     pub fn extend(&mut self, entries: impl IntoIterator<Item = Entry>) {
--- a/agree/src/machine.rs
+++ b/agree/src/machine.rs
@@ -7,11 +7,11 @@
 /// A decision or a state that this program does not know: made by a newer one, or for another machine.
 /// Whoever meets it stops there, rather than guess.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("decision {index}: part {part}: {what}")]
-pub struct Unknown {
+#[error("decision {index}: part {part}: {reason}")]
+pub struct UnsupportedDecision {
     pub index: Index,
     pub part: u8,
-    pub what: String,
+    pub reason: String,
 }
 
 /// The parts that decisions are given to. Nothing but what it is given may sway it: no clock, no chance, no
@@ -19,7 +19,7 @@
 pub trait Machine {
     /// Carries a decision out. Gives what it came to, for whoever asked: a refusal by the machine's own rules
     /// too.
-    fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, Unknown>;
+    fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, UnsupportedDecision>;
 
     /// A digest of what the decisions so far came to, the same wherever they are the same. It is signed with
     /// them, so that a part of the state can be proved to whoever does not follow the log. All zero for a
@@ -32,5 +32,5 @@
     fn state(&self) -> Vec<u8>;
 
     /// Takes a state that [`Machine::state`] gave, in place of its own.
-    fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), Unknown>;
+    fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), UnsupportedDecision>;
 }
--- a/agree/src/replicate.rs
+++ b/agree/src/replicate.rs
@@ -5,11 +5,11 @@
 
 use crate::Id;
 use crate::agreement::Agreement;
+use crate::certificate::Signer;
 use crate::disk;
 use crate::election::Post;
-use crate::log::{Entry, Hash, Index, Term, What};
+use crate::log::{Entry, Hash, Index, Payload, Term};
 use crate::machine::Machine;
-use crate::seal::Signs;
 use crate::wire::{ENTRIES, Message, Signed};
 
 /// How far another is, as its leader knows.
@@ -22,7 +22,7 @@
     pub round: u64,
     pub heard: f64,
     /// The life under which it said what it has, and whether that is the one that its seat names.
-    pub life: u64,
+    pub disk_id: u64,
     pub counts: bool,
 }
 
@@ -37,27 +37,27 @@
     writing: VecDeque<(u64, Index)>,
 }
 
-impl<M: Machine, S: Signs> Agreement<M, S> {
+impl<M: Machine, S: Signer> Agreement<M, S> {
     pub(crate) fn lead(&mut self, now: f64) {
         let last = self.kept.log.last().index;
-        let at_first = Progress { next: last + 1, has: 0, round: 0, heard: now, life: 0, counts: false };
+        let at_first = Progress { next: last + 1, has: 0, round: 0, heard: now, disk_id: 0, counts: false };
         let others = self.kept.log.council().ids().filter(|&id| id != self.id);
         let progress = others.map(|id| (id, at_first)).collect();
         // All that this log holds was kept before the vote for it was.
         self.post = Post::Leading(Lead { progress, round: 0, own: last, writing: VecDeque::new() });
         self.counts.led += 1;
-        self.append(now, 0, What::Begin);
+        self.append(now, 0, Payload::Begin);
     }
 
     /// Puts an entry into the log that this member leads, and sends it.
-    pub(crate) fn append(&mut self, now: f64, request: u64, what: What) {
-        let entry = Entry { term: self.kept.term, request, what };
+    pub(crate) fn append(&mut self, now: f64, request: u64, payload: Payload) {
+        let entry = Entry { term: self.kept.term, request, payload };
         let mark = self.kept.log.append(entry.clone());
         self.keep(disk::append(mark.index - 1, &[entry]));
         let position = self.disk.position();
         let Post::Leading(lead) = &mut self.post else { return };
         lead.writing.push_back((position, mark.index));
-        let fresh = Progress { next: mark.index, has: 0, round: 0, heard: now, life: 0, counts: false };
+        let fresh = Progress { next: mark.index, has: 0, round: 0, heard: now, disk_id: 0, counts: false };
         let council = self.kept.log.council();
         council.ids().filter(|&id| id != self.id).for_each(|id| {
             lead.progress.entry(id).or_insert(fresh);
@@ -86,8 +86,8 @@
         });
         let prev = mark.index;
         let entries = self.kept.log.since(prev, ENTRIES);
-        let (term, life, hash, decided) = (self.kept.term, self.life(), mark.hash, self.decided);
-        self.send(to, &Message::Append { term, round, life, prev, hash, entries, decided });
+        let (term, disk_id, hash, decided) = (self.kept.term, self.disk_id(), mark.hash, self.decided);
+        self.send(to, &Message::Append { term, round, disk_id, prev, hash, entries, decided });
     }
 
     /// A leader's beat: speaks to all, and steps down where it hears no majority.
@@ -95,7 +95,7 @@
         let patience = self.patience();
         let Post::Leading(lead) = &mut self.post else { return };
         let heard = |id: Id| lead.progress.get(&id).is_some_and(|of| now - of.heard < patience);
-        if !self.kept.log.council().is_majority(|seat| seat.id == self.id || heard(seat.id)) {
+        if !self.kept.log.council().is_majority(|voter| voter.id == self.id || heard(voter.id)) {
             self.counts.stepped_down += 1;
             return self.idle(now);
         }
@@ -111,7 +111,7 @@
         from: Id,
         term: Term,
         round: u64,
-        leader_life: u64,
+        leader_disk_id: u64,
         prev: (Index, Hash),
         entries: Vec<Entry>,
         decided: Index,
@@ -126,12 +126,12 @@
         if !self.disk.is_sound() || !(self.founding.checked || learns) {
             return;
         }
-        self.met(from, leader_life, term, 0);
-        let life = self.life();
+        self.met(from, leader_disk_id, term, 0);
+        let disk_id = self.disk_id();
         if term < self.kept.term {
             let (term, index) = (self.kept.term, self.decided);
             return self
-                .send_kept(from, &Message::Have { term, round, life, index, fits: false, signed: None });
+                .send_kept(from, &Message::Have { term, round, disk_id, index, fits: false, signed: None });
         }
         if term > self.kept.term {
             self.adopt(now, term);
@@ -149,7 +149,7 @@
             self.apply();
         }
         let signed = self.signed();
-        self.send_kept(from, &Message::Have { term, round, life, index, fits, signed });
+        self.send_kept(from, &Message::Have { term, round, disk_id, index, fits, signed });
     }
 
     /// Puts entries behind an index: what is there already stays, what differs is taken back. Gives the last
@@ -181,24 +181,24 @@
         from: Id,
         term: Term,
         round: u64,
-        life: u64,
+        disk_id: u64,
         index: Index,
         fits: bool,
         signed: Option<Signed>,
     ) {
-        let Some(seat) = self.kept.log.council().seat(from) else { return };
-        self.met(from, life, term, 0);
+        let Some(voter) = self.kept.log.council().voter(from) else { return };
+        self.met(from, disk_id, term, 0);
         if term > self.kept.term {
             return self.learn_term(now, term);
         }
         let last = self.kept.log.last().index;
         let Post::Leading(lead) = &mut self.post else { return };
         let Some(progress) = lead.progress.get_mut(&from).filter(|_| term == self.kept.term) else { return };
-        if progress.life != life {
+        if progress.disk_id != disk_id {
             // What another life of it had is not on this one's disk.
-            (progress.life, progress.has) = (life, 0);
+            (progress.disk_id, progress.has) = (disk_id, 0);
         }
-        (progress.heard, progress.counts) = (now, seat.life == life);
+        (progress.heard, progress.counts) = (now, voter.disk_id == disk_id);
         progress.round = progress.round.max(round);
         if progress.counts {
             self.founding.lives.remove(&from);
@@ -216,7 +216,7 @@
         }
         let news = self.decide(now);
         // Only what is decided can never be taken back by a later leader.
-        self.met(from, life, term, if fits { index.min(self.decided) } else { 0 });
+        self.met(from, disk_id, term, if fits { index.min(self.decided) } else { 0 });
         if behind && !news {
             self.send_append(from);
         }
@@ -239,7 +239,7 @@
         let (log, council) = (&self.kept.log, self.kept.log.council());
         let has = |id: Id| lead.progress.get(&id).filter(|of| of.counts).map_or(0, |of| of.has);
         let enough = |index: Index| {
-            council.is_majority(|seat| index <= if seat.id == self.id { lead.own } else { has(seat.id) })
+            council.is_majority(|voter| index <= if voter.id == self.id { lead.own } else { has(voter.id) })
         };
         // Of an earlier leader's entries a majority may be in vain: another one's may still take their place.
         #[cfg(test)]
--- a/agree/src/requests.rs
+++ b/agree/src/requests.rs
@@ -8,11 +8,11 @@
 
 use crate::Id;
 use crate::agreement::Agreement;
+use crate::certificate::Signer;
 use crate::council::Council;
 use crate::election::Post;
-use crate::log::{Index, MOST_COMMAND, What};
+use crate::log::{Index, MAX_COMMAND_BYTES, Payload};
 use crate::machine::Machine;
-use crate::seal::Signs;
 use crate::wire::Message;
 
 /// A request that is not decided is sent again after so many beats.
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
     /// A council changes by one seat at a time, and keeps one at least.
-    NotOneSeat,
+    NotOneVoter,
     /// The change before it is not decided, or not proved to those who follow.
     ChangeUnderWay,
     /// Of that council too few would vote now: it could decide nothing, and not be changed back.
@@ -52,7 +52,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Requests {
-    open: BTreeMap<u64, (What, u64)>,
+    open: BTreeMap<u64, (Payload, u64)>,
     /// Changes of the council that are decided, and not yet proved to those who follow.
     unproved: VecDeque<(u64, Index)>,
     outcomes: VecDeque<(u64, Outcome)>,
@@ -89,30 +89,30 @@
     }
 }
 
-impl<M: Machine, S: Signs> Agreement<M, S> {
+impl<M: Machine, S: Signer> Agreement<M, S> {
     /// Asks for a command of a part to be decided. What it comes to is an [`Agreement::outcome`] with the
     /// number that this gives.
     pub fn propose(&mut self, now: f64, part: u8, command: Vec<u8>) -> Result<u64, Refusal> {
-        if command.len() > MOST_COMMAND {
+        if command.len() > MAX_COMMAND_BYTES {
             return Err(Refusal::TooLong);
         }
-        self.request(now, What::Decide { part, command })
+        self.request(now, Payload::Decide { part, command })
     }
 
     /// Asks for another council.
     pub fn propose_council(&mut self, now: f64, council: Council) -> Result<u64, Refusal> {
         if !council.follows(&self.trust.1) {
-            return Err(Refusal::NotOneSeat);
+            return Err(Refusal::NotOneVoter);
         }
-        self.request(now, What::Council(council))
+        self.request(now, Payload::Council(council))
     }
 
-    fn request(&mut self, now: f64, what: What) -> Result<u64, Refusal> {
+    fn request(&mut self, now: f64, payload: Payload) -> Result<u64, Refusal> {
         if self.requests.open.len() >= MOST_REQUESTS {
             return Err(Refusal::TooMany);
         }
         let request = self.chance.random_range(1..=u64::MAX);
-        self.requests.open.insert(request, (what, self.beats));
+        self.requests.open.insert(request, (payload, self.beats));
         self.send_request(now, request);
         Ok(request)
     }
@@ -137,37 +137,37 @@
 
     fn send_request(&mut self, now: f64, request: u64) {
         let beats = self.beats;
-        let Some((what, at)) = self.requests.open.get_mut(&request) else { return };
+        let Some((payload, at)) = self.requests.open.get_mut(&request) else { return };
         *at = beats;
-        let what = what.clone();
+        let payload = payload.clone();
         let to = self.leader().or_else(|| self.any_voter());
         match to {
-            Some(to) if to == self.id => self.proposed(now, to, request, what),
-            Some(to) => self.send(to, &Message::Propose { request, what }),
+            Some(to) if to == self.id => self.proposed(now, to, request, payload),
+            Some(to) => self.send(to, &Message::Propose { request, payload }),
             None => {}
         }
     }
 
-    pub(crate) fn proposed(&mut self, now: f64, from: Id, request: u64, what: What) {
+    pub(crate) fn proposed(&mut self, now: f64, from: Id, request: u64, payload: Payload) {
         if !matches!(self.post, Post::Leading(_)) {
             // Passed on once, and not between members that take each other for the leader.
             let leader =
                 self.leader().filter(|_| self.is_seated() && !self.kept.log.council().contains(from));
             if let Some(leader) = leader {
-                self.send(leader, &Message::Propose { request, what });
+                self.send(leader, &Message::Propose { request, payload });
             }
             return;
         }
         if self.knows(request) || self.kept.log.last().index - self.decided >= MOST_OPEN {
             return;
         }
-        let refusal = match &what {
-            What::Begin => return,
-            What::Decide { .. } => None,
-            What::Council(council) => self.unfit(now, council),
+        let refusal = match &payload {
+            Payload::Begin => return,
+            Payload::Decide { .. } => None,
+            Payload::Council(council) => self.unfit(now, council),
         };
         match refusal {
-            None => self.append(now, request, what),
+            None => self.append(now, request, payload),
             Some(refusal) if from == self.id => self.refused(from, request, refusal),
             Some(refusal) => self.send(from, &Message::Refused { request, refusal }),
         }
@@ -188,9 +188,9 @@
         if !knows || log.version() > self.decided || !self.is_linked() {
             Some(Refusal::ChangeUnderWay)
         } else if !council.follows(log.council()) {
-            Some(Refusal::NotOneSeat)
+            Some(Refusal::NotOneVoter)
         } else {
-            let enough = |of: &Council| of.is_majority(|seat| seat.id == self.id || votes(seat.id));
+            let enough = |of: &Council| of.is_majority(|voter| voter.id == self.id || votes(voter.id));
             (!enough(council) || !enough(log.council())).then_some(Refusal::NoMajority)
         }
     }
--- a/agree/src/standing.rs
+++ b/agree/src/status.rs
@@ -6,11 +6,11 @@
 
 use crate::Id;
 use crate::agreement::Agreement;
+use crate::certificate::Signer;
 use crate::council::Council;
 use crate::election::Post;
 use crate::log::{Hash, Index, Term};
 use crate::machine::Machine;
-use crate::seal::Signs;
 use crate::wire::Stage;
 
 /// What was done and what was dropped.
@@ -52,7 +52,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct AgreeStanding {
+pub struct AgreementStatus {
     pub role: Role,
     pub term: Term,
     pub leader: Option<Id>,
@@ -60,24 +60,24 @@
     pub applied: Index,
     pub hash: Hash,
     /// Up to where a proof is known.
-    pub sealed: Index,
+    pub certified: Index,
     /// The council, since which decision it votes, and whether that is proved to those who follow.
     pub council: Council,
-    pub version: Index,
-    pub linked: bool,
+    pub council_since: Index,
+    pub council_proved: bool,
     /// The number that this proxy's disk drew; 0 where it votes as a founder.
-    pub life: u64,
+    pub disk_id: u64,
     /// How old what it knows can be, in milliseconds.
     pub age: f64,
     /// How far each other member is, where this one leads.
     pub progress: BTreeMap<Id, Index>,
     /// Numbers of members that have no vote by their disks, to be let in by.
-    pub lives: BTreeMap<Id, u64>,
+    pub unadmitted_disks: BTreeMap<Id, u64>,
     pub stopped: Option<String>,
     pub counts: Counts,
 }
 
-impl<M: Machine, S: Signs> Agreement<M, S> {
+impl<M: Machine, S: Signer> Agreement<M, S> {
     pub fn role(&self) -> Role {
         if !self.keeps() {
             return Role::Outside;
@@ -99,22 +99,22 @@
         self.kept.log.mark(index).filter(|_| index <= self.applied).map(|mark| mark.hash)
     }
 
-    pub fn standing(&self, now: f64) -> AgreeStanding {
-        AgreeStanding {
+    pub fn status(&self, now: f64) -> AgreementStatus {
+        AgreementStatus {
             role: self.role(),
             term: self.kept.term,
             leader: self.leader(),
             decided: self.decided,
             applied: self.applied,
             hash: self.hash_at(self.applied).unwrap_or_default(),
-            sealed: self.sealed(),
+            certified: self.sealed(),
             council: self.trust.1.clone(),
-            version: self.trust.0,
-            linked: self.is_linked(),
-            life: self.life(),
+            council_since: self.trust.0,
+            council_proved: self.is_linked(),
+            disk_id: self.disk_id(),
             age: self.age(now),
             progress: self.heard_of(),
-            lives: self.founding.lives.clone(),
+            unadmitted_disks: self.founding.lives.clone(),
             stopped: self.stopped.as_ref().map(ToString::to_string),
             counts: self.counts,
         }
--- a/agree/src/tests/exhaustive.rs
+++ b/agree/src/tests/exhaustive.rs
@@ -11,7 +11,7 @@
 use super::Fault;
 use super::parts::{Book, Disk, Keys};
 use super::world::{BEAT, LEASE, Proxy};
-use crate::agreement::{AgreeTerms, Agreement};
+use crate::agreement::{Agreement, AgreementTerms};
 use crate::wire::Stage;
 use crate::{Hash, Id, Index, Role, Term, disk};
 
@@ -66,14 +66,14 @@
 
     fn carry_on(&mut self, place: usize, lives: bool) {
         let (now, disk, proxy) = (self.clocks[place], &mut self.disks[place], &mut self.proxies[place]);
-        while let Some(write) = proxy.to_write(now) {
+        while let Some(write) = proxy.next_write(now) {
             disk.writing = Some((write, now));
             if lives {
                 disk.sync();
             } else if self.fault != Some(Fault::Unsynced) {
                 break;
             }
-            proxy.written(now);
+            proxy.write_succeeded(now);
         }
         while let Some(out) = proxy.outgoing() {
             let link = self.links.entry((place, out.to as usize)).or_default();
@@ -168,7 +168,8 @@
 }
 
 fn proxy(place: usize, disk: &Disk, now: f64, restarts: u64) -> Proxy {
-    let terms = AgreeTerms { founders: (0..MEMBERS as Id).collect(), beat: BEAT, lease: LEASE };
+    let terms =
+        AgreementTerms { bootstrap_members: (0..MEMBERS as Id).collect(), heartbeat: BEAT, lease: LEASE };
     let (id, seed) = (place as Id, place as u64 + 10 * restarts);
     let file = disk::recover(&disk.holds);
     Agreement::new(id, terms, Keys(id), Book::default(), file, seed, now).expect("no snapshot")
--- a/agree/src/tests/parts.rs
+++ b/agree/src/tests/parts.rs
@@ -1,7 +1,7 @@
 //! What stands in for keys, disks and machines.
 
-use crate::disk::Write;
-use crate::{Hash, Id, Index, Machine, Signs, Unknown};
+use crate::disk::DiskWrite;
+use crate::{Hash, Id, Index, Machine, Signer, UnsupportedDecision};
 
 /// Signatures that cost little: nobody here forges any.
 #[derive(Clone, Debug)]
@@ -16,12 +16,12 @@
     signature
 }
 
-impl Signs for Keys {
+impl Signer for Keys {
     fn sign(&self, bytes: &[u8]) -> [u8; 64] {
         signature(self.0, bytes)
     }
 
-    fn said(&self, by: Id, bytes: &[u8], said: &[u8; 64]) -> bool {
+    fn verify(&self, by: Id, bytes: &[u8], said: &[u8; 64]) -> bool {
         signature(by, bytes) == *said
     }
 }
@@ -35,12 +35,12 @@
 }
 
 impl Machine for Book {
-    fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, Unknown> {
+    fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, UnsupportedDecision> {
         let Ok(line) = <[u8; 8]>::try_from(command) else {
-            return Err(Unknown { index, part, what: "no line".to_owned() });
+            return Err(UnsupportedDecision { index, part, reason: "no line".to_owned() });
         };
         if self.old && part > 0 {
-            return Err(Unknown { index, part, what: "no such part".to_owned() });
+            return Err(UnsupportedDecision { index, part, reason: "no such part".to_owned() });
         }
         self.lines.push(u64::from_le_bytes(line));
         Ok(self.lines.len().to_le_bytes().to_vec())
@@ -54,8 +54,8 @@
         postcard::to_stdvec(&self.lines).expect("plain data")
     }
 
-    fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), Unknown> {
-        let unread = |_| Unknown { index, part: 0, what: "no book".to_owned() };
+    fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), UnsupportedDecision> {
+        let unread = |_| UnsupportedDecision { index, part: 0, reason: "no book".to_owned() };
         self.lines = postcard::from_bytes(state).map_err(unread)?;
         Ok(())
     }
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     pub holds: Vec<u8>,
-    pub writing: Option<(Write, f64)>,
+    pub writing: Option<(DiskWrite, f64)>,
     pub refuses: bool,
 }
 
@@ -73,7 +73,7 @@
     /// What was being written has come to the disk.
     pub fn sync(&mut self) -> bool {
         let Some((write, _)) = self.writing.take() else { return false };
-        if write.anew {
+        if write.replaces_file {
             self.holds = write.bytes;
         } else {
             self.holds.extend(write.bytes);
@@ -85,7 +85,7 @@
     pub fn crash(&mut self, part: f64) {
         if let Some((write, _)) = self.writing.take() {
             let come = (write.bytes.len() as f64 * part) as usize;
-            if !write.anew {
+            if !write.replaces_file {
                 self.holds.extend(&write.bytes[..come]);
             } else if part > 0.9 {
                 self.holds = write.bytes;
--- a/agree/src/tests/proofs.rs
+++ b/agree/src/tests/proofs.rs
@@ -39,7 +39,7 @@
 fn proof(world: &mut World, at: usize) -> Option<FreshnessProof> {
     (0..400).find_map(|_| {
         world.pass(5.0);
-        world.proxy(at).freshness()
+        world.proxy(at).next_freshness_proof()
     })
 }
 
@@ -50,12 +50,12 @@
 fn how_far_decisions_are_is_proved_to_whoever_asks_and_can_be_passed_on(#[case] asker: Asker) {
     let mut world = settled();
     let at = place(&world, asker);
-    let known = world.standing(at).applied;
-    world.proxy(at).ask_freshness(NONCE);
+    let known = world.status(at).applied;
+    world.proxy(at).request_freshness(NONCE);
     let proof = proof(&mut world, at).expect("an answer");
-    let council = world.standing(at).council;
+    let council = world.status(at).council;
     assert!(proof.nonce == NONCE && proof.index >= known, "{proof:?}, {known} before");
-    assert!(proof.proved(&council, &Keys(99)));
+    assert!(proof.is_valid(&council, &Keys(99)));
     // Neither another index nor another nonce nor another signer stands by the signature.
     let other = [
         FreshnessProof { index: proof.index + 1, ..proof.clone() },
@@ -63,8 +63,8 @@
         FreshnessProof { signer: (proof.signer + 1) % FOUNDERS as u64, ..proof.clone() },
         FreshnessProof { signature: vec![1], ..proof.clone() },
     ];
-    assert!(other.iter().all(|proof| !proof.proved(&council, &Keys(99))));
-    assert!(!FreshnessProof::sign(4, NONCE, 1, &Keys(4)).proved(&council, &Keys(99)), "no voter");
+    assert!(other.iter().all(|proof| !proof.is_valid(&council, &Keys(99))));
+    assert!(!FreshnessProof::sign(4, NONCE, 1, &Keys(4)).is_valid(&council, &Keys(99)), "no voter");
 }
 
 #[test]
@@ -72,7 +72,7 @@
     let mut world = settled();
     let leader = world.leader().expect("leads");
     (0..FOUNDERS).filter(|&place| place != leader).for_each(|place| world.crash(place));
-    world.proxy(leader).ask_freshness(NONCE);
+    world.proxy(leader).request_freshness(NONCE);
     assert!(proof(&mut world, leader).is_none());
 }
 
@@ -80,11 +80,11 @@
 fn an_answer_with_a_signature_that_is_no_voters_is_not_passed_on() {
     let mut world = settled();
     let now = world.clock(3);
-    world.proxy(3).ask_freshness(NONCE);
-    let before = world.standing(3).counts.unproved;
+    world.proxy(3).request_freshness(NONCE);
+    let before = world.status(3).counts.unproved;
     let message = crate::wire::Message::FreshIs { nonce: NONCE, index: 900, signature: vec![4; 64] };
     world.proxy(3).receive(now, 0, &crate::wire::write(&message));
-    assert_eq!(world.standing(3).counts.unproved, before + 1);
+    assert_eq!(world.status(3).counts.unproved, before + 1);
     let proof = proof(&mut world, 3).expect("the true answer");
     assert!(proof.index < 900);
 }
@@ -92,11 +92,11 @@
 /// The seal of each proxy names the root of all that is decided up to its index.
 fn seals_name_roots(world: &mut World) {
     for place in 0..5 {
-        let statement = world.proxy(place).seal().expect("sealed").statement.clone();
+        let statement = world.proxy(place).certificate().expect("sealed").statement.clone();
         // Entries without a line, as a leader's first, change nothing.
         let lines = world.proxy(place).machine().lines.clone();
         let roots = (0..=lines.len()).map(|end| Book { lines: lines[..end].to_vec(), old: false }.root());
-        assert!(roots.into_iter().any(|root| root == statement.state), "{statement:?}");
+        assert!(roots.into_iter().any(|root| root == statement.state_root), "{statement:?}");
     }
 }
 
@@ -104,10 +104,10 @@
 fn seals_name_the_machines_root_also_after_a_snapshot() {
     let mut world = settled();
     seals_name_roots(&mut world);
-    let newest = world.standing(0);
+    let newest = world.status(0);
     let root = world.proxy(0).machine().root();
-    let seal = world.proxy(0).seal().expect("sealed").statement.clone();
-    assert_eq!((seal.index, seal.state), (newest.applied, root), "at rest it is the newest one's");
+    let seal = world.proxy(0).certificate().expect("sealed").statement.clone();
+    assert_eq!((seal.index, seal.state_root), (newest.applied, root), "at rest it is the newest one's");
     // One that was away for more than a snapshot begins anew from one.
     world.crash(4);
     for _ in 0..300 {
--- a/agree/src/tests/random.rs
+++ b/agree/src/tests/random.rs
@@ -83,14 +83,14 @@
 
 /// Whoever's votes count: it has a seat by its disk's life, and its disk is known to be no older copy.
 fn votes(world: &mut World, place: usize) -> bool {
-    let standing = world.standing(place);
-    let named = standing.council.seat(place as Id).is_some_and(|seat| seat.life == standing.life);
-    named && matches!(standing.role, Role::Follows | Role::Asks | Role::Leads)
+    let status = world.status(place);
+    let named = status.council.voter(place as Id).is_some_and(|voter| voter.disk_id == status.disk_id);
+    named && matches!(status.role, Role::Follows | Role::Asks | Role::Leads)
 }
 
 /// No member is far behind: a disk more that is lost leaves a majority that holds what was decided.
 fn is_even(world: &mut World) -> bool {
-    let applied: Vec<_> = (0..FOUNDERS).map(|place| world.standing(place).applied).collect();
+    let applied: Vec<_> = (0..FOUNDERS).map(|place| world.status(place).applied).collect();
     let newest = applied.iter().max().copied().unwrap_or(0);
     applied.iter().all(|applied| applied + 8 >= newest)
 }
@@ -122,7 +122,7 @@
             let_in += 1;
         }
         for place in 0..PROXIES {
-            if world.standing(place).counts.outdated > 0 {
+            if world.status(place).counts.outdated > 0 {
                 world.broken.push(format!("p{place} took its disk for an older copy"));
             }
         }
--- a/agree/src/tests/stories.rs
+++ b/agree/src/tests/stories.rs
@@ -46,9 +46,9 @@
     world.settles(5_000.0);
     assert!(world.history.iter().all(|asked| asked.ended.is_some()), "{:?}", world.history);
     for place in 0..proxies {
-        let standing = world.standing(place);
-        assert!(standing.age < LEASE, "{standing:?}");
-        assert_eq!(standing.role == Role::Outside, place >= founders);
+        let status = world.status(place);
+        assert!(status.age < LEASE, "{status:?}");
+        assert_eq!(status.role == Role::Outside, place >= founders);
     }
     sound(&mut world);
 }
@@ -60,13 +60,13 @@
     let other = (leader + 1) % 5;
     let rest: Vec<usize> = (0..7).filter(|place| ![leader, other].contains(place)).collect();
     world.links.part(&[leader, other], &rest);
-    let cut = world.standing(other).applied;
+    let cut = world.status(other).applied;
     world.ask(leader);
     world.until("another leader", 5_000.0, |world| world.leader().is_some_and(|new| new != leader));
     busy(&mut world, 1_000.0);
-    assert!(world.standing(rest[0]).applied > cut + 10);
-    assert_eq!(world.standing(other).applied, cut, "decided without a majority");
-    assert!(world.standing(other).age > LEASE, "took itself for fresh");
+    assert!(world.status(rest[0]).applied > cut + 10);
+    assert_eq!(world.status(other).applied, cut, "decided without a majority");
+    assert!(world.status(other).age > LEASE, "took itself for fresh");
     world.settles(5_000.0);
     sound(&mut world);
 }
@@ -95,7 +95,7 @@
     world.pass(to_wake);
     (0..5).for_each(|_| world.read(leader));
     world.pass(2_000.0);
-    assert!(world.standing(leader).age < LEASE);
+    assert!(world.status(leader).age < LEASE);
     world.settles(5_000.0);
     sound(&mut world);
 }
@@ -108,23 +108,23 @@
     world.disks[2] = Default::default();
     world.start(2);
     world.pass(3_000.0);
-    assert_eq!(world.standing(2).role, Role::Barred);
+    assert_eq!(world.status(2).role, Role::Barred);
     // With another away the vote of the one that lost its own would be wanted.
     let gone = if world.leader() == Some(0) { 1 } else { 0 };
     world.crash(gone);
-    let applied = world.standing(1 - gone).applied;
+    let applied = world.status(1 - gone).applied;
     busy(&mut world, 2_000.0);
-    assert_eq!(world.standing(1 - gone).applied, applied, "decided by a vote that was lost");
+    assert_eq!(world.status(1 - gone).applied, applied, "decided by a vote that was lost");
     world.start(gone);
     world.until("let in", 20_000.0, |world| {
         world.let_in();
         world.pass(200.0);
-        world.standing(2).role == Role::Follows
+        world.status(2).role == Role::Follows
     });
     world.crash(gone);
     world.until("a leader", 10_000.0, |world| world.leader().is_some());
     busy(&mut world, 500.0);
-    assert!(world.standing(2).applied > applied + 5);
+    assert!(world.status(2).applied > applied + 5);
     world.settles(5_000.0);
     sound(&mut world);
 }
@@ -139,8 +139,8 @@
     world.crash(other);
     world.disks[other].holds = copy;
     world.start(other);
-    world.until("found out", 3_000.0, |world| world.standing(other).counts.outdated == 1);
-    assert_eq!(world.standing(other).role, Role::Barred);
+    world.until("found out", 3_000.0, |world| world.status(other).counts.outdated == 1);
+    assert_eq!(world.status(other).role, Role::Barred);
     busy(&mut world, 500.0);
     world.settles(5_000.0);
     sound(&mut world);
@@ -157,11 +157,12 @@
     world.disks[lost] = Default::default();
     world.links.cut(&[leader, other], &[lost], true);
     world.start(lost);
-    let life = world.proxy(lost).kept.life;
+    let disk_id = world.proxy(lost).kept.disk_id;
     world.until("let in anew", 5_000.0, |world| {
         world.let_in();
-        let standing = world.standing(leader);
-        standing.linked && standing.council.seat(lost as u64).is_some_and(|seat| seat.life == life)
+        let status = world.status(leader);
+        status.council_proved
+            && status.council.voter(lost as u64).is_some_and(|voter| voter.disk_id == disk_id)
     });
     let (now, links) = (world.clock(lost), world.proxy(leader).kept.links.clone());
     let proxy = world.proxy(lost);
@@ -177,12 +178,12 @@
 #[rstest]
 fn one_let_in_anew_whose_seat_is_proved_before_its_log_comes_votes(#[values(30, 31, 32, 33, 34)] seed: u64) {
     let (mut world, lost, other) = seated_before_its_log(seed);
-    world.until("it votes", 3_000.0, |world| world.standing(lost).role == Role::Follows);
-    assert_eq!(world.standing(lost).counts.outdated, 0, "taken for an older copy of its former life's disk");
+    world.until("it votes", 3_000.0, |world| world.status(lost).role == Role::Follows);
+    assert_eq!(world.status(lost).counts.outdated, 0, "taken for an older copy of its former life's disk");
     world.crash(other);
-    let applied = world.standing(lost).applied;
+    let applied = world.status(lost).applied;
     busy(&mut world, 1_000.0);
-    assert!(world.standing(lost).applied > applied + 5, "nothing is decided without its vote");
+    assert!(world.status(lost).applied > applied + 5, "nothing is decided without its vote");
     world.settles(5_000.0);
     sound(&mut world);
 }
@@ -194,7 +195,7 @@
 ) {
     let (mut world, member) = if let_in_anew {
         let (mut world, lost, _) = seated_before_its_log(35);
-        world.until("it votes", 3_000.0, |world| world.standing(lost).role == Role::Follows);
+        world.until("it votes", 3_000.0, |world| world.status(lost).role == Role::Follows);
         world.settles(5_000.0);
         (world, lost)
     } else {
@@ -214,8 +215,8 @@
     world.crash(member);
     world.disks[member].holds = copy;
     world.start(member);
-    world.until("found out", 3_000.0, |world| world.standing(member).counts.outdated == 1);
-    assert_eq!(world.standing(member).role, Role::Barred);
+    world.until("found out", 3_000.0, |world| world.status(member).counts.outdated == 1);
+    assert_eq!(world.status(member).role, Role::Barred);
     busy(&mut world, 500.0);
     world.settles(5_000.0);
     sound(&mut world);
@@ -234,8 +235,8 @@
     world.crash(1);
     world.disks[1].holds = copy;
     world.start(1);
-    world.until("found out", 3_000.0, |world| world.standing(1).counts.outdated == 1);
-    assert_eq!(world.standing(1).role, Role::Barred);
+    world.until("found out", 3_000.0, |world| world.status(1).counts.outdated == 1);
+    assert_eq!(world.status(1).role, Role::Barred);
     busy(&mut world, 500.0);
     world.settles(5_000.0);
     sound(&mut world);
@@ -251,7 +252,7 @@
     let others: Vec<usize> = (0..3).filter(|&place| place != leader).collect();
     others.iter().for_each(|&place| world.disks[place].refuses = true);
     world.until("refused", 5_000.0, |world| {
-        others.iter().any(|&place| world.standing(place).role == Role::Unwritten)
+        others.iter().any(|&place| world.status(place).role == Role::Unwritten)
     });
     if part > 0.0 {
         let place = others[0];
@@ -265,9 +266,9 @@
 }
 
 #[rstest]
-#[case::empty(&[], disk::Lost::Nothing)]
-#[case::rubbish(&[7; 300], disk::Lost::Nothing)]
-fn a_file_that_says_nothing_is_no_state(#[case] bytes: &[u8], #[case] lost: disk::Lost) {
+#[case::empty(&[], disk::RecoveryError::Empty)]
+#[case::rubbish(&[7; 300], disk::RecoveryError::Empty)]
+fn a_file_that_says_nothing_is_no_state(#[case] bytes: &[u8], #[case] lost: disk::RecoveryError) {
     assert_eq!(disk::recover(bytes).expect_err("nothing there"), lost);
 }
 
@@ -299,7 +300,7 @@
         (0..5).filter(|&place| place != follower).for_each(|place| world.ask(place));
         world.pass(50.0);
     }
-    let far = world.standing(4).applied;
+    let far = world.status(4).applied;
     assert!(far > 400, "{far}");
     world.start(5);
     world.start(follower);
@@ -316,32 +317,32 @@
 fn a_council_changes_seat_by_seat_and_those_who_follow_learn_it_by_proofs() {
     let mut world = settled(7, 3, 10);
     world.crash(6);
-    for (id, life) in [(3, 1), (4, 1), (0, 0)] {
+    for (id, disk_id) in [(3, 1), (4, 1), (0, 0)] {
         let leader = world.leader().expect("leads");
-        let council = world.standing(leader).council;
+        let council = world.status(leader).council;
         // 0 goes; 3 and 4 come by the lives that their new disks will have drawn.
-        let life = world.proxies[id].as_ref().map_or(life, |proxy| proxy.kept.life);
-        let next = match council.seat(id as u64) {
+        let disk_id = world.proxies[id].as_ref().map_or(disk_id, |proxy| proxy.kept.disk_id);
+        let next = match council.voter(id as u64) {
             Some(_) => council.without(id as u64),
-            None => council.with(crate::Seat { id: id as u64, life }),
+            None => council.with(crate::Voter { id: id as u64, disk_id }),
         };
         let now = world.clock(leader);
         let two = next.without(1);
-        assert_eq!(world.proxy(leader).propose_council(now, two), Err(Refusal::NotOneSeat));
+        assert_eq!(world.proxy(leader).propose_council(now, two), Err(Refusal::NotOneVoter));
         world.until("the change", 10_000.0, |world| {
             let Some(leader) = world.leader() else { return false };
             let now = world.clock(leader);
             let _ = world.proxy(leader).propose_council(now, next.clone());
             world.pass(200.0);
-            let standing = world.standing(leader);
-            standing.council == next && standing.linked
+            let status = world.status(leader);
+            status.council == next && status.council_proved
         });
     }
-    let council: Vec<u64> = world.standing(1).council.ids().collect();
+    let council: Vec<u64> = world.status(1).council.ids().collect();
     assert_eq!(council, [1, 2, 3, 4]);
     // One that knows only the founders goes from proof to proof.
     world.settles(10_000.0);
-    assert_eq!(world.standing(6).council, world.standing(1).council);
+    assert_eq!(world.status(6).council, world.status(1).council);
     world.crash(1);
     world.until("a leader", 10_000.0, |world| world.leader().is_some());
     busy(&mut world, 500.0);
@@ -354,12 +355,12 @@
     let mut world = settled(5, 3, 37);
     let leader = world.leader().expect("leads");
     let member = (leader + 1) % 3;
-    let without = world.standing(leader).council.without(member as u64);
+    let without = world.status(leader).council.without(member as u64);
     // Of the two that are left the leader must sign for the third to be back.
-    let life = world.standing(leader).council.seat(member as u64).expect("a founder").life;
-    let with = without.with(crate::Seat { id: member as u64, life });
+    let disk_id = world.status(leader).council.voter(member as u64).expect("a founder").disk_id;
+    let with = without.with(crate::Voter { id: member as u64, disk_id });
     for council in [without, with] {
-        world.until("the one before is proved", 5_000.0, |world| world.standing(leader).linked);
+        world.until("the one before is proved", 5_000.0, |world| world.status(leader).council_proved);
         let asked = world.ask_council(leader, council);
         world.until("told as done", 5_000.0, |world| world.history[asked].ended.is_some());
     }
@@ -379,8 +380,8 @@
     let request = world.proxy(0).propose(now, 9, 7u64.to_le_bytes().to_vec()).expect("room");
     world.ask(0);
     world.pass(2_000.0);
-    let standing = world.standing(4);
-    assert!(standing.stopped.is_some_and(|what| what.contains("no such part")));
+    let status = world.status(4);
+    assert!(status.stopped.is_some_and(|what| what.contains("no such part")));
     assert_eq!(world.proxy(4).machine().lines.len(), 1, "nothing after it either");
     assert!(world.proxy(3).machine().lines.len() == 3);
     assert_eq!(world.proxy(0).outcome(), None, "told already: {request}");
@@ -389,43 +390,43 @@
 #[test]
 fn what_nobody_may_say_is_counted_and_changes_nothing() {
     let mut world = settled(5, 3, 12);
-    let before = world.standing(0);
+    let before = world.status(0);
     let now = world.clock(0);
     let junk = [&[][..], &[2], &[9, 9, 9], &[2; 900], &[2, 255, 255, 255]];
     junk.iter().for_each(|bytes| world.proxy(0).receive(now, 4, bytes));
     // One without a seat asks for votes, leads, and proves by no signatures.
     let log = world.proxy(0).kept.log.clone();
     let (term, last) = (before.term + 5, log.last());
-    let seal = crate::seal::Seal {
-        statement: crate::seal::Statement {
+    let seal = crate::certificate::Certificate {
+        statement: crate::certificate::Statement {
             index: last.index + 1,
             hash: [1; 32],
-            snapshot: 0,
-            digest: [0; 32],
+            snapshot_index: 0,
+            snapshot_digest: [0; 32],
             version: 0,
-            council: log.council().digest(),
-            state: [0; 32],
+            council_digest: log.council().digest(),
+            state_root: [0; 32],
         },
         signatures: (0..3).map(|id| (id, vec![3; 64])).collect(),
     };
     let forged = [
-        Message::Ask { term, trial: false, life: 0, index: 99, of: term },
+        Message::Ask { term, trial: false, disk_id: 0, index: 99, of: term },
         Message::Append {
             term,
             round: 1,
-            life: 0,
+            disk_id: 0,
             prev: last.index,
             hash: last.hash,
             entries: Vec::new(),
             decided: 99,
         },
         Message::Tell { seal },
-        Message::Vote { term, trial: false, granted: true, life: 0 },
+        Message::Vote { term, trial: false, granted: true, disk_id: 0 },
         Message::FreshIs { nonce: [4; 16], index: 0, signature: vec![4; 64] },
     ];
     forged.iter().for_each(|message| world.proxy(0).receive(now, 4, &write(message)));
-    let after = world.standing(0);
-    assert_eq!((after.term, after.applied, after.sealed), (before.term, before.applied, before.sealed));
+    let after = world.status(0);
+    assert_eq!((after.term, after.applied, after.certified), (before.term, before.applied, before.certified));
     assert!(after.counts.malformed + after.counts.unknown >= 5, "{:?}", after.counts);
     assert!(after.counts.stray >= 2 && after.counts.unproved >= 1, "{:?}", after.counts);
     sound(&mut world);
--- a/agree/src/tests/world.rs
+++ b/agree/src/tests/world.rs
@@ -9,9 +9,9 @@
 
 use super::Fault;
 use super::parts::{Book, Disk, Keys};
-use crate::agreement::{AgreeTerms, Agreement};
-use crate::council::{Council, Seat};
-use crate::{AgreeStanding, Hash, Id, Index, Outcome, Role, Term, disk};
+use crate::agreement::{Agreement, AgreementTerms};
+use crate::council::{Council, Voter};
+use crate::{AgreementStatus, Hash, Id, Index, Outcome, Role, Term, disk};
 
 pub const BEAT: f64 = 50.0;
 pub const LEASE: f64 = 1500.0;
@@ -89,7 +89,11 @@
     }
 
     pub fn start(&mut self, place: usize) {
-        let terms = AgreeTerms { founders: (0..self.founders as Id).collect(), beat: BEAT, lease: LEASE };
+        let terms = AgreementTerms {
+            bootstrap_members: (0..self.founders as Id).collect(),
+            heartbeat: BEAT,
+            lease: LEASE,
+        };
         let file = disk::recover(&self.disks[place].holds);
         let (id, seed, now) = (place as Id, self.chance.random(), self.clock(place));
         let made = Agreement::new(id, terms, Keys(id), Book::default(), file, seed, now);
@@ -122,9 +126,9 @@
         self.proxies[place].as_mut().expect("runs")
     }
 
-    pub fn standing(&mut self, place: usize) -> AgreeStanding {
+    pub fn status(&mut self, place: usize) -> AgreementStatus {
         let now = self.clock(place);
-        self.proxy(place).standing(now)
+        self.proxy(place).status(now)
     }
 
     /// Asks at a proxy for a line to be written.
@@ -161,15 +165,15 @@
     pub fn let_in(&mut self) {
         let Some(leader) = self.leader() else { return };
         let now = self.clock(leader);
-        let standing = self.standing(leader);
-        let barred = standing.lives.iter().find(|(id, life)| {
-            let seat = standing.council.seat(**id);
-            seat.is_none_or(|seat| seat.life != **life)
+        let status = self.status(leader);
+        let barred = status.unadmitted_disks.iter().find(|(id, disk_id)| {
+            let voter = status.council.voter(**id);
+            voter.is_none_or(|voter| voter.disk_id != **disk_id)
         });
-        let Some((&id, &life)) = barred else { return };
-        let council: Council = match standing.council.seat(id) {
-            Some(_) => standing.council.without(id),
-            None => standing.council.with(Seat { id, life }),
+        let Some((&id, &disk_id)) = barred else { return };
+        let council: Council = match status.council.voter(id) {
+            Some(_) => status.council.without(id),
+            None => status.council.with(Voter { id, disk_id }),
         };
         let _ = self.proxy(leader).propose_council(now, council);
     }
@@ -195,7 +199,7 @@
             if self.now - began >= most {
                 let all: Vec<_> =
                     (0..self.proxies.len()).filter(|&place| self.proxies[place].is_some()).collect();
-                let all: Vec<_> = all.into_iter().map(|place| self.standing(place)).collect();
+                let all: Vec<_> = all.into_iter().map(|place| self.status(place)).collect();
                 panic!("{what}: not within {most} ms; broken: {:?}; {all:#?}", self.broken);
             }
             self.pass(TICK);
@@ -241,20 +245,20 @@
         if disk.writing.as_ref().is_some_and(|(_, done)| *done <= at) {
             if std::mem::take(&mut disk.refuses) {
                 disk.writing = None;
-                proxy.unwritten(now);
+                proxy.write_failed(now);
             } else {
                 disk.sync();
                 if self.fault != Some(Fault::Unsynced) {
-                    proxy.written(now);
+                    proxy.write_succeeded(now);
                 }
             }
         }
         if disk.writing.is_none()
-            && let Some(write) = proxy.to_write(now)
+            && let Some(write) = proxy.next_write(now)
         {
             disk.writing = Some((write, done_at));
             if self.fault == Some(Fault::Unsynced) {
-                proxy.written(now);
+                proxy.write_succeeded(now);
             }
         }
         while let Some(out) = proxy.outgoing() {
@@ -345,8 +349,8 @@
             let leads = world.leader();
             let mut at: Vec<(Index, Hash)> = Vec::new();
             for place in 0..world.proxies.len() {
-                let standing = world.standing(place);
-                at.push((standing.applied, standing.hash));
+                let status = world.status(place);
+                at.push((status.applied, status.hash));
             }
             // What a new leader found in its log is decided too.
             let whole = |place: usize| world.proxies[place].as_ref().map(|p| p.kept.log.last().index);
--- a/agree/src/wire.rs
+++ b/agree/src/wire.rs
@@ -5,10 +5,10 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::council::MOST_SEATS;
+use crate::certificate::{Certificate, CouncilProof, SIGNATURE};
+use crate::council::MAX_VOTERS;
 use crate::freshness::Nonce;
-use crate::log::{Entry, Hash, Index, MOST_COMMAND, Term, What};
-use crate::seal::{Link, SIGNATURE, Seal};
+use crate::log::{Entry, Hash, Index, MAX_COMMAND_BYTES, Payload, Term};
 
 pub const VERSION: u8 = 2;
 /// Bytes of the longest message: with all that a packet of gossip's takes along it stays a datagram.
@@ -43,7 +43,7 @@
     Hello {
         nonce: u64,
         stage: Stage,
-        life: u64,
+        disk_id: u64,
     },
     /// Known of the life that asked: the latest term it spoke in, and up to where it said that it has the log.
     Known {
@@ -56,7 +56,7 @@
     Ask {
         term: Term,
         trial: bool,
-        life: u64,
+        disk_id: u64,
         index: Index,
         of: Term,
     },
@@ -64,13 +64,13 @@
         term: Term,
         trial: bool,
         granted: bool,
-        life: u64,
+        disk_id: u64,
     },
     /// The leader's entries after `prev`, and what is decided.
     Append {
         term: Term,
         round: u64,
-        life: u64,
+        disk_id: u64,
         prev: Index,
         hash: Hash,
         entries: Vec<Entry>,
@@ -80,14 +80,14 @@
     Have {
         term: Term,
         round: u64,
-        life: u64,
+        disk_id: u64,
         index: Index,
         fits: bool,
         signed: Option<Signed>,
     },
     /// The newest proof.
     Tell {
-        seal: Seal,
+        seal: Certificate,
     },
     /// Please send what follows my log, or the proof of the council after mine, or a piece of the snapshot
     /// there; `sealed` is the newest proof that I have.
@@ -104,7 +104,7 @@
         entries: Vec<Entry>,
     },
     Council {
-        link: Box<Link>,
+        link: Box<CouncilProof>,
     },
     /// A piece of the snapshot at an index, of `of` bytes in all, from byte `at` on.
     Piece {
@@ -118,7 +118,7 @@
     /// Please have this decided.
     Propose {
         request: u64,
-        what: What,
+        payload: Payload,
     },
     /// That is not for the log; `leader` where the one asked knows it and is not it.
     Refused {
@@ -154,11 +154,11 @@
     postcard::to_extend(message, vec![VERSION]).expect("plain data")
 }
 
-fn bounded(what: &What) -> bool {
-    match what {
-        What::Begin => true,
-        What::Council(council) => council.seats().len() <= MOST_SEATS,
-        What::Decide { command, .. } => command.len() <= MOST_COMMAND,
+fn bounded(payload: &Payload) -> bool {
+    match payload {
+        Payload::Begin => true,
+        Payload::Council(council) => council.voters().len() <= MAX_VOTERS,
+        Payload::Decide { command, .. } => command.len() <= MAX_COMMAND_BYTES,
     }
 }
 
@@ -176,12 +176,12 @@
     }
     let fits = match &message {
         Message::Append { entries, .. } | Message::Entries { entries, .. } => {
-            entries.len() <= MOST_ENTRIES && entries.iter().all(|entry| bounded(&entry.what))
+            entries.len() <= MOST_ENTRIES && entries.iter().all(|entry| bounded(&entry.payload))
         }
-        Message::Propose { what, .. } => bounded(what),
-        Message::Tell { seal } => seal.signatures.len() <= MOST_SEATS,
+        Message::Propose { payload, .. } => bounded(payload),
+        Message::Tell { seal } => seal.signatures.len() <= MAX_VOTERS,
         Message::Council { link } => {
-            link.seal.signatures.len() <= MOST_SEATS && link.council.seats().len() <= MOST_SEATS
+            link.certificate.signatures.len() <= MAX_VOTERS && link.council.voters().len() <= MAX_VOTERS
         }
         Message::FreshIs { signature, .. } => signature.len() <= SIGNATURE,
         _ => true,
--- a/daemon/src/council.rs
+++ b/daemon/src/council.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 
-use agree::disk::{Kept, Lost, Write, recover};
+use agree::disk::{DiskWrite, PersistedState, RecoveryError, recover};
 use anyhow::{Context, Result, bail};
 use tokio::sync::mpsc;
 
@@ -22,7 +22,10 @@
 impl Keeper {
     /// Reads what the file holds, and keeps other processes from it. What each write came to is told over
     /// `told`.
-    pub fn open(path: &Path, told: mpsc::Sender<io::Result<()>>) -> Result<(Self, Result<Kept, Lost>)> {
+    pub fn open(
+        path: &Path,
+        told: mpsc::Sender<io::Result<()>>,
+    ) -> Result<(Self, Result<PersistedState, RecoveryError>)> {
         let folder = path.parent().context("a file in a folder wanted")?;
         fs::create_dir_all(folder)?;
         let lock =
@@ -32,10 +35,10 @@
         }
         let found = match fs::read(path) {
             Ok(bytes) => recover(&bytes),
-            Err(error) if error.kind() == io::ErrorKind::NotFound => Err(Lost::Nothing),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => Err(RecoveryError::Empty),
             Err(error) => return Err(error.into()),
         };
-        if let Err(lost @ (Lost::Damaged { .. } | Lost::Nonsense)) = &found {
+        if let Err(lost @ (RecoveryError::Damaged { .. } | RecoveryError::Inconsistent)) = &found {
             // Kept for whoever wants to look; this proxy has no vote by it any more.
             let aside = path.with_extension("damaged");
             tracing::error!(aside = %aside.display(), "council.state_lost: {lost}");
@@ -46,11 +49,11 @@
     }
 
     /// Begins to write and sync.
-    pub fn write(&self, write: Write) {
+    pub fn write(&self, write: DiskWrite) {
         let (path, file, told) = (self.path.clone(), self.file.clone(), self.told.clone());
         tokio::task::spawn_blocking(move || {
             let mut file = file.lock().expect("no writer panics");
-            let done = if write.anew {
+            let done = if write.replaces_file {
                 put(&path, &write.bytes).map(|put| *file = Some(put))
             } else {
                 add(&file, &write.bytes)
--- a/daemon/src/distribution.rs
+++ b/daemon/src/distribution.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 use agree::Id;
-use agree::seal::FleetKeys;
+use agree::certificate::FleetKeys;
 use anyhow::{Context, Result};
 use border::distributed::{
     ControlAddress, Distributed, STATE_WRITE_INTERVAL, Service, ServiceTerms, Subscription, SubscriptionTerms,
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use agree::AgreeTerms;
-use agree::seal::FleetKeys;
+use agree::AgreementTerms;
+use agree::certificate::FleetKeys;
 use anyhow::{Context, Result};
 use border::decided::Life;
 use border::pool::{News, PoolList};
@@ -101,7 +101,7 @@
     let opened =
         Keeper::open(&plan.file, told).with_context(|| format!("council.file {}", plan.file.display()));
     let (keeper, found) = opened?;
-    let terms = AgreeTerms { founders, beat: plan.beat, lease: plan.lease };
+    let terms = AgreementTerms { bootstrap_members: founders, heartbeat: plan.beat, lease: plan.lease };
     let keys = FleetKeys { secrets, roster };
     proxy.decide((terms, plan.outs), life, keys, found, seed, now).context("council.file")?;
     Ok(keeper)
--- a/distribution/src/control.rs
+++ b/distribution/src/control.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use agree::Id;
+use agree::certificate::{Certificate, CouncilProof};
 use agree::freshness::{FreshnessProof, Nonce};
-use agree::seal::{Link, Seal};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -168,7 +168,7 @@
     terms: ControlTerms,
     chance: Pcg64Mcg,
     replica: Replica,
-    links: Vec<Link>,
+    links: Vec<CouncilProof>,
     sessions: Sessions,
     /// Who reads a snapshot, and when each got further last.
     snapshots: BTreeMap<Id, f64>,
@@ -230,7 +230,7 @@
 
     /// The newest seal that is known, and the proofs of the councils since the founding, as far as they are
     /// kept, the oldest first. To be called also where they are the same again.
-    pub fn sealed(&mut self, seal: &Seal, links: &[Link]) {
+    pub fn sealed(&mut self, seal: &Certificate, links: &[CouncilProof]) {
         self.replica.sealed(seal);
         if self.links.len() != links.len() || self.links.last() != links.last() {
             self.links = links[links.len().saturating_sub(MOST_LINKS)..].to_vec();
@@ -252,7 +252,7 @@
         }
     }
 
-    /// What the council is to be asked with, for the polls of many: [`agree::Agreement::ask_freshness`].
+    /// What the council is to be asked with, for the polls of many: [`agree::Agreement::request_freshness`].
     pub fn ask(&mut self) -> Option<Nonce> {
         self.wanted.pop_front()
     }
@@ -432,7 +432,7 @@
             self.snapshots.remove(&id);
         }
         if let Some((seal, _)) = self.replica.served().filter(|_| served.proves) {
-            served.messages.push(Message::Seal(Seal::clone(seal)));
+            served.messages.push(Message::Seal(Certificate::clone(seal)));
         }
         self.send(now, id, &served.messages);
         if let Some(session) = self.sessions.get_mut(id).filter(|_| served.repeats) {
@@ -448,7 +448,7 @@
 
     /// Proves the councils after one, until a poll names a newer one.
     fn link(&self, council: Version, served: &mut Served) {
-        let newer = self.links.iter().filter(|link| link.seal.statement.version > council);
+        let newer = self.links.iter().filter(|link| link.certificate.statement.version > council);
         served.messages.extend(newer.take(LINKS_AT_ONCE).cloned().map(Message::Council));
         served.repeats |= !served.messages.is_empty();
     }
--- a/distribution/src/entry.rs
+++ b/distribution/src/entry.rs
@@ -11,7 +11,7 @@
 /// Bytes of the longest key.
 pub const LONGEST_KEY: usize = 128;
 /// Bytes of the longest value: as long as a command of the log can be.
-pub const LONGEST_VALUE: usize = agree::log::MOST_COMMAND;
+pub const LONGEST_VALUE: usize = agree::log::MAX_COMMAND_BYTES;
 
 /// A key or a value that no state takes.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
--- a/distribution/src/replica.rs
+++ b/distribution/src/replica.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use agree::seal::Seal;
+use agree::certificate::Certificate;
 
 use crate::Version;
 use crate::entry::Change;
@@ -68,7 +68,7 @@
     }
 
     /// A majority signed the state at an index. It is kept until as much is decided here.
-    pub fn sealed(&mut self, seal: &Seal) {
+    pub fn sealed(&mut self, seal: &Certificate) {
         let newest = self.ahead.as_ref().map_or(self.index(), SharedSeal::index);
         if seal.statement.index > newest {
             self.ahead = Some(seal.clone().into());
@@ -95,7 +95,7 @@
             changes.extend(self.waiting.pop_front());
         }
         let applied = changes.iter().all(|change| self.state.apply(change.clone()).is_ok());
-        if !applied || self.state.root() != seal.statement.state {
+        if !applied || self.state.root() != seal.statement.state_root {
             self.diverged += 1;
             self.forget();
             return None;
--- a/distribution/src/saved.rs
+++ b/distribution/src/saved.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use agree::Council;
-use agree::seal::{Link, Seal, Signs};
+use agree::certificate::{Certificate, CouncilProof, Signer};
 use serde::{Deserialize, Serialize};
 
 use crate::Version;
@@ -31,8 +31,8 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Saved {
     /// The proofs of all councils since the founders'.
-    pub links: Vec<Link>,
-    seals: Vec<Seal>,
+    pub links: Vec<CouncilProof>,
+    seals: Vec<Certificate>,
     scopes: Vec<SavedScope>,
 }
 
@@ -47,7 +47,7 @@
 
 impl Saved {
     /// Puts together what is kept.
-    pub fn new<'a>(links: &[Link], held: impl Iterator<Item = (Scope, &'a Held)>) -> Self {
+    pub fn new<'a>(links: &[CouncilProof], held: impl Iterator<Item = (Scope, &'a Held)>) -> Self {
         let (mut seals, mut scopes) = (BTreeMap::new(), Vec::new());
         for (scope, held) in held {
             seals.insert(held.index(), (*held.seal).clone());
@@ -71,19 +71,19 @@
 
     /// The scopes whose seals a majority of a council signed that the founders' and the links prove; none for
     /// each that is not proved.
-    pub fn proved(self, founders: &Council, keys: &impl Signs) -> Vec<Option<(Scope, Held)>> {
+    pub fn proved(self, founders: &Council, keys: &impl Signer) -> Vec<Option<(Scope, Held)>> {
         let councils = councils(founders, &self.links, keys);
         let mut seals = BTreeMap::new();
         for seal in self.seals {
             let of = &seal.statement;
-            let council = councils.get(&of.version).filter(|council| council.digest() == of.council);
-            if council.is_some_and(|council| seal.proved(council, keys)) {
+            let council = councils.get(&of.version).filter(|council| council.digest() == of.council_digest);
+            if council.is_some_and(|council| seal.is_valid(council, keys)) {
                 seals.insert(of.index, SharedSeal::from(seal));
             }
         }
         let held = |saved: SavedScope| {
             let seal = seals.get(&saved.index)?.clone();
-            saved.proof.check(&seal.statement.state, saved.scope).ok()?;
+            saved.proof.check(&seal.statement.state_root, saved.scope).ok()?;
             let fit = saved.entries.iter().all(|entry| entry.value.len() <= LONGEST_VALUE);
             let content = saved.entries.into_iter().collect();
             fit.then_some((saved.scope, Held { seal, proof: saved.proof, content }))
@@ -93,12 +93,12 @@
 }
 
 /// All councils from the founders on, by the decision since which each votes.
-fn councils(founders: &Council, links: &[Link], keys: &impl Signs) -> BTreeMap<Version, Council> {
+fn councils(founders: &Council, links: &[CouncilProof], keys: &impl Signer) -> BTreeMap<Version, Council> {
     let mut councils = BTreeMap::from([(0, founders.clone())]);
     for link in links {
         let (newest, former) = councils.last_key_value().expect("the founders'");
-        let version = link.seal.statement.version;
-        if version <= *newest || !link.proved(former, keys) {
+        let version = link.certificate.statement.version;
+        if version <= *newest || !link.is_valid(former, keys) {
             break;
         }
         councils.insert(version, link.council.clone());
--- a/distribution/src/subscriber.rs
+++ b/distribution/src/subscriber.rs
@@ -3,8 +3,8 @@
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+use agree::certificate::{Certificate, CouncilProof, Signer};
 use agree::freshness::FreshnessProof;
-use agree::seal::{Link, Seal, Signs};
 use agree::{Council, Id};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -146,12 +146,12 @@
     counts: SubscriberCounts,
 }
 
-impl<K: Signs> Subscriber<K> {
+impl<K: Signer> Subscriber<K> {
     /// A subscriber without any scope. `seed` must not be known to others: what a control machine can
     /// foretell it could answer beforehand.
     pub fn new(terms: SubscriberTerms, keys: K, seed: u64, now: f64) -> Self {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let founders = Council::founders(terms.founders.iter().copied());
+        let founders = Council::bootstrap(terms.founders.iter().copied());
         let (region, heartbeat) = (terms.region, terms.heartbeat);
         let placement = Placement::new(terms.id, region, &terms.controls, heartbeat, now, &mut chance);
         let verified = VERIFIED_A_HEARTBEAT / heartbeat * 1000.0;
@@ -247,7 +247,7 @@
         let mut restored = Restored::default();
         let Some(saved) = Saved::read(bytes) else { return restored };
         let links = saved.links.clone();
-        let founders = Council::founders(self.terms.founders.iter().copied());
+        let founders = Council::bootstrap(self.terms.founders.iter().copied());
         for scope in saved.proved(&founders, self.trust.keys()) {
             let Some((scope, held)) = scope else {
                 restored.unproved += 1;
@@ -377,7 +377,7 @@
         self.settle(now, scope);
     }
 
-    fn seal(&mut self, now: f64, seal: Seal) {
+    fn seal(&mut self, now: f64, seal: Certificate) {
         let index = seal.statement.index;
         if self.trust.has_seal(index) {
             return;
@@ -398,7 +398,7 @@
         }
     }
 
-    fn follow(&mut self, now: f64, link: Link) {
+    fn follow(&mut self, now: f64, link: CouncilProof) {
         if !self.trust.is_next(&link) {
             return;
         }
--- a/distribution/src/trust.rs
+++ b/distribution/src/trust.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use agree::Council;
+use agree::certificate::{Certificate, CouncilProof, Signer, Statement};
 use agree::freshness::FreshnessProof;
-use agree::seal::{Link, Seal, Signs, Statement};
 
 use crate::Version;
 use crate::scope::Scope;
@@ -22,7 +22,7 @@
 
 /// A seal that several hold. Printed short: by its index and what begins the state's root.
 #[derive(Clone, PartialEq, Eq)]
-pub struct SharedSeal(Arc<Seal>);
+pub struct SharedSeal(Arc<Certificate>);
 
 impl SharedSeal {
     /// The index that it is of.
@@ -31,23 +31,23 @@
     }
 }
 
-impl From<Seal> for SharedSeal {
-    fn from(seal: Seal) -> Self {
+impl From<Certificate> for SharedSeal {
+    fn from(seal: Certificate) -> Self {
         Self(Arc::new(seal))
     }
 }
 
 impl Deref for SharedSeal {
-    type Target = Seal;
+    type Target = Certificate;
 
-    fn deref(&self) -> &Seal {
+    fn deref(&self) -> &Certificate {
         &self.0
     }
 }
 
 impl fmt::Debug for SharedSeal {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Statement { index, version, state, .. } = &self.0.statement;
+        let Statement { index, version, state_root: state, .. } = &self.0.statement;
         write!(to, "Seal({index} by council {version}, state {:02x?})", &state[..8])
     }
 }
@@ -68,11 +68,11 @@
     council: Council,
     /// Since when it votes.
     version: Version,
-    links: Vec<Link>,
+    links: Vec<CouncilProof>,
     seals: BTreeMap<Version, SharedSeal>,
 }
 
-impl<K: Signs> Trust<K> {
+impl<K: Signer> Trust<K> {
     /// Believes the founders.
     pub fn new(founders: Council, keys: K) -> Self {
         Self { keys, council: founders, version: 0, links: Vec::new(), seals: BTreeMap::new() }
@@ -94,13 +94,13 @@
     }
 
     /// The proofs of all councils since the founders'.
-    pub fn links(&self) -> &[Link] {
+    pub fn links(&self) -> &[CouncilProof] {
         &self.links
     }
 
     /// Whether a link could be the next one.
-    pub fn is_next(&self, link: &Link) -> bool {
-        link.seal.statement.version > self.version && self.links.len() < MOST_LINKS
+    pub fn is_next(&self, link: &CouncilProof) -> bool {
+        link.certificate.statement.version > self.version && self.links.len() < MOST_LINKS
     }
 
     /// Goes on to the next council.
@@ -108,14 +108,14 @@
     /// # Errors
     ///
     /// [`Unbelieved`] where a majority of the council before it does not prove it.
-    pub fn follow(&mut self, link: Link) -> Result<(), Unbelieved> {
+    pub fn follow(&mut self, link: CouncilProof) -> Result<(), Unbelieved> {
         if !self.is_next(&link) {
             return Err(Unbelieved::OtherCouncil);
         }
-        if !link.proved(&self.council, &self.keys) {
+        if !link.is_valid(&self.council, &self.keys) {
             return Err(Unbelieved::Unsigned);
         }
-        (self.version, self.council) = (link.seal.statement.version, link.council.clone());
+        (self.version, self.council) = (link.certificate.statement.version, link.council.clone());
         self.links.push(link);
         Ok(())
     }
@@ -135,15 +135,15 @@
     /// # Errors
     ///
     /// [`Unbelieved`] where a majority of the newest council did not sign it.
-    pub fn seal(&mut self, seal: Seal) -> Result<SharedSeal, Unbelieved> {
+    pub fn seal(&mut self, seal: Certificate) -> Result<SharedSeal, Unbelieved> {
         let of = &seal.statement;
         if let Some(known) = self.seals.get(&of.index).filter(|known| known.statement == *of) {
             return Ok(known.clone());
         }
-        if of.version != self.version || of.council != self.council.digest() {
+        if of.version != self.version || of.council_digest != self.council.digest() {
             return Err(Unbelieved::OtherCouncil);
         }
-        if !seal.proved(&self.council, &self.keys) {
+        if !seal.is_valid(&self.council, &self.keys) {
             return Err(Unbelieved::Unsigned);
         }
         let (index, seal) = (of.index, SharedSeal::from(seal));
@@ -157,11 +157,11 @@
     /// The seal by which a proof of a scope holds.
     pub fn proved(&self, scope: Scope, index: Version, proof: &ScopeProof) -> Option<SharedSeal> {
         let seal = self.seals.get(&index)?;
-        proof.check(&seal.statement.state, scope).is_ok().then(|| seal.clone())
+        proof.check(&seal.statement.state_root, scope).is_ok().then(|| seal.clone())
     }
 
     /// Whether a voter of the newest council signed how far decisions were.
     pub fn is_fresh(&self, proof: &FreshnessProof) -> bool {
-        proof.proved(&self.council, &self.keys)
+        proof.is_valid(&self.council, &self.keys)
     }
 }
--- a/distribution/src/wire.rs
+++ b/distribution/src/wire.rs
@@ -4,9 +4,9 @@
 //! A datagram holds a version byte and one message or more. [`pack`] and [`read`] are the two ways; what is
 //! read has bounded keys, values and lists, and nothing else of it is checked.
 
-use agree::council::MOST_SEATS;
+use agree::certificate::{Certificate, CouncilProof};
+use agree::council::MAX_VOTERS;
 use agree::freshness::FreshnessProof;
-use agree::seal::{Link, Seal};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -139,9 +139,9 @@
         proof: ScopeProof,
     },
     /// From a control machine: a majority's signatures on the state at an index.
-    Seal(Seal),
+    Seal(Certificate),
     /// From a control machine: the proof of the council that follows the one that the subscriber knows.
-    Council(Link),
+    Council(CouncilProof),
     /// From a control machine that is full: poll again after so many milliseconds.
     Later {
         /// Milliseconds.
@@ -208,7 +208,7 @@
 }
 
 fn is_bounded(message: &Message) -> bool {
-    let fits = |seal: &Seal| seal.signatures.len() <= MOST_SEATS;
+    let fits = |seal: &Certificate| seal.signatures.len() <= MAX_VOTERS;
     match message {
         Message::Poll(poll) => poll.scopes.len() <= MOST_SCOPES,
         Message::Unsubscribe { scopes } => scopes.len() <= MOST_SCOPES,
@@ -218,7 +218,7 @@
         }),
         Message::Proof { proof, .. } => proof.path.len() <= LONGEST_PATH,
         Message::Seal(seal) => fits(seal),
-        Message::Council(link) => fits(&link.seal) && link.council.seats().len() <= MOST_SEATS,
+        Message::Council(link) => fits(&link.certificate) && link.council.voters().len() <= MAX_VOTERS,
         Message::Fresh { path, .. } => path.is_bounded(),
         Message::Alive { .. } | Message::Later { .. } => true,
     }
--- a/distribution/tests/untrusted.rs
+++ b/distribution/tests/untrusted.rs
@@ -3,8 +3,8 @@
 
 mod world;
 
+use agree::certificate::{CouncilProof, Signer};
 use agree::freshness::FreshnessProof;
-use agree::seal::{Link, Signs};
 use distribution::batch::{Batch, BatchPath};
 use distribution::cursor::Cursor;
 use distribution::wire::{self, Changes, KeyChange, LARGEST, Message, Poll, Position, Transfer, Unfit};
@@ -73,7 +73,7 @@
         world.council.elect(0.0);
     }
     let link = world.council.links().last().expect("elected").clone();
-    assert_eq!(link.council.seats().len(), agree::council::MOST_SEATS);
+    assert_eq!(link.council.voters().len(), agree::council::MAX_VOTERS);
     let seal = world.council.seal(4).expect("sealed").clone();
     let sizes: Vec<usize> = [longest, Message::Council(link), Message::Seal(seal)]
         .iter()
@@ -161,8 +161,8 @@
             changes(0, newer, Cursor::all_of(0), vec![change(9, "a", b"x"), change(8, "b", b"x")]);
         let mut seal = world.council.seal(index).expect("sealed").clone();
         seal.statement.index = newer;
-        let mut link = Link { council: agree::Council::founders([9]), seal: seal.clone() };
-        link.seal.statement.version = newer;
+        let mut link = CouncilProof { council: agree::Council::bootstrap([9]), certificate: seal.clone() };
+        link.certificate.statement.version = newer;
         let proof = Message::Proof { scope: SERVICE, index: newer, proof: sound.clone() };
         let wrong = Message::Proof { scope: Scope::All, index, proof: sound.clone() };
         let messages = [
@@ -277,5 +277,5 @@
         }
         assert!(!BatchPath::default().leads(count, &batch.nonce()));
     }
-    assert!(Keys(1).said(1, b"x", &Keys(1).sign(b"x")));
+    assert!(Keys(1).verify(1, b"x", &Keys(1).sign(b"x")));
 }
--- a/distribution/tests/world/council.rs
+++ b/distribution/tests/world/council.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
+use agree::certificate::{Certificate, CouncilProof, Signer, Statement};
 use agree::freshness::{FreshnessProof, Nonce};
-use agree::seal::{Link, Seal, Signs, Statement};
-use agree::{Id, Seat};
+use agree::{Id, Voter};
 use distribution::{Change, Key, Scope, ScopedState, Version};
 
 /// Voters have numbers from here on.
@@ -24,12 +24,12 @@
     signature
 }
 
-impl Signs for Keys {
+impl Signer for Keys {
     fn sign(&self, bytes: &[u8]) -> [u8; 64] {
         signature(self.0, bytes)
     }
 
-    fn said(&self, by: Id, bytes: &[u8], said: &[u8; 64]) -> bool {
+    fn verify(&self, by: Id, bytes: &[u8], said: &[u8; 64]) -> bool {
         signature(by, bytes) == *said
     }
 }
@@ -39,7 +39,7 @@
     at: f64,
     changes: Vec<Change>,
     state: ScopedState,
-    seal: Option<Seal>,
+    seal: Option<Certificate>,
 }
 
 #[derive(Clone, Debug)]
@@ -47,14 +47,14 @@
     founders: Vec<Id>,
     voters: agree::Council,
     version: Version,
-    links: Vec<Link>,
+    links: Vec<CouncilProof>,
     decisions: Vec<Rc<Decision>>,
 }
 
 impl Council {
     pub fn new(voters: u64) -> Self {
         let founders: Vec<Id> = (VOTERS..VOTERS + voters).collect();
-        let voters = agree::Council::founders(founders.iter().copied());
+        let voters = agree::Council::bootstrap(founders.iter().copied());
         let start = Decision {
             at: f64::NEG_INFINITY,
             changes: Vec::new(),
@@ -94,28 +94,31 @@
     /// Another voter comes in.
     pub fn elect(&mut self, now: f64) -> Version {
         let former = self.voters.clone();
-        self.voters = former.with(Seat { id: 90 + self.index(), life: 0 });
+        self.voters = former.with(Voter { id: 90 + self.index(), disk_id: 0 });
         self.version = self.index() + 1;
         let state = self.newest().state.clone();
-        let link = Link { council: self.voters.clone(), seal: self.seal_of(self.version, &state, &former) };
+        let link = CouncilProof {
+            council: self.voters.clone(),
+            certificate: self.seal_of(self.version, &state, &former),
+        };
         self.links.push(link);
         self.decide(now, &[])
     }
 
-    fn seal_of(&self, index: Version, state: &ScopedState, by: &agree::Council) -> Seal {
+    fn seal_of(&self, index: Version, state: &ScopedState, by: &agree::Council) -> Certificate {
         let zero = [0; 32];
         let statement = Statement {
             index,
             hash: zero,
-            snapshot: 0,
-            digest: zero,
+            snapshot_index: 0,
+            snapshot_digest: zero,
             version: self.version,
-            council: self.voters.digest(),
-            state: state.root(),
+            council_digest: self.voters.digest(),
+            state_root: state.root(),
         };
         let bytes = statement.bytes();
         let signed: BTreeMap<Id, Vec<u8>> = by.ids().map(|id| (id, signature(id, &bytes).to_vec())).collect();
-        Seal::of(&statement, &signed, by).expect("a majority")
+        Certificate::from_signatures(&statement, &signed, by).expect("a majority")
     }
 
     pub fn changes(&self, index: Version) -> &[Change] {
@@ -126,11 +129,11 @@
         &self.decisions[index as usize].state
     }
 
-    pub fn seal(&self, index: Version) -> Option<&Seal> {
+    pub fn seal(&self, index: Version) -> Option<&Certificate> {
         self.decisions[index as usize].seal.as_ref()
     }
 
-    pub fn links(&self) -> &[Link] {
+    pub fn links(&self) -> &[CouncilProof] {
         &self.links
     }
 
--- a/lab/src/capacity/members.rs
+++ b/lab/src/capacity/members.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::SocketAddr;
 
-use agree::seal::FleetKeys;
-use agree::{AgreeTerms, Agreement, Index, Machine, Role, Unknown};
+use agree::certificate::FleetKeys;
+use agree::{Agreement, AgreementTerms, Index, Machine, Role, UnsupportedDecision};
 use anyhow::Result;
 use fleet::{Fleet, FleetTerms, LoanTerms};
 use gossip::keys::{Roster, Secrets};
@@ -66,7 +66,7 @@
 }
 
 impl Machine for Book {
-    fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, Unknown> {
+    fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, UnsupportedDecision> {
         let line = command.first_chunk::<8>().ok_or_else(|| unread(index, part))?;
         self.lines.push(u64::from_le_bytes(*line));
         Ok(Vec::new())
@@ -76,15 +76,15 @@
         self.lines.iter().flat_map(|line| line.to_le_bytes()).collect()
     }
 
-    fn restore(&mut self, _: Index, state: &[u8]) -> Result<(), Unknown> {
+    fn restore(&mut self, _: Index, state: &[u8]) -> Result<(), UnsupportedDecision> {
         self.lines =
             state.chunks_exact(8).map(|line| u64::from_le_bytes(line.try_into().expect("eight"))).collect();
         Ok(())
     }
 }
 
-fn unread(index: Index, part: u8) -> Unknown {
-    Unknown { index, part, what: "no line".to_owned() }
+fn unread(index: Index, part: u8) -> UnsupportedDecision {
+    UnsupportedDecision { index, part, reason: "no line".to_owned() }
 }
 
 struct Member {
@@ -177,7 +177,11 @@
             let keys = FleetKeys { secrets: secrets(place)?, roster: roster.clone() };
             let node = Node::new(gossip, own, roster.clone(), chance.random(), 0.0, BORN as f64);
             let agreement = if terms.council {
-                let agree = AgreeTerms { founders: founders.clone(), beat: BEAT, lease: 30.0 * BEAT };
+                let agree = AgreementTerms {
+                    bootstrap_members: founders.clone(),
+                    heartbeat: BEAT,
+                    lease: 30.0 * BEAT,
+                };
                 let lost = agree::disk::recover(&[]);
                 Some(Agreement::new(node.id(), agree, keys, Book::default(), lost, chance.random(), 0.0)?)
             } else {
@@ -457,8 +461,8 @@
         agreement.set_peers(alive.map(|(id, _)| id).collect::<Vec<_>>());
         agreement.turn(now);
     }
-    while agreement.to_write(now).is_some() {
-        agreement.written(now);
+    while agreement.next_write(now).is_some() {
+        agreement.write_succeeded(now);
     }
     while agreement.outcome().is_some() {}
     while let Some(out) = agreement.outgoing() {
--- a/lab/src/scale/book.rs
+++ b/lab/src/scale/book.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use agree::{Index, Machine, Unknown};
+use agree::{Index, Machine, UnsupportedDecision};
 use serde::{Deserialize, Serialize};
 
 use super::layout::Scope;
@@ -47,8 +47,8 @@
 }
 
 impl Machine for Book {
-    fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, Unknown> {
-        let unknown = |what: &str| Unknown { index, part, what: what.to_owned() };
+    fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, UnsupportedDecision> {
+        let unknown = |what: &str| UnsupportedDecision { index, part, reason: what.to_owned() };
         if part != PART {
             return Err(unknown("no part of a scale run"));
         }
@@ -62,8 +62,9 @@
         postcard::to_stdvec(&self.values).expect("plain data")
     }
 
-    fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), Unknown> {
-        let unread = |_| Unknown { index, part: PART, what: "no state of a scale run".to_owned() };
+    fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), UnsupportedDecision> {
+        let unread =
+            |_| UnsupportedDecision { index, part: PART, reason: "no state of a scale run".to_owned() };
         self.values = postcard::from_bytes(state).map_err(unread)?;
         self.newest = index;
         Ok(())
--- a/lab/src/scale/council.rs
+++ b/lab/src/scale/council.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use agree::{AgreeTerms, Agreement, Id, Machine, Outcome};
+use agree::{Agreement, AgreementTerms, Id, Machine, Outcome};
 use gossip::keys::Roster;
 use gossip::wire::{Part, Standing};
 use gossip::{GossipTerms, Node as Member};
@@ -76,7 +76,7 @@
         let seed = node as u64 ^ u64::from(life) << 32;
         let member = Member::new(gossip, secrets.clone(), (*terms.roster).clone(), seed, now, EPOCH + now);
         let founders = terms.voters.iter().map(|&voter| keys::secrets(voter).id()).collect();
-        let agreed = AgreeTerms { founders, beat: terms.heartbeat, lease: LEASE };
+        let agreed = AgreementTerms { bootstrap_members: founders, heartbeat: terms.heartbeat, lease: LEASE };
         let signs = SharedKeys { secrets, roster: terms.roster.clone() };
         let file = agree::disk::recover(disk);
         let agreement = Agreement::new(member.id(), agreed, signs, machine, file, seed, now);
@@ -118,12 +118,12 @@
     }
 
     fn write(&mut self, now: f64) {
-        while let Some(write) = self.agreement.to_write(now) {
-            if write.anew {
+        while let Some(write) = self.agreement.next_write(now) {
+            if write.replaces_file {
                 self.file.clear();
             }
             self.file.extend(write.bytes);
-            self.agreement.written(now);
+            self.agreement.write_succeeded(now);
         }
     }
 
--- a/lab/src/scale/keys.rs
+++ b/lab/src/scale/keys.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use agree::{Id, Signs};
+use agree::{Id, Signer};
 use gossip::keys::{Roster, SIGNATURE, Secrets};
 
 use super::layout::NodeId;
@@ -37,12 +37,12 @@
     pub roster: Arc<Roster>,
 }
 
-impl Signs for SharedKeys {
+impl Signer for SharedKeys {
     fn sign(&self, bytes: &[u8]) -> [u8; SIGNATURE] {
         self.secrets.sign(bytes)
     }
 
-    fn said(&self, by: Id, bytes: &[u8], signature: &[u8; SIGNATURE]) -> bool {
+    fn verify(&self, by: Id, bytes: &[u8], signature: &[u8; SIGNATURE]) -> bool {
         self.roster.said(by, bytes, signature)
     }
 }
--- a/lab/src/scale/scoped_book.rs
+++ b/lab/src/scale/scoped_book.rs
@@ -1,6 +1,6 @@
 //! The machine of control machines in a scale run: changes by scope, as they are served.
 
-use agree::{Hash, Index, Machine, Unknown};
+use agree::{Hash, Index, Machine, UnsupportedDecision};
 use distribution::{Change, Key, ScopedState};
 
 use super::book::{Command, PART};
@@ -33,8 +33,8 @@
 }
 
 impl Machine for ScopedBook {
-    fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, Unknown> {
-        let unknown = |what: &str| Unknown { index, part, what: what.to_owned() };
+    fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, UnsupportedDecision> {
+        let unknown = |what: &str| UnsupportedDecision { index, part, reason: what.to_owned() };
         if part != PART {
             return Err(unknown("no part of a scale run"));
         }
@@ -51,8 +51,9 @@
         postcard::to_stdvec(&(self.newest, &self.state)).expect("plain data")
     }
 
-    fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), Unknown> {
-        let unread = |_| Unknown { index, part: PART, what: "no state of a scale run".to_owned() };
+    fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), UnsupportedDecision> {
+        let unread =
+            |_| UnsupportedDecision { index, part: PART, reason: "no state of a scale run".to_owned() };
         (self.newest, self.state) = postcard::from_bytes(state).map_err(unread)?;
         self.changes.clear();
         self.anew = true;
--- a/lab/src/scale/tier.rs
+++ b/lab/src/scale/tier.rs
@@ -206,18 +206,18 @@
         if self.control.wants_state() {
             self.control.restore(applied, agreement.machine().state().clone());
         }
-        if let Some(seal) = agreement.seal().filter(|seal| seal.statement.index > self.sealed) {
+        if let Some(seal) = agreement.certificate().filter(|seal| seal.statement.index > self.sealed) {
             self.sealed = seal.statement.index;
-            self.control.sealed(seal, agreement.links());
+            self.control.sealed(seal, agreement.council_proofs());
         }
-        while let Some(proof) = agreement.freshness() {
+        while let Some(proof) = agreement.next_freshness_proof() {
             self.control.fresh(now, proof);
         }
         if self.control.due() <= now {
             self.control.turn(now);
         }
         while let Some(nonce) = self.control.ask() {
-            agreement.ask_freshness(nonce);
+            agreement.request_freshness(nonce);
         }
     }
 }
--- a/outs/src/lib.rs
+++ b/outs/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod holder;
 pub mod releases;
 
-use agree::{Hash, Id, Index, Machine, Unknown};
+use agree::{Hash, Id, Index, Machine, UnsupportedDecision};
 use distribution::{Change, ScopedState};
 use serde::{Deserialize, Serialize};
 
@@ -178,8 +178,8 @@
 }
 
 impl Machine for Outs {
-    fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, Unknown> {
-        let unknown = |what: &str| Unknown { index, part, what: what.to_owned() };
+    fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, UnsupportedDecision> {
+        let unknown = |what: &str| UnsupportedDecision { index, part, reason: what.to_owned() };
         if part != OUTS {
             return Err(unknown("no part of this program: a newer one is wanted"));
         }
@@ -195,8 +195,9 @@
         write(STATE_VERSION, self)
     }
 
-    fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), Unknown> {
-        let unread = || Unknown { index, part: OUTS, what: "a state of no known form".to_owned() };
+    fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), UnsupportedDecision> {
+        let unread =
+            || UnsupportedDecision { index, part: OUTS, reason: "a state of no known form".to_owned() };
         *self = read(STATE_VERSION, state).ok_or_else(unread)?;
         self.feed.begin_anew();
         Ok(())
--- a/proxy/src/border/peers.rs
+++ b/proxy/src/border/peers.rs
@@ -1,8 +1,8 @@
 //! The other proxies: gossip, limits that hold for all, what is decided for all.
 
-use agree::disk::{Kept, Lost, Write};
-use agree::seal::FleetKeys;
-use agree::{AgreeTerms, Unknown};
+use agree::certificate::FleetKeys;
+use agree::disk::{DiskWrite, PersistedState, RecoveryError};
+use agree::{AgreementTerms, UnsupportedDecision};
 use frostthread::host::{Server, Suspicion};
 use gossip::Node;
 use gossip::keys::{Roster, Secrets};
@@ -103,13 +103,13 @@
     /// `file` is what the disk gave.
     pub fn decide(
         &mut self,
-        terms: (AgreeTerms, OutTerms),
+        terms: (AgreementTerms, OutTerms),
         life: Life,
         keys: FleetKeys,
-        file: Result<Kept, Lost>,
+        file: Result<PersistedState, RecoveryError>,
         seed: u64,
         now: f64,
-    ) -> Result<(), Unknown> {
+    ) -> Result<(), UnsupportedDecision> {
         if let Some(node) = &self.hands.gossip {
             self.hands.decided = Some(Decided::new(node, terms, life, keys, file, seed, now)?);
         }
@@ -195,7 +195,7 @@
     }
 
     /// Bytes of the decisions that must last; tell [`BorderProxy::kept`] what came of them.
-    pub fn to_keep(&mut self, now: f64) -> Option<Write> {
+    pub fn to_keep(&mut self, now: f64) -> Option<DiskWrite> {
         self.hands.decided.as_mut()?.to_write(now)
     }
 
--- a/proxy/src/decided/mod.rs
+++ b/proxy/src/decided/mod.rs
@@ -8,9 +8,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use agree::disk::{Kept, Lost, Write};
-use agree::seal::FleetKeys;
-use agree::{AgreeStanding, AgreeTerms, Agreement, Id, Unknown};
+use agree::certificate::FleetKeys;
+use agree::disk::{DiskWrite, PersistedState, RecoveryError};
+use agree::{Agreement, AgreementStatus, AgreementTerms, Id, UnsupportedDecision};
 use distribution::ScopedState;
 use gossip::Node;
 use gossip::wire::{Part, Standing};
@@ -72,15 +72,15 @@
     /// `file` is what the disk gave.
     pub fn new(
         node: &Node,
-        terms: (AgreeTerms, OutTerms),
+        terms: (AgreementTerms, OutTerms),
         life: Life,
         keys: FleetKeys,
-        file: Result<Kept, Lost>,
+        file: Result<PersistedState, RecoveryError>,
         seed: u64,
         now: f64,
-    ) -> Result<Self, Unknown> {
+    ) -> Result<Self, UnsupportedDecision> {
         let name = node.name(node.id()).unwrap_or_default().to_owned();
-        let beat = terms.0.beat;
+        let beat = terms.0.heartbeat;
         let agreement = Agreement::new(node.id(), terms.0, keys, Outs::default(), file, seed, now)?;
         let Life { runs, failed, callers } = life;
         let (fleet, silent) = (node.fleet().collect(), BTreeSet::new());
@@ -206,7 +206,7 @@
         let Some(span) = self.terms.span else { return };
         self.report_at = now + span;
         self.evidence.told((now / span) as u64, self.own.id, report);
-        let council = self.agreement.standing(now).council;
+        let council = self.agreement.status(now).council;
         for member in council.ids().filter(|&id| id != self.own.id) {
             node.say_to(now, member, Part::Evidence, report.write());
         }
@@ -266,17 +266,17 @@
         self.agreement.age(now)
     }
 
-    pub fn standing(&self, now: f64) -> AgreeStanding {
-        self.agreement.standing(now)
+    pub fn standing(&self, now: f64) -> AgreementStatus {
+        self.agreement.status(now)
     }
 
     /// Bytes for the disk, as [`Agreement::to_write`].
-    pub fn to_write(&mut self, now: f64) -> Option<Write> {
-        self.agreement.to_write(now)
+    pub fn to_write(&mut self, now: f64) -> Option<DiskWrite> {
+        self.agreement.next_write(now)
     }
 
     /// What the disk came to.
     pub fn written(&mut self, now: f64, well: bool) {
-        if well { self.agreement.written(now) } else { self.agreement.unwritten(now) }
+        if well { self.agreement.write_succeeded(now) } else { self.agreement.write_failed(now) }
     }
 }
--- a/proxy/src/decided/status.rs
+++ b/proxy/src/decided/status.rs
@@ -1,6 +1,6 @@
 //! What is decided, and how this proxy stands with it, for operators.
 
-use agree::{AgreeStanding, Id, Seat};
+use agree::{AgreementStatus, Id, Voter};
 use gossip::Node;
 use outs::{Kind, Outs, Phase, grants};
 use serde::{Deserialize, Serialize};
@@ -43,28 +43,31 @@
 }
 
 impl CouncilStatus {
-    pub fn of(standing: AgreeStanding, node: &Node) -> Self {
+    pub fn of(standing: AgreementStatus, node: &Node) -> Self {
         let name = |id: Id| node.name(id).unwrap_or("?").to_owned();
-        let seat = |seat: &Seat| SeatStatus {
+        let seat = |seat: &Voter| SeatStatus {
             name: name(seat.id),
-            life: seat.life,
+            life: seat.disk_id,
             has: standing.progress.get(&seat.id).copied(),
         };
-        let voteless =
-            standing.lives.iter().map(|(&id, &life)| SeatStatus { name: name(id), life, has: None });
+        let voteless = standing.unadmitted_disks.iter().map(|(&id, &life)| SeatStatus {
+            name: name(id),
+            life,
+            has: None,
+        });
         Self {
             role: standing.role,
-            life: standing.life,
+            life: standing.disk_id,
             term: standing.term,
             leader: standing.leader.map(name),
             decided: standing.decided,
             applied: standing.applied,
-            sealed: standing.sealed,
+            sealed: standing.certified,
             hash: hex::encode(&standing.hash[..8]),
             age_ms: Some(standing.age).filter(|age| age.is_finite()),
-            seats: standing.council.seats().iter().map(seat).collect(),
-            since: standing.version,
-            proved: standing.linked,
+            seats: standing.council.voters().iter().map(seat).collect(),
+            since: standing.council_since,
+            proved: standing.council_proved,
             voteless: voteless.collect(),
             stopped: standing.stopped.clone(),
             counts: standing.counts,
--- a/proxy/src/decided/wishes.rs
+++ b/proxy/src/decided/wishes.rs
@@ -1,6 +1,6 @@
 //! What operators want decided, and what came of it.
 
-use agree::{Council, Machine, Outcome, Refusal, Seat};
+use agree::{Council, Machine, Outcome, Refusal, Voter};
 use gossip::Node;
 use outs::{Command, Kind, OUTS, Verdict, drains, grants, releases};
 use serde::{Deserialize, Serialize};
@@ -61,7 +61,7 @@
 
 fn refusal(refusal: Refusal) -> String {
     match refusal {
-        Refusal::NotOneSeat => "a council changes by one seat at a time, and keeps one at least",
+        Refusal::NotOneVoter => "a council changes by one seat at a time, and keeps one at least",
         Refusal::ChangeUnderWay => "the change before it is not decided yet, or not proved to all: ask again",
         Refusal::NoMajority => "too few of that council would vote now: it could decide nothing",
         Refusal::TooLong => "longer than any decision",
@@ -84,7 +84,7 @@
                 .find(|&id| node.name(id) == Some(name))
                 .ok_or_else(|| format!("{name}: not in the roster"))
         };
-        let standing = self.agreement.standing(0.0);
+        let standing = self.agreement.status(0.0);
         Ok(match wish {
             Wish::Undrain { server } => {
                 Asked::Outs(Command::Drains(drains::Command::Undrain { server: server.clone() }))
@@ -127,10 +127,10 @@
             Wish::Remove { proxy } => Asked::Council(standing.council.without(id(proxy)?)),
             Wish::Add { proxy, life } => {
                 let id = id(proxy)?;
-                let life = life.or(standing.lives.get(&id).copied());
+                let life = life.or(standing.unadmitted_disks.get(&id).copied());
                 let unheard =
                     || format!("{proxy}: its disk's number is not known here; `council state` there has it");
-                Asked::Council(standing.council.with(Seat { id, life: life.ok_or_else(unheard)? }))
+                Asked::Council(standing.council.with(Voter { id, disk_id: life.ok_or_else(unheard)? }))
             }
         })
     }
@@ -143,10 +143,10 @@
                 let told = told.map_err(|unknown| unknown.to_string())?;
                 Verdict::read(&told).map_or(Answer::Already, |told| verdict(0, &told))
             }
-            Asked::Council(council) if council.follows(&self.agreement.standing(0.0).council) => {
+            Asked::Council(council) if council.follows(&self.agreement.status(0.0).council) => {
                 Answer::Done { decision: 0 }
             }
-            Asked::Council(_) => Answer::Refused { why: refusal(Refusal::NotOneSeat) },
+            Asked::Council(_) => Answer::Refused { why: refusal(Refusal::NotOneVoter) },
         })
     }
 
--- a/proxy/src/distributed/service.rs
+++ b/proxy/src/distributed/service.rs
@@ -90,15 +90,15 @@
         if self.control.wants_state() {
             self.control.restore(applied, agreement.machine().scoped().clone());
         }
-        if let Some(seal) = agreement.seal() {
-            self.control.sealed(seal, agreement.links());
+        if let Some(seal) = agreement.certificate() {
+            self.control.sealed(seal, agreement.council_proofs());
         }
-        while let Some(proof) = agreement.freshness() {
+        while let Some(proof) = agreement.next_freshness_proof() {
             self.control.fresh(now, proof);
         }
         self.control.turn(now);
         while let Some(nonce) = self.control.ask() {
-            agreement.ask_freshness(nonce);
+            agreement.request_freshness(nonce);
         }
         self.send();
     }
--- a/proxy/src/distributed/subscription.rs
+++ b/proxy/src/distributed/subscription.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use agree::Id;
-use agree::seal::FleetKeys;
+use agree::certificate::FleetKeys;
 use distribution::Scope;
 use distribution::placement::ControlMachine;
 use distribution::saved::Restored;
--- a/proxy/tests/distributed.rs
+++ b/proxy/tests/distributed.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use agree::seal::FleetKeys;
+use agree::certificate::FleetKeys;
 use border::distributed::{ControlAddress, Service, ServiceTerms, Subscription, SubscriptionTerms};
 use distribution::Scope;
 use distribution::placement::ControlMachine;
