--- a/daemon/src/release.rs
+++ b/daemon/src/release.rs
@@ -15,7 +15,7 @@
 
 use anyhow::{Context, Result};
 use outs::Kind;
-use outs::holder::{MOST_STARTS, Replace};
+use outs::holder::{MAX_STARTS, Replacement};
 use serde::{Deserialize, Serialize};
 use toml_edit::DocumentMut;
 
@@ -89,8 +89,8 @@
     if std::env::var(MARK).is_ok_and(|mark| mark == release.to_string()) {
         return Ok(Start::Here(RunningRelease { release, failed: None }));
     }
-    if installed.failed.is_none() && installed.starts >= MOST_STARTS {
-        installed.failed = Some(format!("{MOST_STARTS} starts in a row were not well"));
+    if installed.failed.is_none() && installed.starts >= MAX_STARTS {
+        installed.failed = Some(format!("{MAX_STARTS} starts in a row were not well"));
         write(state, Some(&installed))?;
     }
     if let Some(why) = installed.failed {
@@ -114,7 +114,7 @@
 }
 
 /// Installs what a proxy is to become, or what ran before. `config` is the file that it runs by now.
-pub fn install(state: &Path, config: &Path, replace: &Replace) -> Result<Change> {
+pub fn install(state: &Path, config: &Path, replace: &Replacement) -> Result<Change> {
     let before = read(state)?;
     if !replace.forward {
         let installed = before.context("release.json: nothing is installed")?;
--- a/daemon/src/replacing.rs
+++ b/daemon/src/replacing.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::{Receiver, channel};
 
 use border::{BorderProxy, Decisions};
-use outs::holder::Replace;
+use outs::holder::Replacement;
 
 use crate::release;
 use crate::settings::Plan;
@@ -24,7 +24,7 @@
     looks: Option<Receiver<Checked>>,
     look_at: f64,
     /// What it is to become once all that it has is over.
-    pub leaving: Option<Replace>,
+    pub leaving: Option<Replacement>,
 }
 
 impl Replacing {
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -19,7 +19,7 @@
 use frostthread::Proxy;
 use frostthread::host::Terms;
 use gossip::{GossipTerms, Node};
-use outs::holder::Replace;
+use outs::holder::Replacement;
 use rand::Rng;
 use records::commit::Admit;
 use records::entry::Author;
@@ -108,7 +108,7 @@
 }
 
 /// Runs the proxy until it is told to stop, or is to become another by a release.
-pub async fn run(plan: Plan) -> Result<Option<Replace>> {
+pub async fn run(plan: Plan) -> Result<Option<Replacement>> {
     let to_come = plan.to_come.clone();
     run_deciding(plan, |terms, seed, now| Watched::new(Proxy::new(terms, seed, now), to_come)).await
 }
@@ -117,7 +117,7 @@
 pub async fn run_deciding<D: Decisions>(
     plan: Plan,
     decide: impl FnOnce(Terms, u64, f64) -> D,
-) -> Result<Option<Replace>> {
+) -> Result<Option<Replacement>> {
     fs::create_dir_all(&plan.state).with_context(|| format!("state directory {}", plan.state.display()))?;
     let seed: u64 = rand::rng().random();
     let clock = Clock(Instant::now());
--- a/daemon/src/settings/fleet.rs
+++ b/daemon/src/settings/fleet.rs
@@ -145,7 +145,8 @@
     fn outs(&mut self, top: &mut Rows, lease: f64) -> Option<OutTerms> {
         let mut rows = self.rows(top, "outs", false);
         if rows.table.is_none() {
-            let holder = HolderTerms { part: PROXY_PART, witnesses: 1, well: WELL, lease };
+            let holder =
+                HolderTerms { max_unavailable_fraction: PROXY_PART, witnesses: 1, healthy_for: WELL, lease };
             return Some(OutTerms { pool_part: POOL_PART, holder, span: Some(SPAN) });
         }
         self.beside(top, &rows, "council", "which decides who may be out");
@@ -156,7 +157,12 @@
         let judged = self.truth(&mut rows, "judged", true)?;
         let span = self.time(&mut rows, "span", Some(SPAN));
         self.done(rows);
-        let holder = HolderTerms { part: proxy_part?, witnesses: witnesses? as u16, well: well?, lease };
+        let holder = HolderTerms {
+            max_unavailable_fraction: proxy_part?,
+            witnesses: witnesses? as u16,
+            healthy_for: well?,
+            lease,
+        };
         Some(OutTerms { pool_part: pool_part?, holder, span: span.filter(|_| judged) })
     }
 
--- a/lab/src/drill.rs
+++ b/lab/src/drill.rs
@@ -159,7 +159,7 @@
 impl ReleasePlay {
     /// How many proxies may be out at once.
     pub fn most(&self, proxies: usize) -> usize {
-        usize::from(outs::drains::most_out(self.part, proxies))
+        usize::from(outs::drains::max_unavailable(self.part, proxies))
     }
 }
 
--- a/outs/src/drains.rs
+++ b/outs/src/drains.rs
@@ -12,10 +12,10 @@
 use serde::{Deserialize, Serialize};
 
 /// Bytes of names, and of the reason that is kept.
-pub const LONGEST_NAME: usize = 120;
-pub const LONGEST_REASON: usize = 120;
+pub const MAX_NAME_BYTES: usize = 120;
+pub const MAX_REASON_BYTES: usize = 120;
 /// Servers drained at once.
-pub const MOST_DRAINS: usize = 1024;
+pub const MAX_DRAINS: usize = 1024;
 
 /// What may be asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -24,12 +24,12 @@
         server: String,
         pool: u16,
         /// How many of the pool may be out at once, and how many are by the list without any drain.
-        most: u16,
-        listed_out: u16,
+        max_unavailable: u16,
+        listed_unavailable: u16,
         /// Who asked, why, and when by its wall clock, in Unix milliseconds.
         by: String,
         why: String,
-        unix: u64,
+        unix_ms: u64,
     },
     Undrain {
         server: String,
@@ -50,15 +50,15 @@
 pub enum Verdict {
     Done,
     /// It was so before.
-    Already,
+    Unchanged,
     /// So many of its pool would be out, more than may be; by drains there are these.
     OverBudget {
-        out: u16,
-        most: u16,
+        unavailable: u16,
+        max_unavailable: u16,
         drained: Vec<String>,
     },
     /// A name or reason is too long or empty, or too many servers are drained.
-    Unfit,
+    Invalid,
 }
 
 /// A server that is drained.
@@ -67,8 +67,8 @@
     pub pool: u16,
     pub by: String,
     pub why: String,
-    pub unix: u64,
-    pub decided: Index,
+    pub unix_ms: u64,
+    pub decision: Index,
 }
 
 /// Under what a drain is distributed, in the scope of its pool.
@@ -79,7 +79,7 @@
 pub struct Notice {
     pub by: String,
     pub why: String,
-    pub unix: u64,
+    pub unix_ms: u64,
 }
 
 impl Notice {
@@ -100,15 +100,15 @@
 }
 
 /// What a decision on a drain changes for those who are told by scope; nothing where the name is no key's.
-pub(crate) fn change(decided: Index, server: &str, pool: u16, drain: Option<&Drain>) -> Option<Change> {
+pub(crate) fn change(decision: Index, server: &str, pool: u16, drain: Option<&Drain>) -> Option<Change> {
     let notice = |drain: &Drain| {
         let (by, why) = (drain.by.clone(), drain.why.clone());
-        crate::write(crate::VERSION, &Notice { by, why, unix: drain.unix })
+        crate::write(crate::VERSION, &Notice { by, why, unix_ms: drain.unix_ms })
     };
     Some(Change {
         scope: scope(pool),
         key: Key::new(format!("{KEY}{server}")).ok()?,
-        version: decided,
+        version: decision,
         value: drain.map(notice),
     })
 }
@@ -120,7 +120,7 @@
 }
 
 /// How many of a pool of so many servers may be out: that part of them, and one at least.
-pub fn most_out(part: f64, servers: usize) -> u16 {
+pub fn max_unavailable(part: f64, servers: usize) -> u16 {
     ((part * servers as f64).floor().max(1.0)).min(f64::from(u16::MAX)) as u16
 }
 
@@ -133,30 +133,30 @@
         self.drains.iter().map(|(server, drain)| (&server[..], drain))
     }
 
-    pub fn decide(&mut self, decided: Index, command: Command) -> Verdict {
+    pub fn decide(&mut self, decision: Index, command: Command) -> Verdict {
         match command {
             Command::Undrain { server } => match self.drains.remove(&server) {
                 Some(_) => Verdict::Done,
-                None => Verdict::Already,
+                None => Verdict::Unchanged,
             },
-            Command::Drain { server, pool, most, listed_out, by, why, unix } => {
+            Command::Drain { server, pool, max_unavailable, listed_unavailable, by, why, unix_ms } => {
                 if self.drains.contains_key(&server) {
-                    return Verdict::Already;
+                    return Verdict::Unchanged;
                 }
-                let named = |name: &String| (1..=LONGEST_NAME).contains(&name.len());
-                let fit = named(&server) && named(&by) && why.len() <= LONGEST_REASON;
-                if !fit || self.drains.len() >= MOST_DRAINS {
-                    return Verdict::Unfit;
+                let named = |name: &String| (1..=MAX_NAME_BYTES).contains(&name.len());
+                let fit = named(&server) && named(&by) && why.len() <= MAX_REASON_BYTES;
+                if !fit || self.drains.len() >= MAX_DRAINS {
+                    return Verdict::Invalid;
                 }
                 let of_pool = self.drains.iter().filter(|(_, drain)| drain.pool == pool);
                 let mut drained: Vec<String> = of_pool.map(|(server, _)| server.clone()).collect();
-                let out = listed_out.saturating_add(drained.len() as u16).saturating_add(1);
-                if out > most {
+                let unavailable = listed_unavailable.saturating_add(drained.len() as u16).saturating_add(1);
+                if unavailable > max_unavailable {
                     // As many as an answer has room for.
                     drained.truncate(8);
-                    return Verdict::OverBudget { out, most, drained };
+                    return Verdict::OverBudget { unavailable, max_unavailable, drained };
                 }
-                self.drains.insert(server, Drain { pool, by, why, unix, decided });
+                self.drains.insert(server, Drain { pool, by, why, unix_ms, decision });
                 Verdict::Done
             }
         }
--- a/outs/src/evidence.rs
+++ b/outs/src/evidence.rs
@@ -18,10 +18,10 @@
 const MEASURES: usize = 3;
 const WAVES: f64 = 4.0;
 /// Spans that are compared after each wave, and the most before the release that they are held against.
-pub const SPANS: usize = 8;
+pub const COMPARED_PERIODS: usize = 8;
 const BEFORE: usize = 32;
 /// Conversations of a proxy in a span, under which it tells nothing.
-pub const LEAST: u16 = 5;
+pub const MIN_CONVERSATIONS: u16 = 5;
 /// Spans that are kept of each proxy.
 const KEPT: usize = 64;
 
@@ -30,11 +30,11 @@
 pub struct Report {
     pub conversations: u16,
     /// Of what they could have earned, the part that was kept.
-    pub kept: f32,
+    pub earned: f32,
     /// The part that was refused, failed or cut.
-    pub lost: f32,
+    pub failed: f32,
     /// The design's quantile of set-up delay over time limit.
-    pub quantile: f32,
+    pub setup_quantile: f32,
 }
 
 impl Report {
@@ -45,13 +45,13 @@
     /// A report whose numbers can be used.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         let (report, rest) = postcard::take_from_bytes::<Self>(bytes).ok()?;
-        let parts = [report.kept, report.lost, report.quantile];
+        let parts = [report.earned, report.failed, report.setup_quantile];
         (rest.is_empty() && parts.iter().all(|part| (0.0..=1.0).contains(part))).then_some(report)
     }
 
     /// Each measure, more being better.
     fn measures(&self) -> [f64; MEASURES] {
-        [f64::from(self.kept), -f64::from(self.lost), -f64::from(self.quantile)]
+        [f64::from(self.earned), -f64::from(self.failed), -f64::from(self.setup_quantile)]
     }
 }
 
@@ -82,9 +82,9 @@
 
 impl Evidence {
     /// A proxy's report came, in a span.
-    pub fn told(&mut self, span: u64, proxy: Id, report: Report) {
+    pub fn record(&mut self, span: u64, proxy: Id, report: Report) {
         let reports = self.reports.entry(proxy).or_default();
-        if report.conversations >= LEAST && reports.back().is_none_or(|(at, _)| *at < span) {
+        if report.conversations >= MIN_CONVERSATIONS && reports.back().is_none_or(|(at, _)| *at < span) {
             reports.push_back((span, report));
             if reports.len() > KEPT {
                 reports.pop_front();
@@ -93,7 +93,7 @@
     }
 
     /// A release is about to begin: what each proxy was like until now.
-    pub fn begins(&mut self, release: u64) {
+    pub fn start_release(&mut self, release: u64) {
         if self.before.as_ref().is_some_and(|(of, _)| *of == release) {
             return;
         }
@@ -120,7 +120,7 @@
         // Spans after the one in which the last of them came back.
         let spans = since + 1..span;
         let ranks: Vec<_> = spans.filter_map(|at| self.ranks(at, release, &runs)).collect();
-        if ranks.len() < SPANS {
+        if ranks.len() < COMPARED_PERIODS {
             return Judgement::Wait;
         }
         let names = ["earnings kept", "refused, failed or cut", "set-up delay"];
--- a/outs/src/feed.rs
+++ b/outs/src/feed.rs
@@ -14,36 +14,36 @@
     /// These, in the order of the decisions.
     Since(Vec<Change>),
     /// Not known one by one: the whole state is to be taken anew.
-    Anew,
+    Reset,
 }
 
 /// Changes that wait to be taken, each of them once.
 #[derive(Clone, Debug, Default)]
 pub struct Feed {
     waiting: VecDeque<Change>,
-    anew: bool,
+    needs_reset: bool,
 }
 
 impl Feed {
     pub(crate) fn push(&mut self, change: Change) {
-        if self.anew {
+        if self.needs_reset {
             return;
         }
         self.waiting.push_back(change);
         if self.waiting.len() > MOST_WAITING {
-            self.begin_anew();
+            self.reset();
         }
     }
 
     /// The state was replaced as a whole.
-    pub(crate) fn begin_anew(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.waiting.clear();
-        self.anew = true;
+        self.needs_reset = true;
     }
 
     pub(crate) fn take(&mut self) -> Changes {
-        if std::mem::take(&mut self.anew) {
-            return Changes::Anew;
+        if std::mem::take(&mut self.needs_reset) {
+            return Changes::Reset;
         }
         Changes::Since(self.waiting.drain(..).collect())
     }
--- a/outs/src/grants.rs
+++ b/outs/src/grants.rs
@@ -20,7 +20,7 @@
 use agree::{Id, Index};
 use serde::{Deserialize, Serialize};
 
-use crate::drains::LONGEST_REASON;
+use crate::drains::MAX_REASON_BYTES;
 
 /// Proxies that are kept in the books at most.
 pub const MOST_PROXIES: usize = 4096;
@@ -30,11 +30,11 @@
 pub enum Command {
     /// Proxies that may be out at once, and how many others have to see one well before it is in again.
     Budget {
-        most: u16,
+        max_unavailable: u16,
         witnesses: u16,
     },
     /// Please let me out, for that release.
-    Ask {
+    Request {
         proxy: Id,
         release: Index,
     },
@@ -44,27 +44,27 @@
         grant: Index,
     },
     /// It did not go in time.
-    Forfeit {
+    Revoke {
         proxy: Id,
         grant: Index,
     },
     /// I take calls again, at that address, and run that release; 0 for none.
-    Back {
+    Returned {
         proxy: Id,
-        runs: Index,
-        callers: SocketAddr,
+        running_release: Index,
+        caller_address: SocketAddr,
     },
     /// I, another, have seen it take calls since it came back.
-    Well {
+    Healthy {
         proxy: Id,
         witness: Id,
     },
     /// I, another, hear nothing of it; or do again.
-    Missed {
+    Suspected {
         proxy: Id,
         witness: Id,
     },
-    Heard {
+    SuspicionCleared {
         proxy: Id,
         witness: Id,
     },
@@ -82,62 +82,64 @@
     Done,
     /// So many are out, and no more may be.
     Full {
-        out: u16,
-        most: u16,
+        unavailable: u16,
+        max_unavailable: u16,
     },
     /// It makes no difference as things are.
-    Moot,
-    Unfit,
+    NoEffect,
+    Invalid,
 }
 
 /// How a proxy that is out came to be so.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Away {
+pub enum Unavailability {
     Granted { grant: Index, release: Index },
-    Out { since: Index },
-    Back { since: Index, runs: Index, callers: SocketAddr, seen_by: BTreeSet<Id> },
+    Offline { since: Index },
+    Returned { since: Index, running_release: Index, caller_address: SocketAddr, seen_by: BTreeSet<Id> },
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Standing {
-    away: Option<Away>,
+    away: Option<Unavailability>,
     /// Who hears nothing of it.
-    missed_by: BTreeSet<Id>,
+    suspected_by: BTreeSet<Id>,
     written_off: Option<String>,
 }
 
 /// All proxies that are out, or that somebody misses.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grants {
-    most: u16,
+    max_unavailable: u16,
     witnesses: u16,
     proxies: BTreeMap<Id, Standing>,
     /// Seen well by the latest decision, with the release that it runs.
     #[serde(skip)]
-    came_in: Option<(Id, Index)>,
+    returned: Option<(Id, Index)>,
 }
 
 impl Grants {
     /// Who was seen well again by the latest decision, and which release it runs.
-    pub(crate) fn came_in(&mut self) -> Option<(Id, Index)> {
-        self.came_in.take()
+    pub(crate) fn returned(&mut self) -> Option<(Id, Index)> {
+        self.returned.take()
     }
 
     /// Takes back what was granted for a release and has not begun.
     pub(crate) fn recall(&mut self, release: Index) {
         for standing in self.proxies.values_mut() {
-            standing.away.take_if(|away| matches!(away, Away::Granted { release: of, .. } if *of == release));
+            standing.away.take_if(
+                |away| matches!(away, Unavailability::Granted { release: of, .. } if *of == release),
+            );
         }
         self.proxies.retain(|_, standing| *standing != Standing::default());
     }
 
     /// All that are away by their own asking.
-    pub fn all_away(&self) -> impl Iterator<Item = (Id, &Away)> {
+    pub fn unavailabilities(&self) -> impl Iterator<Item = (Id, &Unavailability)> {
         self.proxies.iter().filter_map(|(&id, standing)| Some((id, standing.away.as_ref()?)))
     }
 
-    pub fn most(&self) -> u16 {
-        self.most
+    pub fn max_unavailable(&self) -> u16 {
+        self.max_unavailable
     }
 
     pub fn witnesses(&self) -> u16 {
@@ -145,22 +147,22 @@
     }
 
     /// How a proxy is away by its own asking.
-    pub fn away(&self, proxy: Id) -> Option<&Away> {
+    pub fn unavailability(&self, proxy: Id) -> Option<&Unavailability> {
         self.proxies.get(&proxy)?.away.as_ref()
     }
 
     /// Whether a proxy takes up a place, and those that do.
-    pub fn counts(&self, proxy: Id) -> bool {
+    pub fn counts_as_unavailable(&self, proxy: Id) -> bool {
         self.proxies.get(&proxy).is_some_and(|standing| self.is_out(standing))
     }
 
-    pub fn out(&self) -> impl Iterator<Item = Id> {
+    pub fn unavailable(&self) -> impl Iterator<Item = Id> {
         self.proxies.iter().filter(|(_, standing)| self.is_out(standing)).map(|(&id, _)| id)
     }
 
     /// Who says that nothing is heard of it.
-    pub fn missed_by(&self, proxy: Id) -> impl Iterator<Item = Id> {
-        self.proxies.get(&proxy).into_iter().flat_map(|standing| standing.missed_by.iter().copied())
+    pub fn suspected_by(&self, proxy: Id) -> impl Iterator<Item = Id> {
+        self.proxies.get(&proxy).into_iter().flat_map(|standing| standing.suspected_by.iter().copied())
     }
 
     pub fn written_off(&self, proxy: Id) -> Option<&str> {
@@ -168,7 +170,7 @@
     }
 
     fn is_missed(&self, standing: &Standing) -> bool {
-        !standing.missed_by.is_empty() && standing.missed_by.len() >= usize::from(self.witnesses)
+        !standing.suspected_by.is_empty() && standing.suspected_by.len() >= usize::from(self.witnesses)
     }
 
     fn is_out(&self, standing: &Standing) -> bool {
@@ -176,18 +178,19 @@
     }
 
     fn full(&self, one_more: u16) -> Option<Verdict> {
-        let out = self.out().count() as u16;
-        (out + one_more > self.most).then_some(Verdict::Full { out, most: self.most })
+        let unavailable = self.unavailable().count() as u16;
+        (unavailable + one_more > self.max_unavailable)
+            .then_some(Verdict::Full { unavailable, max_unavailable: self.max_unavailable })
     }
 
     pub fn decide(&mut self, decided: Index, command: Command) -> Verdict {
         let known = |proxy| self.proxies.contains_key(&proxy);
         let new = match &command {
-            Command::Ask { proxy, .. } | Command::Missed { proxy, .. } => !known(*proxy),
+            Command::Request { proxy, .. } | Command::Suspected { proxy, .. } => !known(*proxy),
             _ => false,
         };
         if new && self.proxies.len() >= MOST_PROXIES {
-            return Verdict::Unfit;
+            return Verdict::Invalid;
         }
         let verdict = self.carry_out(decided, command);
         self.proxies.retain(|_, standing| *standing != Standing::default());
@@ -198,96 +201,108 @@
         match command {
             // A smaller budget calls nobody back: what is out comes back, and nothing goes until the sum
             // fits.
-            Command::Budget { most, witnesses } if most > 0 && witnesses > 0 => {
-                let same = (self.most, self.witnesses) == (most, witnesses);
-                (self.most, self.witnesses) = (most, witnesses);
-                if same { Verdict::Moot } else { Verdict::Done }
+            Command::Budget { max_unavailable, witnesses } if max_unavailable > 0 && witnesses > 0 => {
+                let same = (self.max_unavailable, self.witnesses) == (max_unavailable, witnesses);
+                (self.max_unavailable, self.witnesses) = (max_unavailable, witnesses);
+                if same { Verdict::NoEffect } else { Verdict::Done }
             }
-            Command::Budget { .. } => Verdict::Unfit,
-            Command::Ask { proxy, release } => {
+            Command::Budget { .. } => Verdict::Invalid,
+            Command::Request { proxy, release } => {
                 let standing = self.proxies.get(&proxy).cloned().unwrap_or_default();
                 if standing.away.is_some() || standing.written_off.is_some() {
-                    return Verdict::Moot;
+                    return Verdict::NoEffect;
                 }
                 // One that is missed already takes up its place.
                 let one_more = u16::from(!self.is_out(&standing));
                 if let Some(full) = self.full(one_more) {
                     return full;
                 }
-                self.proxies.entry(proxy).or_default().away = Some(Away::Granted { grant: decided, release });
+                self.proxies.entry(proxy).or_default().away =
+                    Some(Unavailability::Granted { grant: decided, release });
                 Verdict::Done
             }
             Command::Begin { proxy, grant } => self.turn(proxy, |away| match away {
-                Some(Away::Granted { grant: held, .. }) if *held == grant => {
-                    Some(Some(Away::Out { since: decided }))
+                Some(Unavailability::Granted { grant: held, .. }) if *held == grant => {
+                    Some(Some(Unavailability::Offline { since: decided }))
                 }
                 _ => None,
             }),
-            Command::Forfeit { proxy, grant } => self.turn(proxy, |away| match away {
-                Some(Away::Granted { grant: held, .. }) if *held == grant => Some(None),
+            Command::Revoke { proxy, grant } => self.turn(proxy, |away| match away {
+                Some(Unavailability::Granted { grant: held, .. }) if *held == grant => Some(None),
                 _ => None,
             }),
-            Command::Back { proxy, runs, callers } => {
+            Command::Returned { proxy, running_release, caller_address } => {
                 // Whoever was written off and comes all the same is to be seen well like any other.
                 let standing = self.proxies.entry(proxy).or_default();
-                let back = Away::Back { since: decided, runs, callers, seen_by: BTreeSet::new() };
+                let back = Unavailability::Returned {
+                    since: decided,
+                    running_release,
+                    caller_address,
+                    seen_by: BTreeSet::new(),
+                };
                 if standing.written_off.take().is_some() {
                     standing.away = Some(back);
                     return Verdict::Done;
                 }
                 self.turn(proxy, |away| match away {
-                    Some(Away::Out { .. }) => Some(Some(back)),
+                    Some(Unavailability::Offline { .. }) => Some(Some(back)),
                     _ => None,
                 })
             }
-            Command::Well { proxy, witness } => {
+            Command::Healthy { proxy, witness } => {
                 let enough = usize::from(self.witnesses);
                 let away = self.proxies.get_mut(&proxy).and_then(|standing| standing.away.as_mut());
-                let Some(Away::Back { runs, seen_by, .. }) = away.filter(|_| witness != proxy) else {
-                    return Verdict::Moot;
+                let Some(Unavailability::Returned { running_release, seen_by, .. }) =
+                    away.filter(|_| witness != proxy)
+                else {
+                    return Verdict::NoEffect;
                 };
                 if !seen_by.insert(witness) {
-                    return Verdict::Moot;
+                    return Verdict::NoEffect;
                 }
                 if seen_by.len() >= enough {
-                    self.came_in = Some((proxy, *runs));
+                    self.returned = Some((proxy, *running_release));
                     return self.turn(proxy, |_| Some(None));
                 }
                 Verdict::Done
             }
-            Command::Missed { proxy, witness } if witness != proxy => {
-                let fresh = self.proxies.entry(proxy).or_default().missed_by.insert(witness);
-                if fresh { Verdict::Done } else { Verdict::Moot }
+            Command::Suspected { proxy, witness } if witness != proxy => {
+                let fresh = self.proxies.entry(proxy).or_default().suspected_by.insert(witness);
+                if fresh { Verdict::Done } else { Verdict::NoEffect }
             }
-            Command::Missed { .. } => Verdict::Unfit,
-            Command::Heard { proxy, witness } => {
-                let gone = self.proxies.get_mut(&proxy).is_some_and(|of| of.missed_by.remove(&witness));
-                if gone { Verdict::Done } else { Verdict::Moot }
+            Command::Suspected { .. } => Verdict::Invalid,
+            Command::SuspicionCleared { proxy, witness } => {
+                let gone = self.proxies.get_mut(&proxy).is_some_and(|of| of.suspected_by.remove(&witness));
+                if gone { Verdict::Done } else { Verdict::NoEffect }
             }
             Command::WriteOff { proxy, why } => {
-                if why.is_empty() || why.len() > LONGEST_REASON {
-                    return Verdict::Unfit;
+                if why.is_empty() || why.len() > MAX_REASON_BYTES {
+                    return Verdict::Invalid;
                 }
                 match self.proxies.get_mut(&proxy).filter(|of| of.written_off.is_none()) {
                     Some(standing) => {
                         (standing.away, standing.written_off) = (None, Some(why));
                         Verdict::Done
                     }
-                    None => Verdict::Moot,
+                    None => Verdict::NoEffect,
                 }
             }
         }
     }
 
     /// Moves how a proxy is away to what `next` says, if anything.
-    fn turn(&mut self, proxy: Id, next: impl FnOnce(&Option<Away>) -> Option<Option<Away>>) -> Verdict {
+    fn turn(
+        &mut self,
+        proxy: Id,
+        next: impl FnOnce(&Option<Unavailability>) -> Option<Option<Unavailability>>,
+    ) -> Verdict {
         let standing = self.proxies.entry(proxy).or_default();
         match next(&standing.away) {
             Some(away) => {
                 standing.away = away;
                 Verdict::Done
             }
-            None => Verdict::Moot,
+            None => Verdict::NoEffect,
         }
     }
 }
--- a/outs/src/lib.rs
+++ b/outs/src/lib.rs
@@ -24,7 +24,7 @@
 pub use releases::{Kind, Phase, Release, Releases};
 
 /// The part of the agreement that all of this is.
-pub const OUTS: u8 = 1;
+pub const AVAILABILITY_PART: u8 = 1;
 /// The form of commands and answers.
 const VERSION: u8 = 1;
 /// The form of the state: since 2 it holds what is distributed by scope.
@@ -70,7 +70,7 @@
 
 /// All that is decided about who is out.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Outs {
+pub struct Availability {
     pub drains: Drains,
     pub grants: Grants,
     pub releases: Releases,
@@ -81,7 +81,7 @@
 }
 
 /// What waits to be handed on is no part of what was decided.
-impl PartialEq for Outs {
+impl PartialEq for Availability {
     fn eq(&self, other: &Self) -> bool {
         let Self { drains, grants, releases, scoped, feed: _ } = self;
         let same = (drains, grants, releases) == (&other.drains, &other.grants, &other.releases);
@@ -89,9 +89,9 @@
     }
 }
 
-impl Eq for Outs {}
+impl Eq for Availability {}
 
-impl Outs {
+impl Availability {
     /// What is distributed by scope, as of the newest decision that was carried out.
     pub fn scoped(&self) -> &ScopedState {
         &self.scoped
@@ -127,7 +127,7 @@
     fn carry_out(&mut self, index: Index, command: Command) -> Verdict {
         let verdict = self.of_part(index, command);
         let grants = &self.grants;
-        self.releases.settle(|proxy| grants.away(proxy).is_some());
+        self.releases.finish_if_complete(|proxy| grants.unavailability(proxy).is_some());
         verdict
     }
 
@@ -137,7 +137,7 @@
             Command::Grants(command) => Verdict::Grants(self.grant(index, command)),
             Command::Releases(command) => {
                 let halts =
-                    matches!(command, releases::Command::Halt { .. } | releases::Command::Back { .. });
+                    matches!(command, releases::Command::Halt { .. } | releases::Command::RollBack { .. });
                 let verdict = self.releases.decide(index, command);
                 // Whoever was let out for it and has not gone stays.
                 if let Some(release) = self.releases.current().filter(|_| halts) {
@@ -151,36 +151,37 @@
     /// Whether a proxy's turn has come to ask: those before it in its release's order would leave a place
     /// free. Without this all of a wave would ask again and again, and each refusal is a decision that all
     /// are told.
-    pub fn is_next(&self, proxy: Id) -> bool {
-        let free = usize::from(self.grants.most()).saturating_sub(self.grants.out().count());
+    pub fn may_request(&self, proxy: Id) -> bool {
+        let free =
+            usize::from(self.grants.max_unavailable()).saturating_sub(self.grants.unavailable().count());
         let waits = |id: Id| {
-            let there = !self.grants.counts(id) && self.grants.written_off(id).is_none();
-            there && self.releases.turn_of(id).is_some()
+            let there = !self.grants.counts_as_unavailable(id) && self.grants.written_off(id).is_none();
+            there && self.releases.next_change(id).is_some()
         };
         let order = self.releases.current().into_iter().flat_map(|release| release.waves.iter().flatten());
         let ahead = order.take_while(|&&id| id != proxy).filter(|&&id| waits(id)).count();
-        self.grants.counts(proxy) || ahead < free
+        self.grants.counts_as_unavailable(proxy) || ahead < free
     }
 
     fn grant(&mut self, index: Index, command: grants::Command) -> grants::Verdict {
-        if let grants::Command::Ask { proxy, release } = &command {
-            let turn = self.releases.turn_of(*proxy).is_some_and(|(of, _)| of.number == *release);
+        if let grants::Command::Request { proxy, release } = &command {
+            let turn = self.releases.next_change(*proxy).is_some_and(|(of, _)| of.number == *release);
             if !turn {
-                return grants::Verdict::Moot;
+                return grants::Verdict::NoEffect;
             }
         }
         let verdict = self.grants.decide(index, command);
-        if let Some((proxy, runs)) = self.grants.came_in() {
-            self.releases.came_in(proxy, runs);
+        if let Some((proxy, running_release)) = self.grants.returned() {
+            self.releases.set_running(proxy, running_release);
         }
         verdict
     }
 }
 
-impl Machine for Outs {
+impl Machine for Availability {
     fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, UnsupportedDecision> {
         let unknown = |what: &str| UnsupportedDecision { index, part, reason: what.to_owned() };
-        if part != OUTS {
+        if part != AVAILABILITY_PART {
             return Err(unknown("no part of this program: a newer one is wanted"));
         }
         let command = read(VERSION, command).ok_or_else(|| unknown("no command of this program"))?;
@@ -196,10 +197,13 @@
     }
 
     fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), UnsupportedDecision> {
-        let unread =
-            || UnsupportedDecision { index, part: OUTS, reason: "a state of no known form".to_owned() };
+        let unread = || UnsupportedDecision {
+            index,
+            part: AVAILABILITY_PART,
+            reason: "a state of no known form".to_owned(),
+        };
         *self = read(STATE_VERSION, state).ok_or_else(unread)?;
-        self.feed.begin_anew();
+        self.feed.reset();
         Ok(())
     }
 }
--- a/outs/src/releases.rs
+++ b/outs/src/releases.rs
@@ -16,7 +16,7 @@
 use agree::{Hash, Id, Index};
 use serde::{Deserialize, Serialize};
 
-use crate::drains::{LONGEST_NAME, LONGEST_REASON};
+use crate::drains::{MAX_NAME_BYTES, MAX_REASON_BYTES};
 
 /// The parts of all proxies that the waves go up to: the first is one proxy, the last all.
 const WAVES: [f64; 4] = [0.0, 0.01, 0.1, 1.0];
@@ -48,13 +48,13 @@
         sum: Hash,
         by: String,
         why: String,
-        unix: u64,
+        unix_ms: u64,
     },
     Ready {
         release: Index,
         proxy: Id,
     },
-    Unfit {
+    Rejected {
         release: Index,
         proxy: Id,
         why: String,
@@ -65,7 +65,7 @@
         proxies: u16,
     },
     /// All of the waves before run it, and nothing speaks against it.
-    Open {
+    OpenWave {
         release: Index,
         wave: u8,
     },
@@ -73,7 +73,7 @@
         release: Index,
         why: String,
     },
-    Back {
+    RollBack {
         release: Index,
     },
 }
@@ -82,17 +82,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
     Done,
-    Moot,
+    NoEffect,
     /// Not all are ready: so many are.
-    Unready {
+    NotReady {
         ready: u16,
         proxies: u16,
     },
     /// Another release is under way.
-    Another {
+    AnotherInProgress {
         release: Index,
     },
-    Unfit,
+    Invalid,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -102,10 +102,10 @@
     pub sum: Hash,
     pub by: String,
     pub why: String,
-    pub unix: u64,
+    pub unix_ms: u64,
     pub phase: Phase,
     pub ready: BTreeSet<Id>,
-    pub unfit: BTreeMap<Id, String>,
+    pub rejected: BTreeMap<Id, String>,
     /// By wave, once it is started.
     pub waves: Vec<Vec<Id>>,
 }
@@ -115,7 +115,7 @@
         self.waves.iter().position(|wave| wave.contains(&proxy)).map(|wave| wave as u8)
     }
 
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.phase == Phase::Done
     }
 }
@@ -124,7 +124,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Releases {
     current: Option<Release>,
-    runs: BTreeMap<Id, Index>,
+    running: BTreeMap<Id, Index>,
 }
 
 impl Releases {
@@ -133,20 +133,22 @@
     }
 
     /// The release that a proxy was last seen well with; 0 for none.
-    pub fn runs(&self, proxy: Id) -> Index {
-        self.runs.get(&proxy).copied().unwrap_or(0)
+    pub fn running_release(&self, proxy: Id) -> Index {
+        self.running.get(&proxy).copied().unwrap_or(0)
     }
 
     /// Whether a proxy may ask to go out for the release now, and whether that is to run it or to go back.
-    pub fn turn_of(&self, proxy: Id) -> Option<(&Release, bool)> {
+    pub fn next_change(&self, proxy: Id) -> Option<(&Release, bool)> {
         let release = self.current.as_ref()?;
         let wave = release.wave_of(proxy)?;
-        let runs = self.runs(proxy) == release.number;
+        let runs = self.running_release(proxy) == release.number;
         match release.phase {
             Phase::Running { wave: open } if wave <= open && !runs => Some((release, true)),
             Phase::GoingBack if runs => {
-                let newest =
-                    release.waves.iter().rposition(|of| of.iter().any(|&id| self.runs(id) == release.number));
+                let newest = release
+                    .waves
+                    .iter()
+                    .rposition(|of| of.iter().any(|&id| self.running_release(id) == release.number));
                 (newest == Some(usize::from(wave))).then_some((release, false))
             }
             _ => None,
@@ -154,27 +156,27 @@
     }
 
     /// The wave that may open next, once all that are open run the release.
-    pub fn opens_next(&self) -> Option<(Index, u8)> {
+    pub fn next_wave(&self) -> Option<(Index, u8)> {
         let release = self.current.as_ref()?;
         let Phase::Running { wave } = release.phase else { return None };
         let open = release.waves.iter().take(usize::from(wave) + 1).flatten();
-        let all = open.into_iter().all(|&id| self.runs(id) == release.number);
+        let all = open.into_iter().all(|&id| self.running_release(id) == release.number);
         (all && usize::from(wave) + 1 < release.waves.len()).then_some((release.number, wave + 1))
     }
 
     /// A proxy was seen well again.
-    pub(crate) fn came_in(&mut self, proxy: Id, runs: Index) {
-        if runs == 0 {
-            self.runs.remove(&proxy);
+    pub(crate) fn set_running(&mut self, proxy: Id, running_release: Index) {
+        if running_release == 0 {
+            self.running.remove(&proxy);
         } else {
-            self.runs.insert(proxy, runs);
+            self.running.insert(proxy, running_release);
         }
     }
 
     /// It is done when all run it, or, going back, none does, nor is one away that may come back with it.
-    pub(crate) fn settle(&mut self, away: impl Fn(Id) -> bool) {
+    pub(crate) fn finish_if_complete(&mut self, away: impl Fn(Id) -> bool) {
         let Some(release) = &self.current else { return };
-        let mut of = release.waves.iter().flatten().map(|&id| self.runs(id) == release.number);
+        let mut of = release.waves.iter().flatten().map(|&id| self.running_release(id) == release.number);
         let over = match release.phase {
             Phase::Running { .. } => of.all(|runs| runs),
             Phase::GoingBack => !of.any(|runs| runs) && !release.waves.iter().flatten().any(|&id| away(id)),
@@ -186,92 +188,92 @@
     }
 
     pub fn decide(&mut self, decided: Index, command: Command) -> Verdict {
-        if let Command::Stage { kind, sum, by, why, unix } = command {
-            if let Some(release) = self.current.as_ref().filter(|release| !release.is_over()) {
-                return Verdict::Another { release: release.number };
+        if let Command::Stage { kind, sum, by, why, unix_ms } = command {
+            if let Some(release) = self.current.as_ref().filter(|release| !release.is_finished()) {
+                return Verdict::AnotherInProgress { release: release.number };
             }
-            if !(1..=LONGEST_NAME).contains(&by.len()) || why.len() > LONGEST_REASON {
-                return Verdict::Unfit;
+            if !(1..=MAX_NAME_BYTES).contains(&by.len()) || why.len() > MAX_REASON_BYTES {
+                return Verdict::Invalid;
             }
-            let (ready, unfit, waves) = (BTreeSet::new(), BTreeMap::new(), Vec::new());
+            let (ready, rejected, waves) = (BTreeSet::new(), BTreeMap::new(), Vec::new());
             let phase = Phase::Staged;
             self.current =
-                Some(Release { number: decided, kind, sum, by, why, unix, phase, ready, unfit, waves });
+                Some(Release { number: decided, kind, sum, by, why, unix_ms, phase, ready, rejected, waves });
             return Verdict::Done;
         }
         self.of_current(command)
     }
 
     fn of_current(&mut self, command: Command) -> Verdict {
-        let Some(current) = &mut self.current else { return Verdict::Moot };
+        let Some(current) = &mut self.current else { return Verdict::NoEffect };
         let named = match &command {
-            Command::Stage { .. } => return Verdict::Unfit,
+            Command::Stage { .. } => return Verdict::Invalid,
             Command::Ready { release, .. }
-            | Command::Unfit { release, .. }
+            | Command::Rejected { release, .. }
             | Command::Start { release, .. }
-            | Command::Open { release, .. }
+            | Command::OpenWave { release, .. }
             | Command::Halt { release, .. }
-            | Command::Back { release } => *release,
+            | Command::RollBack { release } => *release,
         };
         if named != current.number {
-            return Verdict::Moot;
+            return Verdict::NoEffect;
         }
         match (command, current.phase.clone()) {
             (Command::Ready { proxy, .. }, Phase::Staged) => {
-                current.unfit.remove(&proxy);
-                if current.ready.insert(proxy) { Verdict::Done } else { Verdict::Moot }
+                current.rejected.remove(&proxy);
+                if current.ready.insert(proxy) { Verdict::Done } else { Verdict::NoEffect }
             }
-            (Command::Unfit { proxy, why, .. }, Phase::Staged) if why.len() <= LONGEST_REASON => {
+            (Command::Rejected { proxy, why, .. }, Phase::Staged) if why.len() <= MAX_REASON_BYTES => {
                 current.ready.remove(&proxy);
-                current.unfit.insert(proxy, why);
+                current.rejected.insert(proxy, why);
                 Verdict::Done
             }
             (Command::Start { proxies, .. }, Phase::Staged) => {
                 let ready = current.ready.len() as u16;
-                if ready < proxies || !current.unfit.is_empty() {
-                    return Verdict::Unready { ready, proxies };
+                if ready < proxies || !current.rejected.is_empty() {
+                    return Verdict::NotReady { ready, proxies };
                 }
                 current.waves = waves(current.number, &current.ready);
                 current.phase = Phase::Running { wave: 0 };
                 Verdict::Done
             }
             // An operator's word that the next wave may open, whatever is known.
-            (Command::Start { .. }, Phase::Running { .. }) => match self.opens_next() {
+            (Command::Start { .. }, Phase::Running { .. }) => match self.next_wave() {
                 Some((_, wave)) => {
                     let current = self.current.as_mut().expect("it opens");
                     current.phase = Phase::Running { wave };
                     Verdict::Done
                 }
-                None => Verdict::Moot,
+                None => Verdict::NoEffect,
             },
             // An operator who starts it again goes on where it was halted.
             (Command::Start { .. }, Phase::Halted { wave, .. }) => {
                 current.phase = Phase::Running { wave };
                 Verdict::Done
             }
-            (Command::Open { wave, .. }, Phase::Running { .. }) => match self.opens_next() {
+            (Command::OpenWave { wave, .. }, Phase::Running { .. }) => match self.next_wave() {
                 Some((_, next)) if next == wave => {
                     let current = self.current.as_mut().expect("it opens");
                     current.phase = Phase::Running { wave };
                     Verdict::Done
                 }
-                _ => Verdict::Moot,
+                _ => Verdict::NoEffect,
             },
-            (Command::Halt { why, .. }, Phase::Running { wave }) if why.len() <= LONGEST_REASON => {
+            (Command::Halt { why, .. }, Phase::Running { wave }) if why.len() <= MAX_REASON_BYTES => {
                 current.phase = Phase::Halted { wave, why };
                 Verdict::Done
             }
-            (Command::Back { .. }, Phase::Staged) => {
+            (Command::RollBack { .. }, Phase::Staged) => {
                 current.phase = Phase::Done;
                 Verdict::Done
             }
-            (Command::Back { .. }, Phase::Running { .. } | Phase::Halted { .. } | Phase::Done)
+            (Command::RollBack { .. }, Phase::Running { .. } | Phase::Halted { .. } | Phase::Done)
                 if !current.waves.is_empty() =>
             {
                 current.phase = Phase::GoingBack;
                 Verdict::Done
             }
-            _ => Verdict::Moot,
+            _ => Verdict::NoEffect,
         }
     }
 }
--- a/outs/tests/distributed.rs
+++ b/outs/tests/distributed.rs
@@ -3,24 +3,28 @@
 use agree::Machine;
 use distribution::{Key, Scope};
 use outs::drains::{self, Command, Notice};
-use outs::{Changes, OUTS, Outs};
+use outs::{AVAILABILITY_PART, Availability, Changes};
 
-fn carry_out(outs: &mut Outs, index: u64, command: Command) {
-    outs.decide(index, OUTS, &outs::Command::Drains(command).write()).expect("known");
+fn carry_out(outs: &mut Availability, index: u64, command: Command) {
+    outs.decide(index, AVAILABILITY_PART, &outs::Command::Drains(command).write()).expect("known");
 }
 
-fn drain(outs: &mut Outs, index: u64, server: &str, pool: u16) {
+fn drain(outs: &mut Availability, index: u64, server: &str, pool: u16) {
     let (by, why) = ("p1".to_owned(), "disk".to_owned());
-    let (server, most, listed_out) = (server.to_owned(), 2, 0);
-    carry_out(outs, index, Command::Drain { server, pool, most, listed_out, by, why, unix: 7 });
+    let (server, max_unavailable, listed_unavailable) = (server.to_owned(), 2, 0);
+    carry_out(
+        outs,
+        index,
+        Command::Drain { server, pool, max_unavailable, listed_unavailable, by, why, unix_ms: 7 },
+    );
 }
 
-fn undrain(outs: &mut Outs, index: u64, server: &str) {
+fn undrain(outs: &mut Availability, index: u64, server: &str) {
     carry_out(outs, index, Command::Undrain { server: server.to_owned() });
 }
 
 /// Changes as scope, server, version and whether it is drained.
-fn taken(outs: &mut Outs) -> Vec<(Scope, String, u64, bool)> {
+fn taken(outs: &mut Availability) -> Vec<(Scope, String, u64, bool)> {
     let Changes::Since(changes) = outs.take_changes() else { panic!("all anew") };
     let row = |change: distribution::Change| {
         let server = drains::server_of(&change.key).expect("a drain").to_owned();
@@ -31,14 +35,14 @@
 
 #[test]
 fn a_drain_stands_in_the_scope_of_its_pool_until_it_is_taken_back() {
-    let mut outs = Outs::default();
+    let mut outs = Availability::default();
     let empty = outs.root();
     drain(&mut outs, 4, "a", 3);
     drain(&mut outs, 5, "b", 70);
     let key = |server: &str| Key::new(format!("drain/{server}")).expect("fits");
     let (version, value) = outs.scoped().get(Scope::Service(3), &key("a")).expect("there");
     assert_eq!(version, 4);
-    assert_eq!(Notice::read(value), Some(Notice { by: "p1".into(), why: "disk".into(), unix: 7 }));
+    assert_eq!(Notice::read(value), Some(Notice { by: "p1".into(), why: "disk".into(), unix_ms: 7 }));
     assert!(outs.scoped().get(Scope::Service(70), &key("b")).is_some());
     assert_ne!(outs.root(), empty);
     undrain(&mut outs, 9, "a");
@@ -48,7 +52,7 @@
 
 #[test]
 fn changes_are_handed_on_once_in_their_order_and_only_what_changed() {
-    let mut outs = Outs::default();
+    let mut outs = Availability::default();
     drain(&mut outs, 4, "a", 3);
     drain(&mut outs, 5, "a", 3);
     undrain(&mut outs, 6, "nobody");
@@ -62,25 +66,25 @@
 
 #[test]
 fn after_a_snapshot_and_where_nobody_takes_them_for_long_all_is_to_be_taken_anew() {
-    let mut outs = Outs::default();
+    let mut outs = Availability::default();
     drain(&mut outs, 4, "a", 3);
-    let mut other = Outs::default();
+    let mut other = Availability::default();
     other.restore(4, &outs.state()).expect("its own form");
     assert_eq!((&other, other.root()), (&outs, outs.root()));
-    assert_eq!(other.take_changes(), Changes::Anew);
+    assert_eq!(other.take_changes(), Changes::Reset);
     undrain(&mut other, 5, "a");
     assert_eq!(taken(&mut other).len(), 1);
     for index in 0..3_000 {
         drain(&mut outs, 10 + 2 * index, "b", 3);
         undrain(&mut outs, 11 + 2 * index, "b");
     }
-    assert_eq!(outs.take_changes(), Changes::Anew);
+    assert_eq!(outs.take_changes(), Changes::Reset);
     assert_eq!(taken(&mut outs), []);
 }
 
 #[test]
 fn what_a_command_would_come_to_can_be_tried_on_a_copy_without_an_index() {
-    let mut outs = Outs::default();
+    let mut outs = Availability::default();
     drain(&mut outs, 4, "a", 3);
     let mut copy = outs.clone();
     drain(&mut copy, 0, "b", 3);
@@ -90,7 +94,7 @@
 
 #[test]
 fn a_state_of_the_form_before_is_not_read() {
-    let mut state = Outs::default().state();
+    let mut state = Availability::default().state();
     state[0] = 1;
-    assert!(Outs::default().restore(4, &state).is_err());
+    assert!(Availability::default().restore(4, &state).is_err());
 }
--- a/outs/tests/drains.rs
+++ b/outs/tests/drains.rs
@@ -1,13 +1,21 @@
 //! Drains are decided alike everywhere, within their pool's budget.
 
 use agree::Machine;
-use outs::drains::{Command, LONGEST_REASON, Verdict, most_out};
-use outs::{OUTS, Outs};
+use outs::drains::{Command, MAX_REASON_BYTES, Verdict, max_unavailable};
+use outs::{AVAILABILITY_PART, Availability};
 use rstest::rstest;
 
-fn drain(server: &str, pool: u16, most: u16, listed_out: u16) -> Command {
+fn drain(server: &str, pool: u16, max_unavailable: u16, listed_unavailable: u16) -> Command {
     let (by, why) = ("p1".to_owned(), "disk".to_owned());
-    Command::Drain { server: server.to_owned(), pool, most, listed_out, by, why, unix: 7 }
+    Command::Drain {
+        server: server.to_owned(),
+        pool,
+        max_unavailable,
+        listed_unavailable,
+        by,
+        why,
+        unix_ms: 7,
+    }
 }
 
 fn undrain(server: &str) -> Command {
@@ -18,29 +26,29 @@
     outs::Command::Drains(command.clone()).write()
 }
 
-fn told(outs: &mut Outs, command: &Command) -> Verdict {
-    let told = outs.decide(5, OUTS, &written(command)).expect("known");
+fn told(outs: &mut Availability, command: &Command) -> Verdict {
+    let told = outs.decide(5, AVAILABILITY_PART, &written(command)).expect("known");
     let Some(outs::Verdict::Drains(verdict)) = outs::Verdict::read(&told) else { panic!("{told:?}") };
     verdict
 }
 
 #[test]
 fn a_pool_has_no_more_out_than_it_may_by_drains_and_list_together() {
-    let mut outs = Outs::default();
+    let mut outs = Availability::default();
     assert_eq!(told(&mut outs, &drain("a", 0, 2, 0)), Verdict::Done);
-    assert_eq!(told(&mut outs, &drain("a", 0, 2, 0)), Verdict::Already);
+    assert_eq!(told(&mut outs, &drain("a", 0, 2, 0)), Verdict::Unchanged);
     // Asked for elsewhere at the same time, by one that knew of no other.
     assert_eq!(
         told(&mut outs, &drain("b", 0, 2, 1)),
-        Verdict::OverBudget { out: 3, most: 2, drained: vec!["a".into()] }
+        Verdict::OverBudget { unavailable: 3, max_unavailable: 2, drained: vec!["a".into()] }
     );
     assert_eq!(told(&mut outs, &drain("c", 1, 1, 0)), Verdict::Done, "another pool");
     assert_eq!(told(&mut outs, &drain("b", 0, 2, 0)), Verdict::Done);
     assert_eq!(told(&mut outs, &undrain("a")), Verdict::Done);
-    assert_eq!(told(&mut outs, &undrain("a")), Verdict::Already);
+    assert_eq!(told(&mut outs, &undrain("a")), Verdict::Unchanged);
     let left: Vec<&str> = outs.drains.iter().map(|(server, _)| server).collect();
     assert_eq!(left, ["b", "c"]);
-    let mut other = Outs::default();
+    let mut other = Availability::default();
     other.restore(9, &outs.state()).expect("its own form");
     assert_eq!(other, outs);
 }
@@ -48,19 +56,19 @@
 #[rstest]
 #[case::no_name(drain("", 0, 2, 0))]
 #[case::a_long_reason(Command::Drain {
-    server: "a".into(), pool: 0, most: 2, listed_out: 0, by: "p".into(), why: "x".repeat(LONGEST_REASON + 1), unix: 0,
+    server: "a".into(), pool: 0, max_unavailable: 2, listed_unavailable: 0, by: "p".into(), why: "x".repeat(MAX_REASON_BYTES + 1), unix_ms: 0,
 })]
 fn what_is_too_long_or_empty_is_refused(#[case] command: Command) {
-    assert_eq!(told(&mut Outs::default(), &command), Verdict::Unfit);
+    assert_eq!(told(&mut Availability::default(), &command), Verdict::Invalid);
 }
 
 #[rstest]
 #[case::another_part(9, &written(&drain("a", 0, 1, 0)))]
-#[case::another_version(OUTS, &[2, 0])]
-#[case::rubbish(OUTS, &[1, 9, 9])]
+#[case::another_version(AVAILABILITY_PART, &[2, 0])]
+#[case::rubbish(AVAILABILITY_PART, &[1, 9, 9])]
 fn what_this_program_does_not_know_is_an_error(#[case] part: u8, #[case] command: &[u8]) {
-    assert!(Outs::default().decide(3, part, command).is_err());
-    assert!(Outs::default().restore(3, &[7]).is_err());
+    assert!(Availability::default().decide(3, part, command).is_err());
+    assert!(Availability::default().restore(3, &[7]).is_err());
 }
 
 #[rstest]
@@ -68,5 +76,5 @@
 #[case(0.25, 3, 1)]
 #[case(0.0, 3, 1)]
 fn the_part_that_may_be_out_is_one_at_least(#[case] part: f64, #[case] servers: usize, #[case] most: u16) {
-    assert_eq!(most_out(part, servers), most);
+    assert_eq!(max_unavailable(part, servers), most);
 }
--- a/outs/tests/evidence.rs
+++ b/outs/tests/evidence.rs
@@ -1,7 +1,7 @@
 //! A release that does nothing goes on; one that serves worse is halted, how soon depends on the traffic.
 
 use agree::Id;
-use outs::evidence::{Evidence, FALSE_ALARM, Judgement, LEAST, Report, SPANS};
+use outs::evidence::{COMPARED_PERIODS, Evidence, FALSE_ALARM, Judgement, MIN_CONVERSATIONS, Report};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -15,10 +15,10 @@
 fn report(chance: &mut Pcg64Mcg, proxy: Id, traffic: f64, worse: f64) -> Report {
     let own = 0.85 + 0.1 * (proxy as f64 * 0.618).fract();
     let conversations = (traffic * (0.5 + chance.random::<f64>())) as u16;
-    let kept = (0..conversations).filter(|_| chance.random::<f64>() < own * (1.0 - worse)).count();
-    let kept = kept as f32 / f32::from(conversations.max(1));
+    let earned = (0..conversations).filter(|_| chance.random::<f64>() < own * (1.0 - worse)).count();
+    let earned = earned as f32 / f32::from(conversations.max(1));
     let quantile = (0.2 + 0.1 * chance.random::<f64>()) as f32;
-    Report { conversations, kept, lost: 1.0 - kept, quantile: (quantile * 50.0).ceil() / 50.0 }
+    Report { conversations, earned, failed: 1.0 - earned, setup_quantile: (quantile * 50.0).ceil() / 50.0 }
 }
 
 /// Plays a release through its waves; gives the wave after which it was halted.
@@ -30,11 +30,11 @@
         *span += 1;
         for proxy in 0..PROXIES {
             let worse = if proxy < released { worse } else { 0.0 };
-            evidence.told(*span, proxy, report(&mut chance, proxy, traffic, worse));
+            evidence.record(*span, proxy, report(&mut chance, proxy, traffic, worse));
         }
     };
     (0..40).for_each(|_| pass(&mut evidence, 0, &mut span));
-    evidence.begins(7);
+    evidence.start_release(7);
     for (wave, released) in RELEASED.into_iter().enumerate() {
         loop {
             pass(&mut evidence, released, &mut span);
@@ -80,23 +80,24 @@
 #[test]
 fn too_little_traffic_means_to_wait() {
     let mut evidence = Evidence::default();
-    let quiet = Report { conversations: LEAST - 1, kept: 0.0, lost: 1.0, quantile: 1.0 };
+    let quiet =
+        Report { conversations: MIN_CONVERSATIONS - 1, earned: 0.0, failed: 1.0, setup_quantile: 1.0 };
     for span in 1..200 {
-        (0..PROXIES).for_each(|proxy| evidence.told(span, proxy, quiet));
+        (0..PROXIES).for_each(|proxy| evidence.record(span, proxy, quiet));
         assert_eq!(evidence.judge(span, 7, 0, |id| id == 0), Judgement::Wait);
     }
-    let well = Report { conversations: LEAST, kept: 1.0, lost: 0.0, quantile: 0.1 };
-    for span in 200..200 + SPANS as u64 {
+    let well = Report { conversations: MIN_CONVERSATIONS, earned: 1.0, failed: 0.0, setup_quantile: 0.1 };
+    for span in 200..200 + COMPARED_PERIODS as u64 {
         assert_eq!(evidence.judge(span, 7, 0, |id| id == 0), Judgement::Wait);
-        (0..PROXIES).for_each(|proxy| evidence.told(span, proxy, well));
+        (0..PROXIES).for_each(|proxy| evidence.record(span, proxy, well));
     }
-    assert_eq!(evidence.judge(200 + SPANS as u64, 7, 0, |id| id == 0), Judgement::Go);
+    assert_eq!(evidence.judge(200 + COMPARED_PERIODS as u64, 7, 0, |id| id == 0), Judgement::Go);
 }
 
 #[rstest]
 #[case(&[1, 2, 3])]
-#[case(&Report { kept: f32::NAN, ..Report::default() }.write())]
-#[case(&Report { lost: 7.0, ..Report::default() }.write())]
+#[case(&Report { earned: f32::NAN, ..Report::default() }.write())]
+#[case(&Report { failed: 7.0, ..Report::default() }.write())]
 fn a_report_of_no_use_is_none(#[case] bytes: &[u8]) {
     assert_eq!(Report::read(bytes), None);
 }
--- a/outs/tests/grants.rs
+++ b/outs/tests/grants.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
 use agree::Id;
-use outs::grants::{Away, Command, Grants, Verdict};
+use outs::grants::{Command, Grants, Unavailability, Verdict};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -15,19 +15,22 @@
 
 fn fresh() -> Grants {
     let mut grants = Grants::default();
-    assert_eq!(grants.decide(1, Command::Budget { most: MOST, witnesses: WITNESSES }), Verdict::Done);
+    assert_eq!(
+        grants.decide(1, Command::Budget { max_unavailable: MOST, witnesses: WITNESSES }),
+        Verdict::Done
+    );
     grants
 }
 
 fn grant(grants: &Grants, proxy: Id) -> u64 {
-    match grants.away(proxy) {
-        Some(Away::Granted { grant, .. }) => *grant,
+    match grants.unavailability(proxy) {
+        Some(Unavailability::Granted { grant, .. }) => *grant,
         _ => 0,
     }
 }
 
 fn back(proxy: Id) -> Command {
-    Command::Back { proxy, runs: 7, callers: ([127, 0, 0, 1], 4569).into() }
+    Command::Returned { proxy, running_release: 7, caller_address: ([127, 0, 0, 1], 4569).into() }
 }
 
 /// All that can be said next, by anybody, in time or late.
@@ -36,17 +39,17 @@
     for proxy in PROXIES {
         let grant = grant(grants, proxy);
         all.extend([
-            Command::Ask { proxy, release: 7 },
+            Command::Request { proxy, release: 7 },
             Command::Begin { proxy, grant },
             Command::Begin { proxy, grant: 2 },
-            Command::Forfeit { proxy, grant },
+            Command::Revoke { proxy, grant },
             back(proxy),
         ]);
         for witness in [1, 2, 3] {
             all.extend([
-                Command::Well { proxy, witness },
-                Command::Missed { proxy, witness },
-                Command::Heard { proxy, witness },
+                Command::Healthy { proxy, witness },
+                Command::Suspected { proxy, witness },
+                Command::SuspicionCleared { proxy, witness },
             ]);
         }
     }
@@ -56,23 +59,27 @@
 
 /// What holds after each decision.
 fn check(before: &Grants, command: &Command, verdict: &Verdict, after: &Grants) {
-    let (was, is): (BTreeSet<Id>, BTreeSet<Id>) = (before.out().collect(), after.out().collect());
+    let (was, is): (BTreeSet<Id>, BTreeSet<Id>) =
+        (before.unavailable().collect(), after.unavailable().collect());
     // Losses are not asked for: only by them the sum goes over, and then nothing is granted.
-    let granted = matches!(command, Command::Ask { .. }) && *verdict == Verdict::Done;
+    let granted = matches!(command, Command::Request { .. }) && *verdict == Verdict::Done;
     assert!(!granted || is.len() <= usize::from(MOST), "{command:?} with {was:?} out");
     for proxy in PROXIES {
         // Out comes only of a grant, and the one that is held.
-        let begins = matches!(after.away(proxy), Some(Away::Out { .. }));
-        if begins && !matches!(before.away(proxy), Some(Away::Out { .. })) {
-            assert!(matches!(before.away(proxy), Some(Away::Granted { .. })), "{command:?}");
+        let begins = matches!(after.unavailability(proxy), Some(Unavailability::Offline { .. }));
+        if begins && !matches!(before.unavailability(proxy), Some(Unavailability::Offline { .. })) {
+            assert!(
+                matches!(before.unavailability(proxy), Some(Unavailability::Granted { .. })),
+                "{command:?}"
+            );
         }
         // In again only by witnesses, by giving the grant back, or by an operator's word.
         if was.contains(&proxy) && !is.contains(&proxy) {
             let by = matches!(
                 command,
-                Command::Well { .. }
-                    | Command::Heard { .. }
-                    | Command::Forfeit { .. }
+                Command::Healthy { .. }
+                    | Command::SuspicionCleared { .. }
+                    | Command::Revoke { .. }
                     | Command::WriteOff { .. }
             );
             assert!(by, "{command:?}");
@@ -84,14 +91,14 @@
 fn comes_in(mut grants: Grants) {
     for proxy in PROXIES {
         let grant = grant(&grants, proxy);
-        let mut way = vec![Command::Forfeit { proxy, grant }, back(proxy)];
+        let mut way = vec![Command::Revoke { proxy, grant }, back(proxy)];
         for witness in PROXIES {
-            way.extend([Command::Heard { proxy, witness }, Command::Well { proxy, witness }]);
+            way.extend([Command::SuspicionCleared { proxy, witness }, Command::Healthy { proxy, witness }]);
         }
         for command in way {
             grants.decide(99, command);
         }
-        assert!(!grants.counts(proxy), "{proxy}: {grants:?}");
+        assert!(!grants.counts_as_unavailable(proxy), "{proxy}: {grants:?}");
     }
 }
 
@@ -130,51 +137,54 @@
 }
 
 #[rstest]
-#[case::killed_between_grant_and_drain(&[Command::Ask { proxy: 1, release: 7 }, Command::Forfeit { proxy: 1, grant: 2 }], false)]
+#[case::killed_between_grant_and_drain(&[Command::Request { proxy: 1, release: 7 }, Command::Revoke { proxy: 1, grant: 2 }], false)]
 #[case::a_holder_that_wakes_after_its_grant_was_taken_back(
-    &[Command::Ask { proxy: 1, release: 7 }, Command::Forfeit { proxy: 1, grant: 2 }, Command::Begin { proxy: 1, grant: 2 }], false
+    &[Command::Request { proxy: 1, release: 7 }, Command::Revoke { proxy: 1, grant: 2 }, Command::Begin { proxy: 1, grant: 2 }], false
 )]
-#[case::killed_while_out(&[Command::Ask { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }], true)]
+#[case::killed_while_out(&[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }], true)]
 #[case::killed_just_before_it_says_that_it_is_back(
-    &[Command::Ask { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, Command::Missed { proxy: 1, witness: 2 }], true
+    &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, Command::Suspected { proxy: 1, witness: 2 }], true
 )]
 #[case::back_but_seen_by_one_alone(
-    &[Command::Ask { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, back(1),
-      Command::Well { proxy: 1, witness: 2 }, Command::Well { proxy: 1, witness: 2 }], true
+    &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, back(1),
+      Command::Healthy { proxy: 1, witness: 2 }, Command::Healthy { proxy: 1, witness: 2 }], true
 )]
 #[case::its_own_word_counts_nothing(
-    &[Command::Ask { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, back(1),
-      Command::Well { proxy: 1, witness: 1 }, Command::Well { proxy: 1, witness: 2 }], true
+    &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, back(1),
+      Command::Healthy { proxy: 1, witness: 1 }, Command::Healthy { proxy: 1, witness: 2 }], true
 )]
 #[case::seen_by_enough(
-    &[Command::Ask { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, back(1),
-      Command::Well { proxy: 1, witness: 2 }, Command::Well { proxy: 1, witness: 3 }], false
+    &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, back(1),
+      Command::Healthy { proxy: 1, witness: 2 }, Command::Healthy { proxy: 1, witness: 3 }], false
 )]
 #[case::written_off(
-    &[Command::Ask { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 },
+    &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 },
       Command::WriteOff { proxy: 1, why: "burnt".into() }], false
 )]
-#[case::one_misses_it(&[Command::Missed { proxy: 1, witness: 2 }], false)]
-#[case::enough_miss_it(&[Command::Missed { proxy: 1, witness: 2 }, Command::Missed { proxy: 1, witness: 3 }], true)]
+#[case::one_misses_it(&[Command::Suspected { proxy: 1, witness: 2 }], false)]
+#[case::enough_miss_it(&[Command::Suspected { proxy: 1, witness: 2 }, Command::Suspected { proxy: 1, witness: 3 }], true)]
 fn a_place_is_taken_up(#[case] commands: &[Command], #[case] counts: bool) {
     let mut grants = fresh();
     for (command, decided) in commands.iter().zip(2..) {
         grants.decide(decided, command.clone());
     }
-    assert_eq!(grants.counts(1), counts, "{grants:?}");
+    assert_eq!(grants.counts_as_unavailable(1), counts, "{grants:?}");
 }
 
 #[test]
 fn while_losses_use_the_budget_up_none_goes() {
     let mut grants = fresh();
     for (lost, witness) in [(3, 1), (3, 2), (4, 1), (4, 2)] {
-        grants.decide(2, Command::Missed { proxy: lost, witness });
+        grants.decide(2, Command::Suspected { proxy: lost, witness });
     }
-    assert_eq!(grants.decide(3, Command::Ask { proxy: 1, release: 7 }), Verdict::Full { out: 2, most: 2 });
-    grants.decide(4, Command::Heard { proxy: 4, witness: 1 });
-    assert_eq!(grants.decide(5, Command::Ask { proxy: 1, release: 7 }), Verdict::Done);
+    assert_eq!(
+        grants.decide(3, Command::Request { proxy: 1, release: 7 }),
+        Verdict::Full { unavailable: 2, max_unavailable: 2 }
+    );
+    grants.decide(4, Command::SuspicionCleared { proxy: 4, witness: 1 });
+    assert_eq!(grants.decide(5, Command::Request { proxy: 1, release: 7 }), Verdict::Done);
     // A smaller budget calls nobody back.
-    assert_eq!(grants.decide(6, Command::Budget { most: 1, witnesses: 2 }), Verdict::Done);
-    assert_eq!(grants.out().count(), 2);
-    assert_eq!(grants.decide(7, Command::Budget { most: 0, witnesses: 2 }), Verdict::Unfit);
+    assert_eq!(grants.decide(6, Command::Budget { max_unavailable: 1, witnesses: 2 }), Verdict::Done);
+    assert_eq!(grants.unavailable().count(), 2);
+    assert_eq!(grants.decide(7, Command::Budget { max_unavailable: 0, witnesses: 2 }), Verdict::Invalid);
 }
--- a/outs/tests/releases.rs
+++ b/outs/tests/releases.rs
@@ -4,20 +4,21 @@
 use std::collections::{HashSet, VecDeque};
 
 use agree::{Id, Machine};
-use outs::grants::{self, Away};
+use outs::grants::{self, Unavailability};
 use outs::releases::{self, Kind, Phase};
-use outs::{Command, OUTS, Outs, Verdict};
+use outs::{AVAILABILITY_PART, Availability, Command, Verdict};
 
 const PROXIES: [Id; 3] = [1, 2, 3];
 const RELEASE: u64 = 2;
 
-fn told(outs: &mut Outs, index: u64, command: &Command) -> Verdict {
-    Verdict::read(&outs.decide(index, OUTS, &command.write()).expect("known")).expect("a verdict")
+fn told(outs: &mut Availability, index: u64, command: &Command) -> Verdict {
+    Verdict::read(&outs.decide(index, AVAILABILITY_PART, &command.write()).expect("known"))
+        .expect("a verdict")
 }
 
 fn stage() -> Command {
     let (by, why) = ("p1".to_owned(), String::new());
-    Command::Releases(releases::Command::Stage { kind: Kind::Program, sum: [7; 32], by, why, unix: 0 })
+    Command::Releases(releases::Command::Stage { kind: Kind::Program, sum: [7; 32], by, why, unix_ms: 0 })
 }
 
 fn ready(proxy: Id) -> Command {
@@ -28,63 +29,63 @@
     Command::Releases(releases::Command::Start { release: RELEASE, proxies: PROXIES.len() as u16 })
 }
 
-fn staged() -> Outs {
-    let mut outs = Outs::default();
-    told(&mut outs, 1, &Command::Grants(grants::Command::Budget { most: 1, witnesses: 1 }));
+fn staged() -> Availability {
+    let mut outs = Availability::default();
+    told(&mut outs, 1, &Command::Grants(grants::Command::Budget { max_unavailable: 1, witnesses: 1 }));
     told(&mut outs, RELEASE, &stage());
     outs
 }
 
 /// One that is out runs the release, or what ran before it.
-fn all(outs: &Outs) -> Vec<Command> {
+fn all(outs: &Availability) -> Vec<Command> {
     let mut all = vec![
         Command::Releases(releases::Command::Halt { release: RELEASE, why: "bad".into() }),
-        Command::Releases(releases::Command::Back { release: RELEASE }),
+        Command::Releases(releases::Command::RollBack { release: RELEASE }),
         start(),
     ];
-    all.extend((0..3).map(|wave| Command::Releases(releases::Command::Open { release: RELEASE, wave })));
+    all.extend((0..3).map(|wave| Command::Releases(releases::Command::OpenWave { release: RELEASE, wave })));
     for proxy in PROXIES {
-        let grant = match outs.grants.away(proxy) {
-            Some(Away::Granted { grant, .. }) => *grant,
+        let grant = match outs.grants.unavailability(proxy) {
+            Some(Unavailability::Granted { grant, .. }) => *grant,
             _ => 0,
         };
-        let (witness, callers) = (proxy % 3 + 1, ([127, 0, 0, 1], 4569).into());
+        let (witness, caller_address) = (proxy % 3 + 1, ([127, 0, 0, 1], 4569).into());
         all.extend([
-            Command::Grants(grants::Command::Ask { proxy, release: RELEASE }),
+            Command::Grants(grants::Command::Request { proxy, release: RELEASE }),
             Command::Grants(grants::Command::Begin { proxy, grant }),
-            Command::Grants(grants::Command::Back { proxy, runs: RELEASE, callers }),
-            Command::Grants(grants::Command::Back { proxy, runs: 0, callers }),
-            Command::Grants(grants::Command::Well { proxy, witness }),
+            Command::Grants(grants::Command::Returned { proxy, running_release: RELEASE, caller_address }),
+            Command::Grants(grants::Command::Returned { proxy, running_release: 0, caller_address }),
+            Command::Grants(grants::Command::Healthy { proxy, witness }),
         ]);
     }
     all
 }
 
-fn running(outs: &Outs) -> usize {
-    PROXIES.iter().filter(|&&proxy| outs.releases.runs(proxy) == RELEASE).count()
+fn running(outs: &Availability) -> usize {
+    PROXIES.iter().filter(|&&proxy| outs.releases.running_release(proxy) == RELEASE).count()
 }
 
 /// Words that are sure to come in the end: back it goes, and nobody runs it any more.
-fn goes_back(mut outs: Outs) {
-    let back = Command::Releases(releases::Command::Back { release: RELEASE });
+fn goes_back(mut outs: Availability) {
+    let back = Command::Releases(releases::Command::RollBack { release: RELEASE });
     told(&mut outs, 50, &back);
     for round in 0..8 {
         for proxy in PROXIES {
             let grant = 100 + round;
-            let (witness, callers) = (proxy % 3 + 1, ([127, 0, 0, 1], 4569).into());
+            let (witness, caller_address) = (proxy % 3 + 1, ([127, 0, 0, 1], 4569).into());
             for command in [
-                grants::Command::Ask { proxy, release: RELEASE },
+                grants::Command::Request { proxy, release: RELEASE },
                 grants::Command::Begin { proxy, grant },
-                grants::Command::Back { proxy, runs: 0, callers },
-                grants::Command::Well { proxy, witness },
+                grants::Command::Returned { proxy, running_release: 0, caller_address },
+                grants::Command::Healthy { proxy, witness },
             ] {
                 told(&mut outs, grant, &Command::Grants(command));
             }
         }
     }
     assert_eq!(running(&outs), 0, "{outs:?}");
-    let over = outs.releases.current().expect("staged").is_over();
-    assert!(over && outs.grants.out().count() == 0, "{outs:?}");
+    let over = outs.releases.current().expect("staged").is_finished();
+    assert!(over && outs.grants.unavailable().count() == 0, "{outs:?}");
 }
 
 #[test]
@@ -99,20 +100,23 @@
         for command in all(&outs) {
             let mut after = outs.clone();
             let verdict = told(&mut after, index, &command);
-            if let Command::Grants(grants::Command::Ask { proxy, .. }) = command
+            if let Command::Grants(grants::Command::Request { proxy, .. }) = command
                 && verdict == Verdict::Grants(grants::Verdict::Done)
             {
                 let release = outs.releases.current().expect("staged");
                 let wave = release.wave_of(proxy).expect("started");
                 let open = match release.phase {
                     Phase::Running { wave: open } => wave <= open,
-                    Phase::GoingBack => outs.releases.runs(proxy) == RELEASE,
+                    Phase::GoingBack => outs.releases.running_release(proxy) == RELEASE,
                     _ => false,
                 };
                 assert!(open, "{command:?} in {release:?}");
             }
             let halted = matches!(after.releases.current().map(|of| &of.phase), Some(Phase::Halted { .. }));
-            let granted = after.grants.all_away().any(|(_, away)| matches!(away, Away::Granted { .. }));
+            let granted = after
+                .grants
+                .unavailabilities()
+                .any(|(_, away)| matches!(away, Unavailability::Granted { .. }));
             assert!(!(halted && granted), "let out though halted: {command:?}");
             if known.insert(format!("{after:?}")) {
                 goes_back(after.clone());
@@ -128,20 +132,20 @@
     let mut outs = staged();
     told(&mut outs, 3, &ready(1));
     let unfit =
-        Command::Releases(releases::Command::Unfit { release: RELEASE, proxy: 2, why: "no disk".into() });
+        Command::Releases(releases::Command::Rejected { release: RELEASE, proxy: 2, why: "no disk".into() });
     told(&mut outs, 4, &unfit);
     told(&mut outs, 5, &ready(3));
-    let told_of = |outs: &mut Outs, command: &Command| match told(outs, 6, command) {
+    let told_of = |outs: &mut Availability, command: &Command| match told(outs, 6, command) {
         Verdict::Releases(verdict) => verdict,
         other => panic!("{other:?}"),
     };
-    assert_eq!(told_of(&mut outs, &start()), releases::Verdict::Unready { ready: 2, proxies: 3 });
-    assert_eq!(told_of(&mut outs, &stage()), releases::Verdict::Another { release: RELEASE });
+    assert_eq!(told_of(&mut outs, &start()), releases::Verdict::NotReady { ready: 2, proxies: 3 });
+    assert_eq!(told_of(&mut outs, &stage()), releases::Verdict::AnotherInProgress { release: RELEASE });
     told(&mut outs, 7, &ready(2));
     assert_eq!(told_of(&mut outs, &start()), releases::Verdict::Done);
     let waves = &outs.releases.current().expect("staged").waves;
     assert_eq!(waves.iter().map(Vec::len).collect::<Vec<_>>(), [1, 1, 1], "{waves:?}");
-    let mut other = Outs::default();
+    let mut other = Availability::default();
     other.restore(9, &outs.state()).expect("its own form");
     assert_eq!(other, outs);
 }
@@ -149,8 +153,8 @@
 #[test]
 fn of_a_wave_only_so_many_ask_as_there_are_places() {
     const ALL: u64 = 40;
-    let mut outs = Outs::default();
-    told(&mut outs, 1, &Command::Grants(grants::Command::Budget { most: 4, witnesses: 1 }));
+    let mut outs = Availability::default();
+    told(&mut outs, 1, &Command::Grants(grants::Command::Budget { max_unavailable: 4, witnesses: 1 }));
     told(&mut outs, RELEASE, &stage());
     (0..ALL).for_each(|proxy| assert!(matches!(told(&mut outs, 3, &ready(proxy)), Verdict::Releases(_))));
     told(
@@ -161,19 +165,21 @@
     let (mut index, mut asked) = (5, 0);
     for _ in 0..200 {
         let next: Vec<Id> = (0..ALL)
-            .filter(|&proxy| outs.releases.turn_of(proxy).is_some() && outs.grants.away(proxy).is_none())
-            .filter(|&proxy| outs.is_next(proxy))
+            .filter(|&proxy| {
+                outs.releases.next_change(proxy).is_some() && outs.grants.unavailability(proxy).is_none()
+            })
+            .filter(|&proxy| outs.may_request(proxy))
             .collect();
-        assert!(next.len() + outs.grants.out().count() <= 4, "{next:?}");
-        let callers = ([127, 0, 0, 1], 4569).into();
+        assert!(next.len() + outs.grants.unavailable().count() <= 4, "{next:?}");
+        let caller_address = ([127, 0, 0, 1], 4569).into();
         for proxy in next {
             asked += 1;
             let grant = index;
             let steps = [
-                grants::Command::Ask { proxy, release: RELEASE },
+                grants::Command::Request { proxy, release: RELEASE },
                 grants::Command::Begin { proxy, grant },
-                grants::Command::Back { proxy, runs: RELEASE, callers },
-                grants::Command::Well { proxy, witness: (proxy + 1) % ALL },
+                grants::Command::Returned { proxy, running_release: RELEASE, caller_address },
+                grants::Command::Healthy { proxy, witness: (proxy + 1) % ALL },
             ];
             for step in steps {
                 assert_eq!(
@@ -183,11 +189,11 @@
                 index += 1;
             }
         }
-        if let Some((release, wave)) = outs.releases.opens_next() {
-            told(&mut outs, index, &Command::Releases(releases::Command::Open { release, wave }));
+        if let Some((release, wave)) = outs.releases.next_wave() {
+            told(&mut outs, index, &Command::Releases(releases::Command::OpenWave { release, wave }));
             index += 1;
         }
     }
-    assert!(outs.releases.current().expect("staged").is_over());
+    assert!(outs.releases.current().expect("staged").is_finished());
     assert_eq!(asked, ALL, "nobody asks in vain");
 }
--- a/proxy/src/decided/mod.rs
+++ b/proxy/src/decided/mod.rs
@@ -15,8 +15,8 @@
 use gossip::Node;
 use gossip::wire::{Part, Standing};
 use outs::evidence::{Evidence, Judgement, Report};
-use outs::holder::{Holder, HolderTerms, Own, Replace};
-use outs::{Command, Drains, Kind, OUTS, Outs, Phase};
+use outs::holder::{Holder, HolderTerms, LocalState, Replacement};
+use outs::{AVAILABILITY_PART, Availability, Command, Drains, Kind, Phase};
 
 pub use status::{AwayStatus, CouncilStatus, DrainStatus, OutsStatus, ReleaseStatus, SeatStatus};
 pub use wishes::{Answer, Wish};
@@ -48,19 +48,19 @@
 
 /// What is decided for all, as this proxy knows it.
 pub struct Decided {
-    agreement: Agreement<Outs, FleetKeys>,
+    agreement: Agreement<Availability, FleetKeys>,
     terms: OutTerms,
     name: String,
     /// The servers that are drained, as the pool list was last told.
     drained: BTreeSet<String>,
     holder: Holder,
-    own: Own,
+    own: LocalState,
     /// What this proxy itself has asked for, by number; and what was decided lately, with when it may ask
     /// again.
     asked: BTreeMap<u64, Command>,
     rests: Vec<(Command, f64)>,
     looks: Vec<SocketAddr>,
-    replace: Option<Replace>,
+    replace: Option<Replacement>,
     turn_at: f64,
     beat: f64,
     /// What proxies told of their conversations, kept where this one may have to judge.
@@ -81,10 +81,19 @@
     ) -> Result<Self, UnsupportedDecision> {
         let name = node.name(node.id()).unwrap_or_default().to_owned();
         let beat = terms.0.heartbeat;
-        let agreement = Agreement::new(node.id(), terms.0, keys, Outs::default(), file, seed, now)?;
+        let agreement = Agreement::new(node.id(), terms.0, keys, Availability::default(), file, seed, now)?;
         let Life { runs, failed, callers } = life;
         let (fleet, silent) = (node.fleet().collect(), BTreeSet::new());
-        let own = Own { id: node.id(), fleet, runs, callers, leads: false, silent, failed, staged: None };
+        let own = LocalState {
+            id: node.id(),
+            fleet,
+            running_release: runs,
+            caller_address: callers,
+            is_leader: false,
+            unreachable: silent,
+            failed,
+            staged: None,
+        };
         Ok(Self {
             agreement,
             terms: terms.1,
@@ -104,7 +113,7 @@
     }
 
     /// What is decided, for whoever serves it to others.
-    pub(crate) fn agreement(&mut self) -> &mut Agreement<Outs, FleetKeys> {
+    pub(crate) fn agreement(&mut self) -> &mut Agreement<Availability, FleetKeys> {
         &mut self.agreement
     }
 
@@ -129,7 +138,7 @@
         }
         while let Some((from, bytes)) = node.said_to(Part::Evidence) {
             if let Some((report, span)) = Report::read(&bytes).zip(self.terms.span) {
-                self.evidence.told((now / span) as u64, from, report);
+                self.evidence.record((now / span) as u64, from, report);
             }
         }
         if self.agreement.due() <= now {
@@ -154,21 +163,21 @@
     /// What this proxy itself does by what is decided.
     fn hold(&mut self, now: f64, node: &Node) {
         let dead = node.members.all().filter(|(_, member)| member.standing == Standing::Dead);
-        self.own.silent = dead.map(|(id, _)| id).collect();
+        self.own.unreachable = dead.map(|(id, _)| id).collect();
         self.own.fleet = node.fleet().collect();
-        self.own.leads = self.agreement.role() == agree::Role::Leads;
+        self.own.is_leader = self.agreement.role() == agree::Role::Leads;
         let outs = self.agreement.machine();
-        let runs = |id: Id, release: u64| outs.releases.runs(id) == release;
+        let runs = |id: Id, release: u64| outs.releases.running_release(id) == release;
         let (span, evidence) = (self.terms.span, &mut self.evidence);
         if let Some(release) = outs.releases.current().filter(|of| of.phase == Phase::Staged) {
-            evidence.begins(release.number);
+            evidence.start_release(release.number);
         }
         let judge = |release, wave| match span {
             Some(span) => evidence.judge((now / span) as u64, release, wave, |id| runs(id, release)),
             None => Judgement::Go,
         };
         let (wanted, replace) = self.holder.turn(now, outs, &self.own, &self.terms.holder, judge);
-        self.looks = self.holder.to_look_at(outs, &self.own).into_iter().map(|(_, at)| at).collect();
+        self.looks = self.holder.to_probe(outs, &self.own).into_iter().map(|(_, at)| at).collect();
         self.replace = replace.or(self.replace.take());
         self.ask(now, wanted);
     }
@@ -190,7 +199,7 @@
         for command in wanted {
             let waits =
                 self.asked.values().chain(self.rests.iter().map(|(of, _)| of)).any(|of| *of == command);
-            if !waits && let Ok(request) = self.agreement.propose(now, OUTS, command.write()) {
+            if !waits && let Ok(request) = self.agreement.propose(now, AVAILABILITY_PART, command.write()) {
                 self.asked.insert(request, command);
             }
         }
@@ -205,7 +214,7 @@
     pub fn report(&mut self, now: f64, node: &mut Node, report: Report) {
         let Some(span) = self.terms.span else { return };
         self.report_at = now + span;
-        self.evidence.told((now / span) as u64, self.own.id, report);
+        self.evidence.record((now / span) as u64, self.own.id, report);
         let council = self.agreement.status(now).council;
         for member in council.ids().filter(|&id| id != self.own.id) {
             node.say_to(now, member, Part::Evidence, report.write());
@@ -219,17 +228,17 @@
 
     /// Somebody answered at that address.
     pub fn answered(&mut self, now: f64, at: SocketAddr) {
-        self.holder.answered(now, self.agreement.machine(), at);
+        self.holder.probe_answered(now, self.agreement.machine(), at);
     }
 
     /// What this proxy is to become now, if anything.
-    pub fn replace(&mut self) -> Option<Replace> {
+    pub fn replace(&mut self) -> Option<Replacement> {
         self.replace.take()
     }
 
     /// What it was to become it could not.
     pub fn stays(&mut self, release: u64, why: &str) {
-        self.holder.stays();
+        self.holder.replacement_failed();
         self.own.failed = Some((release, why.to_owned()));
     }
 
@@ -246,7 +255,7 @@
 
     /// Whether this process was seen well with the release that it runs.
     pub fn is_well(&self) -> bool {
-        self.agreement.machine().releases.runs(self.own.id) == self.own.runs
+        self.agreement.machine().releases.running_release(self.own.id) == self.own.running_release
     }
 
     /// The servers that get nothing new, where they are others than when this was last asked.
--- a/proxy/src/decided/status.rs
+++ b/proxy/src/decided/status.rs
@@ -2,7 +2,7 @@
 
 use agree::{AgreementStatus, Id, Voter};
 use gossip::Node;
-use outs::{Kind, Outs, Phase, grants};
+use outs::{Availability, Kind, Phase, grants};
 use serde::{Deserialize, Serialize};
 
 use super::Decided;
@@ -128,18 +128,20 @@
 
 impl AwayStatus {
     fn of(grants: &outs::Grants, id: Id, name: &impl Fn(Id) -> String) -> Self {
-        use grants::Away;
-        let (how, since, waits_for) = match grants.away(id) {
-            Some(Away::Granted { grant, .. }) => {
+        use grants::Unavailability;
+        let (how, since, waits_for) = match grants.unavailability(id) {
+            Some(Unavailability::Granted { grant, .. }) => {
                 ("granted", Some(*grant), "its word that it goes".to_owned())
             }
-            Some(Away::Out { since }) => ("out", Some(*since), "its word that it is back".to_owned()),
-            Some(Away::Back { since, seen_by, .. }) => {
+            Some(Unavailability::Offline { since }) => {
+                ("out", Some(*since), "its word that it is back".to_owned())
+            }
+            Some(Unavailability::Returned { since, seen_by, .. }) => {
                 let (seen, of) = (seen_by.len(), grants.witnesses());
                 ("back", Some(*since), format!("others to see it well: {seen} of {of} have"))
             }
             None => {
-                let by: Vec<String> = grants.missed_by(id).map(name).collect();
+                let by: Vec<String> = grants.suspected_by(id).map(name).collect();
                 ("missed", None, format!("word of it; missed by {}", by.join(" ")))
             }
         };
@@ -150,7 +152,8 @@
 impl ReleaseStatus {
     fn of(releases: &outs::Releases, name: &impl Fn(Id) -> String) -> Option<Self> {
         let of = releases.current()?;
-        let runs = |wave: &Vec<Id>| wave.iter().filter(|id| releases.runs(**id) == of.number).count();
+        let runs =
+            |wave: &Vec<Id>| wave.iter().filter(|id| releases.running_release(**id) == of.number).count();
         Some(Self {
             release: of.number,
             kind: of.kind,
@@ -159,7 +162,7 @@
             why: of.why.clone(),
             phase: of.phase.clone(),
             ready: of.ready.len(),
-            unfit: of.unfit.iter().map(|(&id, why)| (name(id), why.clone())).collect(),
+            unfit: of.rejected.iter().map(|(&id, why)| (name(id), why.clone())).collect(),
             waves: of.waves.iter().map(|wave| (wave.len(), runs(wave))).collect(),
         })
     }
@@ -168,21 +171,21 @@
 impl OutsStatus {
     pub fn of(decided: &Decided, node: &Node, now: f64, here: impl Fn(&str) -> usize) -> Self {
         let name = |id: Id| node.name(id).unwrap_or("?").to_owned();
-        let Outs { grants, releases, .. } = decided.agreement.machine();
+        let Availability { grants, releases, .. } = decided.agreement.machine();
         let row = |(server, drain): (&str, &outs::Drain)| DrainStatus {
             server: server.to_owned(),
             pool: drain.pool,
             by: drain.by.clone(),
             why: drain.why.clone(),
-            since: drain.unix,
-            decision: drain.decided,
+            since: drain.unix_ms,
+            decision: drain.decision,
             here: here(server),
         };
         let age_ms = Some(decided.age(now)).filter(|age| age.is_finite());
         Self {
             drains: decided.drains().iter().map(row).collect(),
-            proxies: grants.out().map(|id| AwayStatus::of(grants, id, &name)).collect(),
-            most: grants.most(),
+            proxies: grants.unavailable().map(|id| AwayStatus::of(grants, id, &name)).collect(),
+            most: grants.max_unavailable(),
             witnesses: grants.witnesses(),
             release: ReleaseStatus::of(releases, &name),
             age_ms,
--- a/proxy/src/decided/wishes.rs
+++ b/proxy/src/decided/wishes.rs
@@ -2,7 +2,7 @@
 
 use agree::{Council, Machine, Outcome, Refusal, Voter};
 use gossip::Node;
-use outs::{Command, Kind, OUTS, Verdict, drains, grants, releases};
+use outs::{AVAILABILITY_PART, Command, Kind, Verdict, drains, grants, releases};
 use serde::{Deserialize, Serialize};
 
 use super::{AGAIN_BEATS, Decided};
@@ -94,7 +94,7 @@
                 sum: unhex(sum).ok_or_else(|| format!("{sum}: 64 hexadecimal digits wanted"))?,
                 by: self.name.clone(),
                 why: why.clone(),
-                unix: unix as u64,
+                unix_ms: unix as u64,
             })),
             Wish::Start => Asked::Outs(Command::Releases(releases::Command::Start {
                 release: self.release()?,
@@ -105,7 +105,7 @@
                 Asked::Outs(Command::Releases(releases::Command::Halt { release, why }))
             }
             Wish::Back => {
-                Asked::Outs(Command::Releases(releases::Command::Back { release: self.release()? }))
+                Asked::Outs(Command::Releases(releases::Command::RollBack { release: self.release()? }))
             }
             Wish::WriteOff { proxy, why } => {
                 let (proxy, why) = (id(proxy)?, why.clone());
@@ -117,11 +117,11 @@
                 Asked::Outs(Command::Drains(drains::Command::Drain {
                     server: server.clone(),
                     pool: pool.pool(listed),
-                    most: drains::most_out(self.terms.pool_part, of),
-                    listed_out: listed_out as u16,
+                    max_unavailable: drains::max_unavailable(self.terms.pool_part, of),
+                    listed_unavailable: listed_out as u16,
                     by: self.name.clone(),
                     why: why.clone(),
-                    unix: unix as u64,
+                    unix_ms: unix as u64,
                 }))
             }
             Wish::Remove { proxy } => Asked::Council(standing.council.without(id(proxy)?)),
@@ -139,7 +139,7 @@
     pub fn try_wish(&self, wish: &Wish, node: &Node, pool: &PoolList, unix: f64) -> Result<Answer, String> {
         Ok(match self.command(wish, node, pool, unix)? {
             Asked::Outs(command) => {
-                let told = self.agreement.machine().clone().decide(0, OUTS, &command.write());
+                let told = self.agreement.machine().clone().decide(0, AVAILABILITY_PART, &command.write());
                 let told = told.map_err(|unknown| unknown.to_string())?;
                 Verdict::read(&told).map_or(Answer::Already, |told| verdict(0, &told))
             }
@@ -160,7 +160,7 @@
         pool: &PoolList,
     ) -> Result<u64, String> {
         match self.command(wish, node, pool, unix)? {
-            Asked::Outs(command) => self.agreement.propose(now, OUTS, command.write()),
+            Asked::Outs(command) => self.agreement.propose(now, AVAILABILITY_PART, command.write()),
             Asked::Council(council) => self.agreement.propose_council(now, council),
         }
         .map_err(refusal)
@@ -208,20 +208,22 @@
         Verdict::Drains(D::Done) | Verdict::Grants(G::Done) | Verdict::Releases(R::Done) => {
             return Answer::Done { decision };
         }
-        Verdict::Drains(D::Already) | Verdict::Grants(G::Moot) | Verdict::Releases(R::Moot) => {
+        Verdict::Drains(D::Unchanged) | Verdict::Grants(G::NoEffect) | Verdict::Releases(R::NoEffect) => {
             return Answer::Already;
         }
-        Verdict::Drains(D::Unfit) | Verdict::Grants(G::Unfit) | Verdict::Releases(R::Unfit) => {
+        Verdict::Drains(D::Invalid) | Verdict::Grants(G::Invalid) | Verdict::Releases(R::Invalid) => {
             "a name or reason is empty or too long, or there are too many".to_owned()
         }
-        Verdict::Drains(D::OverBudget { out, most, drained }) => {
+        Verdict::Drains(D::OverBudget { unavailable: out, max_unavailable: most, drained }) => {
             format!("{out} of its pool would be out, {most} may be; drained: {}", drained.join(" "))
         }
-        Verdict::Grants(G::Full { out, most }) => format!("{out} proxies are out, {most} may be"),
-        Verdict::Releases(R::Unready { ready, proxies }) => {
+        Verdict::Grants(G::Full { unavailable: out, max_unavailable: most }) => {
+            format!("{out} proxies are out, {most} may be")
+        }
+        Verdict::Releases(R::NotReady { ready, proxies }) => {
             format!("{ready} of {proxies} proxies are ready, or one is unfit: `release state` has them")
         }
-        Verdict::Releases(R::Another { release }) => format!("release {release} is under way"),
+        Verdict::Releases(R::AnotherInProgress { release }) => format!("release {release} is under way"),
     };
     Answer::Refused { why }
 }
--- a/proxy/src/distributed/service.rs
+++ b/proxy/src/distributed/service.rs
@@ -85,7 +85,7 @@
         let applied = agreement.applied();
         match agreement.machine_mut().take_changes() {
             Changes::Since(changes) => self.control.decided(applied, changes),
-            Changes::Anew => self.control.restore(applied, agreement.machine().scoped().clone()),
+            Changes::Reset => self.control.restore(applied, agreement.machine().scoped().clone()),
         }
         if self.control.wants_state() {
             self.control.restore(applied, agreement.machine().scoped().clone());
--- a/proxy/src/earned.rs
+++ b/proxy/src/earned.rs
@@ -47,9 +47,9 @@
     pub fn report(&mut self) -> Report {
         let report = Report {
             conversations: self.conversations,
-            kept: if self.could > 0.0 { (self.kept / self.could) as f32 } else { 0.0 },
-            lost: f32::from(self.lost) / f32::from(self.conversations.max(1)),
-            quantile: quantile_after(&self.delays, VIOLATION, 0.0) as f32,
+            earned: if self.could > 0.0 { (self.kept / self.could) as f32 } else { 0.0 },
+            failed: f32::from(self.lost) / f32::from(self.conversations.max(1)),
+            setup_quantile: quantile_after(&self.delays, VIOLATION, 0.0) as f32,
         };
         *self = Self::new(std::mem::take(&mut self.grades));
         report
