--- a/proxy/src/border/peers.rs
+++ b/proxy/src/border/peers.rs
@@ -1,8 +1,8 @@
 //! The other proxies: gossip, limits that hold for all, what is decided for all.
 
-use agree::disk::{Kept, Lost, Write};
-use agree::seal::FleetKeys;
-use agree::{AgreeTerms, Unknown};
+use agree::certificate::FleetKeys;
+use agree::disk::{DiskWrite, PersistedState, RecoveryError};
+use agree::{AgreementTerms, UnsupportedDecision};
 use frostthread::host::{Server, Suspicion};
 use gossip::Node;
 use gossip::keys::{Roster, Secrets};
@@ -106,13 +106,13 @@
     /// `file` is what the disk gave.
     pub fn enable_decisions(
         &mut self,
-        terms: (AgreeTerms, AvailabilityTerms),
+        terms: (AgreementTerms, AvailabilityTerms),
         life: ProcessInfo,
         keys: FleetKeys,
-        file: Result<Kept, Lost>,
+        file: Result<PersistedState, RecoveryError>,
         seed: u64,
         now: f64,
-    ) -> Result<(), Unknown> {
+    ) -> Result<(), UnsupportedDecision> {
         if let Some(node) = &self.hands.gossip {
             self.hands.decided = Some(DecidedState::new(node, terms, life, keys, file, seed, now)?);
         }
@@ -198,7 +198,7 @@
     }
 
     /// Bytes of the decisions that must last; tell [`BorderProxy::state_write_finished`] what came of them.
-    pub fn next_state_write(&mut self, now: f64) -> Option<Write> {
+    pub fn next_state_write(&mut self, now: f64) -> Option<DiskWrite> {
         self.hands.decided.as_mut()?.next_write(now)
     }
 
--- a/proxy/src/decided/commands.rs
+++ b/proxy/src/decided/commands.rs
@@ -1,8 +1,8 @@
 //! What operators want decided, and what came of it.
 
-use agree::{Council, Machine, Outcome, Refusal, Seat};
+use agree::{Council, Machine, Outcome, Refusal, Voter};
 use gossip::Node;
-use outs::{Command, Kind, OUTS, Verdict, drains, grants, releases};
+use outs::{AVAILABILITY_PART, Command, Kind, Verdict, drains, grants, releases};
 use serde::{Deserialize, Serialize};
 
 use super::{AGAIN_BEATS, DecidedState};
@@ -62,7 +62,7 @@
 
 fn refusal(refusal: Refusal) -> String {
     match refusal {
-        Refusal::NotOneSeat => "a council changes by one seat at a time, and keeps one at least",
+        Refusal::NotOneVoter => "a council changes by one seat at a time, and keeps one at least",
         Refusal::ChangeUnderWay => "the change before it is not decided yet, or not proved to all: ask again",
         Refusal::NoMajority => "too few of that council would vote now: it could decide nothing",
         Refusal::TooLong => "longer than any decision",
@@ -91,7 +91,7 @@
                 .find(|&id| node.name(id) == Some(name))
                 .ok_or_else(|| format!("{name}: not in the roster"))
         };
-        let standing = self.agreement.standing(0.0);
+        let standing = self.agreement.status(0.0);
         Ok(match wish {
             OperatorCommand::Undrain { server } => {
                 Asked::Outs(Command::Drains(drains::Command::Undrain { server: server.clone() }))
@@ -102,7 +102,7 @@
                     sum: unhex(sum).ok_or_else(|| format!("{sum}: 64 hexadecimal digits wanted"))?,
                     by: self.name.clone(),
                     why: why.clone(),
-                    unix: unix as u64,
+                unix_ms: unix as u64,
                 }))
             }
             OperatorCommand::Start => Asked::Outs(Command::Releases(releases::Command::Start {
@@ -114,7 +114,7 @@
                 Asked::Outs(Command::Releases(releases::Command::Halt { release, why }))
             }
             OperatorCommand::Back => {
-                Asked::Outs(Command::Releases(releases::Command::Back { release: self.release()? }))
+                Asked::Outs(Command::Releases(releases::Command::RollBack { release: self.release()? }))
             }
             OperatorCommand::WriteOff { proxy, why } => {
                 let (proxy, why) = (id(proxy)?, why.clone());
@@ -127,20 +127,20 @@
                 Asked::Outs(Command::Drains(drains::Command::Drain {
                     server: server.clone(),
                     pool: pool.pool(listed),
-                    most: drains::most_out(self.terms.pool_part, of),
-                    listed_out: listed_out as u16,
+                    max_unavailable: drains::max_unavailable(self.terms.pool_part, of),
+                    listed_unavailable: listed_out as u16,
                     by: self.name.clone(),
                     why: why.clone(),
-                    unix: unix as u64,
+                    unix_ms: unix as u64,
                 }))
             }
             OperatorCommand::Remove { proxy } => Asked::Council(standing.council.without(id(proxy)?)),
             OperatorCommand::Add { proxy, generation: life } => {
                 let id = id(proxy)?;
-                let life = life.or(standing.lives.get(&id).copied());
+                let life = life.or(standing.unadmitted_disks.get(&id).copied());
                 let unheard =
                     || format!("{proxy}: its disk's number is not known here; `council state` there has it");
-                Asked::Council(standing.council.with(Seat { id, life: life.ok_or_else(unheard)? }))
+                Asked::Council(standing.council.with(Voter { id, disk_id: life.ok_or_else(unheard)? }))
             }
         })
     }
@@ -155,14 +155,14 @@
     ) -> Result<CommandOutcome, String> {
         Ok(match self.command(wish, node, pool, unix)? {
             Asked::Outs(command) => {
-                let told = self.agreement.machine().clone().decide(0, OUTS, &command.write());
+                let told = self.agreement.machine().clone().decide(0, AVAILABILITY_PART, &command.write());
                 let told = told.map_err(|unknown| unknown.to_string())?;
                 Verdict::read(&told).map_or(CommandOutcome::Already, |told| verdict(0, &told))
             }
-            Asked::Council(council) if council.follows(&self.agreement.standing(0.0).council) => {
+            Asked::Council(council) if council.follows(&self.agreement.status(0.0).council) => {
                 CommandOutcome::Done { decision: 0 }
             }
-            Asked::Council(_) => CommandOutcome::Refused { why: refusal(Refusal::NotOneSeat) },
+            Asked::Council(_) => CommandOutcome::Refused { why: refusal(Refusal::NotOneVoter) },
         })
     }
 
@@ -176,7 +176,7 @@
         pool: &PoolList,
     ) -> Result<u64, String> {
         match self.command(wish, node, pool, unix)? {
-            Asked::Outs(command) => self.agreement.propose(now, OUTS, command.write()),
+            Asked::Outs(command) => self.agreement.propose(now, AVAILABILITY_PART, command.write()),
             Asked::Council(council) => self.agreement.propose_council(now, council),
         }
         .map_err(refusal)
@@ -226,20 +226,22 @@
         Verdict::Drains(D::Done) | Verdict::Grants(G::Done) | Verdict::Releases(R::Done) => {
             return CommandOutcome::Done { decision };
         }
-        Verdict::Drains(D::Already) | Verdict::Grants(G::Moot) | Verdict::Releases(R::Moot) => {
+        Verdict::Drains(D::Unchanged) | Verdict::Grants(G::NoEffect) | Verdict::Releases(R::NoEffect) => {
             return CommandOutcome::Already;
         }
-        Verdict::Drains(D::Unfit) | Verdict::Grants(G::Unfit) | Verdict::Releases(R::Unfit) => {
+        Verdict::Drains(D::Invalid) | Verdict::Grants(G::Invalid) | Verdict::Releases(R::Invalid) => {
             "a name or reason is empty or too long, or there are too many".to_owned()
         }
-        Verdict::Drains(D::OverBudget { out, most, drained }) => {
+        Verdict::Drains(D::OverBudget { unavailable: out, max_unavailable: most, drained }) => {
             format!("{out} of its pool would be out, {most} may be; drained: {}", drained.join(" "))
         }
-        Verdict::Grants(G::Full { out, most }) => format!("{out} proxies are out, {most} may be"),
-        Verdict::Releases(R::Unready { ready, proxies }) => {
+        Verdict::Grants(G::Full { unavailable: out, max_unavailable: most }) => {
+            format!("{out} proxies are out, {most} may be")
+        }
+        Verdict::Releases(R::NotReady { ready, proxies }) => {
             format!("{ready} of {proxies} proxies are ready, or one is unfit: `release state` has them")
         }
-        Verdict::Releases(R::Another { release }) => format!("release {release} is under way"),
+        Verdict::Releases(R::AnotherInProgress { release }) => format!("release {release} is under way"),
     };
     CommandOutcome::Refused { why }
 }
--- a/proxy/src/decided/mod.rs
+++ b/proxy/src/decided/mod.rs
@@ -8,15 +8,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use agree::disk::{Kept, Lost, Write};
-use agree::seal::FleetKeys;
-use agree::{AgreeStanding, AgreeTerms, Agreement, Id, Unknown};
+use agree::certificate::FleetKeys;
+use agree::disk::{DiskWrite, PersistedState, RecoveryError};
+use agree::{Agreement, AgreementStatus, AgreementTerms, Id, UnsupportedDecision};
 use distribution::ScopedState;
 use gossip::Node;
 use gossip::wire::{MemberState, Subsystem};
 use outs::evidence::{Evidence, Judgement, Report};
-use outs::holder::{Holder, HolderTerms, Own, Replace};
-use outs::{Command, Drains, Kind, OUTS, Outs, Phase};
+use outs::holder::{Holder, HolderTerms, LocalState, Replacement};
+use outs::{AVAILABILITY_PART, Availability, Command, Drains, Kind, Phase};
 
 pub use commands::{CommandOutcome, OperatorCommand};
 pub use status::{
@@ -50,19 +50,19 @@
 
 /// What is decided for all, as this proxy knows it.
 pub struct DecidedState {
-    agreement: Agreement<Outs, FleetKeys>,
+    agreement: Agreement<Availability, FleetKeys>,
     terms: AvailabilityTerms,
     name: String,
     /// The servers that are drained, as the pool list was last told.
     drained: BTreeSet<String>,
     holder: Holder,
-    own: Own,
+    own: LocalState,
     /// What this proxy itself has asked for, by number; and what was decided lately, with when it may ask
     /// again.
     asked: BTreeMap<u64, Command>,
     rests: Vec<(Command, f64)>,
     looks: Vec<SocketAddr>,
-    replace: Option<Replace>,
+    replace: Option<Replacement>,
     turn_at: f64,
     beat: f64,
     /// What proxies told of their conversations, kept where this one may have to judge.
@@ -74,19 +74,28 @@
     /// `file` is what the disk gave.
     pub fn new(
         node: &Node,
-        terms: (AgreeTerms, AvailabilityTerms),
+        terms: (AgreementTerms, AvailabilityTerms),
         process: ProcessInfo,
         keys: FleetKeys,
-        file: Result<Kept, Lost>,
+        file: Result<PersistedState, RecoveryError>,
         seed: u64,
         now: f64,
-    ) -> Result<Self, Unknown> {
+    ) -> Result<Self, UnsupportedDecision> {
         let name = node.name(node.id()).unwrap_or_default().to_owned();
-        let beat = terms.0.beat;
-        let agreement = Agreement::new(node.id(), terms.0, keys, Outs::default(), file, seed, now)?;
+        let beat = terms.0.heartbeat;
+        let agreement = Agreement::new(node.id(), terms.0, keys, Availability::default(), file, seed, now)?;
         let ProcessInfo { running_release: runs, failed_release: failed, caller_address: callers } = process;
         let (fleet, silent) = (node.roster_ids().collect(), BTreeSet::new());
-        let own = Own { id: node.id(), fleet, runs, callers, leads: false, silent, failed, staged: None };
+        let own = LocalState {
+            id: node.id(),
+            fleet,
+            running_release: runs,
+            caller_address: callers,
+            is_leader: false,
+            unreachable: silent,
+            failed,
+            staged: None,
+        };
         Ok(Self {
             agreement,
             terms: terms.1,
@@ -106,7 +115,7 @@
     }
 
     /// What is decided, for whoever serves it to others.
-    pub(crate) fn agreement(&mut self) -> &mut Agreement<Outs, FleetKeys> {
+    pub(crate) fn agreement(&mut self) -> &mut Agreement<Availability, FleetKeys> {
         &mut self.agreement
     }
 
@@ -131,7 +140,7 @@
         }
         while let Some((from, bytes)) = node.next_payload(Subsystem::Evidence) {
             if let Some((report, span)) = Report::read(&bytes).zip(self.terms.comparison_period) {
-                self.evidence.told((now / span) as u64, from, report);
+                self.evidence.record((now / span) as u64, from, report);
             }
         }
         if self.agreement.due() <= now {
@@ -156,21 +165,21 @@
     /// What this proxy itself does by what is decided.
     fn hold(&mut self, now: f64, node: &Node) {
         let dead = node.members.all().filter(|(_, member)| member.state == MemberState::Dead);
-        self.own.silent = dead.map(|(id, _)| id).collect();
+        self.own.unreachable = dead.map(|(id, _)| id).collect();
         self.own.fleet = node.roster_ids().collect();
-        self.own.leads = self.agreement.role() == agree::Role::Leads;
+        self.own.is_leader = self.agreement.role() == agree::Role::Leads;
         let outs = self.agreement.machine();
-        let runs = |id: Id, release: u64| outs.releases.runs(id) == release;
+        let runs = |id: Id, release: u64| outs.releases.running_release(id) == release;
         let (span, evidence) = (self.terms.comparison_period, &mut self.evidence);
         if let Some(release) = outs.releases.current().filter(|of| of.phase == Phase::Staged) {
-            evidence.begins(release.number);
+            evidence.start_release(release.number);
         }
         let judge = |release, wave| match span {
             Some(span) => evidence.judge((now / span) as u64, release, wave, |id| runs(id, release)),
             None => Judgement::Go,
         };
         let (wanted, replace) = self.holder.turn(now, outs, &self.own, &self.terms.holder, judge);
-        self.looks = self.holder.to_look_at(outs, &self.own).into_iter().map(|(_, at)| at).collect();
+        self.looks = self.holder.to_probe(outs, &self.own).into_iter().map(|(_, at)| at).collect();
         self.replace = replace.or(self.replace.take());
         self.ask(now, wanted);
     }
@@ -192,7 +201,7 @@
         for command in wanted {
             let waits =
                 self.asked.values().chain(self.rests.iter().map(|(of, _)| of)).any(|of| *of == command);
-            if !waits && let Ok(request) = self.agreement.propose(now, OUTS, command.write()) {
+            if !waits && let Ok(request) = self.agreement.propose(now, AVAILABILITY_PART, command.write()) {
                 self.asked.insert(request, command);
             }
         }
@@ -207,8 +216,8 @@
     pub fn send_report(&mut self, now: f64, node: &mut Node, report: Report) {
         let Some(span) = self.terms.comparison_period else { return };
         self.report_at = now + span;
-        self.evidence.told((now / span) as u64, self.own.id, report);
-        let council = self.agreement.standing(now).council;
+        self.evidence.record((now / span) as u64, self.own.id, report);
+        let council = self.agreement.status(now).council;
         for member in council.ids().filter(|&id| id != self.own.id) {
             node.send_payload(now, member, Subsystem::Evidence, report.write());
         }
@@ -221,17 +230,17 @@
 
     /// Somebody answered at that address.
     pub fn probe_answered(&mut self, now: f64, at: SocketAddr) {
-        self.holder.answered(now, self.agreement.machine(), at);
+        self.holder.probe_answered(now, self.agreement.machine(), at);
     }
 
     /// What this proxy is to become now, if anything.
-    pub fn next_replacement(&mut self) -> Option<Replace> {
+    pub fn next_replacement(&mut self) -> Option<Replacement> {
         self.replace.take()
     }
 
     /// What it was to become it could not.
     pub fn replacement_failed(&mut self, release: u64, why: &str) {
-        self.holder.stays();
+        self.holder.replacement_failed();
         self.own.failed = Some((release, why.to_owned()));
     }
 
@@ -248,7 +257,7 @@
 
     /// Whether this process was seen well with the release that it runs.
     pub fn is_healthy(&self) -> bool {
-        self.agreement.machine().releases.runs(self.own.id) == self.own.runs
+        self.agreement.machine().releases.running_release(self.own.id) == self.own.running_release
     }
 
     /// The servers that get nothing new, where they are others than when this was last asked.
@@ -268,17 +277,17 @@
         self.agreement.age(now)
     }
 
-    pub fn status(&self, now: f64) -> AgreeStanding {
-        self.agreement.standing(now)
+    pub fn status(&self, now: f64) -> AgreementStatus {
+        self.agreement.status(now)
     }
 
     /// Bytes for the disk, as [`Agreement::to_write`].
-    pub fn next_write(&mut self, now: f64) -> Option<Write> {
-        self.agreement.to_write(now)
+    pub fn next_write(&mut self, now: f64) -> Option<DiskWrite> {
+        self.agreement.next_write(now)
     }
 
     /// What the disk came to.
     pub fn write_finished(&mut self, now: f64, well: bool) {
-        if well { self.agreement.written(now) } else { self.agreement.unwritten(now) }
+        if well { self.agreement.write_succeeded(now) } else { self.agreement.write_failed(now) }
     }
 }
--- a/proxy/src/decided/status.rs
+++ b/proxy/src/decided/status.rs
@@ -1,8 +1,8 @@
 //! What is decided, and how this proxy stands with it, for operators.
 
-use agree::{AgreeStanding, Id, Seat};
+use agree::{AgreementStatus, Id, Voter};
 use gossip::Node;
-use outs::{Kind, Outs, Phase, grants};
+use outs::{Availability, Kind, Phase, grants};
 use serde::{Deserialize, Serialize};
 
 use super::DecidedState;
@@ -49,31 +49,32 @@
 }
 
 impl CouncilStatus {
-    pub fn of(standing: AgreeStanding, node: &Node) -> Self {
+    pub fn of(standing: AgreementStatus, node: &Node) -> Self {
         let name = |id: Id| node.name(id).unwrap_or("?").to_owned();
-        let seat = |seat: &Seat| VoterStatus {
+        let seat = |seat: &Voter| VoterStatus {
             name: name(seat.id),
-            generation: seat.life,
+            generation: seat.disk_id,
             log_index: standing.progress.get(&seat.id).copied(),
         };
-        let voteless = standing.lives.iter().map(|(&id, &life)| VoterStatus {
+        let voteless = standing.unadmitted_disks.iter().map(|(&id, &life)| VoterStatus {
             name: name(id),
-            generation: life,
+            generation:
+            life,
             log_index: None,
         });
         Self {
             role: standing.role,
-            generation: standing.life,
+            generation: standing.disk_id,
             term: standing.term,
             leader: standing.leader.map(name),
             decided: standing.decided,
             applied: standing.applied,
-            certified: standing.sealed,
+            certified: standing.certified,
             hash: hex::encode(&standing.hash[..8]),
             age_ms: Some(standing.age).filter(|age| age.is_finite()),
-            voters: standing.council.seats().iter().map(seat).collect(),
-            since: standing.version,
-            proved: standing.linked,
+            voters: standing.council.voters().iter().map(seat).collect(),
+            since: standing.council_since,
+            proved: standing.council_proved,
             non_voters: voteless.collect(),
             stopped: standing.stopped.clone(),
             counts: standing.counts,
@@ -138,18 +139,20 @@
 
 impl UnavailabilityStatus {
     fn of(grants: &outs::Grants, id: Id, name: &impl Fn(Id) -> String) -> Self {
-        use grants::Away;
-        let (how, since, waits_for) = match grants.away(id) {
-            Some(Away::Granted { grant, .. }) => {
+        use grants::Unavailability;
+        let (how, since, waits_for) = match grants.unavailability(id) {
+            Some(Unavailability::Granted { grant, .. }) => {
                 ("granted", Some(*grant), "its word that it goes".to_owned())
             }
-            Some(Away::Out { since }) => ("out", Some(*since), "its word that it is back".to_owned()),
-            Some(Away::Back { since, seen_by, .. }) => {
+            Some(Unavailability::Offline { since }) => {
+                ("out", Some(*since), "its word that it is back".to_owned())
+            }
+            Some(Unavailability::Returned { since, seen_by, .. }) => {
                 let (seen, of) = (seen_by.len(), grants.witnesses());
                 ("back", Some(*since), format!("others to see it well: {seen} of {of} have"))
             }
             None => {
-                let by: Vec<String> = grants.missed_by(id).map(name).collect();
+                let by: Vec<String> = grants.suspected_by(id).map(name).collect();
                 ("missed", None, format!("word of it; missed by {}", by.join(" ")))
             }
         };
@@ -160,7 +163,8 @@
 impl ReleaseStatus {
     fn of(releases: &outs::Releases, name: &impl Fn(Id) -> String) -> Option<Self> {
         let of = releases.current()?;
-        let runs = |wave: &Vec<Id>| wave.iter().filter(|id| releases.runs(**id) == of.number).count();
+        let runs =
+            |wave: &Vec<Id>| wave.iter().filter(|id| releases.running_release(**id) == of.number).count();
         Some(Self {
             release: of.number,
             kind: of.kind,
@@ -169,7 +173,7 @@
             why: of.why.clone(),
             phase: of.phase.clone(),
             ready: of.ready.len(),
-            rejected: of.unfit.iter().map(|(&id, why)| (name(id), why.clone())).collect(),
+            rejected: of.rejected.iter().map(|(&id, why)| (name(id), why.clone())).collect(),
             waves: of.waves.iter().map(|wave| (wave.len(), runs(wave))).collect(),
         })
     }
@@ -178,21 +182,21 @@
 impl AvailabilityStatus {
     pub fn of(decided: &DecidedState, node: &Node, now: f64, here: impl Fn(&str) -> usize) -> Self {
         let name = |id: Id| node.name(id).unwrap_or("?").to_owned();
-        let Outs { grants, releases, .. } = decided.agreement.machine();
+        let Availability { grants, releases, .. } = decided.agreement.machine();
         let row = |(server, drain): (&str, &outs::Drain)| DrainStatus {
             server: server.to_owned(),
             pool: drain.pool,
             by: drain.by.clone(),
             why: drain.why.clone(),
-            since: drain.unix,
-            decision: drain.decided,
+            since: drain.unix_ms,
+            decision: drain.decision,
             conversations_here: here(server),
         };
         let age_ms = Some(decided.age(now)).filter(|age| age.is_finite());
         Self {
             drains: decided.drains().iter().map(row).collect(),
-            proxies: grants.out().map(|id| UnavailabilityStatus::of(grants, id, &name)).collect(),
-            max_unavailable: grants.most(),
+            proxies: grants.unavailable().map(|id| UnavailabilityStatus::of(grants, id, &name)).collect(),
+            max_unavailable: grants.max_unavailable(),
             witnesses: grants.witnesses(),
             release: ReleaseStatus::of(releases, &name),
             age_ms,
--- a/proxy/src/distributed/service.rs
+++ b/proxy/src/distributed/service.rs
@@ -87,20 +87,20 @@
         let applied = agreement.applied();
         match agreement.machine_mut().take_changes() {
             Changes::Since(changes) => self.control.decided(applied, changes),
-            Changes::Anew => self.control.restore(applied, agreement.machine().scoped().clone()),
+            Changes::Reset => self.control.restore(applied, agreement.machine().scoped().clone()),
         }
         if self.control.wants_state() {
             self.control.restore(applied, agreement.machine().scoped().clone());
         }
-        if let Some(seal) = agreement.seal() {
-            self.control.sealed(seal, agreement.links());
+        if let Some(seal) = agreement.certificate() {
+            self.control.sealed(seal, agreement.council_proofs());
         }
-        while let Some(proof) = agreement.freshness() {
+        while let Some(proof) = agreement.next_freshness_proof() {
             self.control.fresh(now, proof);
         }
         self.control.turn(now);
         while let Some(nonce) = self.control.ask() {
-            agreement.ask_freshness(nonce);
+            agreement.request_freshness(nonce);
         }
         self.send();
     }
