--- a/daemon/src/settings/fleet.rs
+++ b/daemon/src/settings/fleet.rs
@@ -84,7 +84,12 @@
             self.fault(line, key, format!("{lease} ms, with a beat of {beat} ms"), "two beats or more");
         }
         let loans = LoanTerms { lease, drift: drift?, spread: spread?, floor: floor? };
-        Some(LimitTerms { fleet: FleetTerms { loans, tick_interval: beat }, window, max_rate: most, share_window })
+        Some(LimitTerms {
+            fleet: FleetTerms { loans, tick_interval: beat },
+            window,
+            max_rate: most,
+            share_window,
+        })
     }
 
     /// Names of the roster, each once, of which there are so many.
--- a/proxy/src/decided/commands.rs
+++ b/proxy/src/decided/commands.rs
@@ -102,7 +102,7 @@
                     sum: unhex(sum).ok_or_else(|| format!("{sum}: 64 hexadecimal digits wanted"))?,
                     by: self.name.clone(),
                     why: why.clone(),
-                unix_ms: unix as u64,
+                    unix_ms: unix as u64,
                 }))
             }
             OperatorCommand::Start => Asked::Outs(Command::Releases(releases::Command::Start {
--- a/proxy/src/decided/status.rs
+++ b/proxy/src/decided/status.rs
@@ -58,8 +58,7 @@
         };
         let voteless = standing.unadmitted_disks.iter().map(|(&id, &life)| VoterStatus {
             name: name(id),
-            generation:
-            life,
+            generation: life,
             log_index: None,
         });
         Self {
--- a/proxy/src/pool.rs
+++ b/proxy/src/pool.rs
@@ -214,7 +214,12 @@
     }
 
     /// Takes news in. `now` is the proxy's clock and `unix` the wall clock, both in milliseconds.
-    pub fn apply(&mut self, news: &PoolUpdates, now: f64, unix: f64) -> Result<Vec<ServerEntry>, PoolListError> {
+    pub fn apply(
+        &mut self,
+        news: &PoolUpdates,
+        now: f64,
+        unix: f64,
+    ) -> Result<Vec<ServerEntry>, PoolListError> {
         if !news.whole {
             let last = self.version.ok_or(PoolListError::MissingFullList(news.version))?;
             if news.version != last + 1 {
