--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -7,15 +7,15 @@
 //! [`Proxy::advance_clock`] before whatever comes at that time, and [`Proxy::run_pending`] after it. What the decisions ask
 //! for in return is the trait [`Host`] in `host.rs`. `docs/design.md` says why each step is taken.
 
+mod called_number;
 mod central;
 mod cold;
 mod histogram;
-mod hold;
-mod number;
+mod intake;
 mod outcome;
-mod passes;
-mod taken;
-mod told;
+mod pending;
+mod selection;
+mod updates;
 
 use std::collections::{HashMap, VecDeque};
 
@@ -23,37 +23,37 @@
 use rand_pcg::Pcg64Mcg;
 use slab::Slab;
 
-use central::{Central, Out};
-use histogram::BINS;
+use called_number::CalledNumber;
+use central::{Central, InFlight};
+use histogram::BIN_COUNT;
 pub use histogram::{Histogram, quantile_after};
-use number::Number;
 
 use crate::host::{
     Call, Ending, GradeTerms, Handle, Host, Report, Server, ServerEntry, ServerView, State, Suspicion, Terms,
 };
 
 /// The histogram's window, in longest time limits.
-const WINDOW_LIMITS: f64 = 5.0 / 9.0;
+const WINDOW_IN_TIME_LIMITS: f64 = 5.0 / 9.0;
 /// Violation probability of a grade with mean earnings; a grade's own goes by its earnings.
-const VIOLATION: f64 = 0.05;
+const MEAN_VIOLATION_PROBABILITY: f64 = 0.05;
 /// With fewer samples than this a central server passes the quantile test.
-const FLOOR: usize = 20;
+const MIN_QUANTILE_SAMPLES: usize = 20;
 /// With fewer than this it has too little of its own to go by.
-const SCARCE: usize = FLOOR / 4;
+const SCARCE_SAMPLES: usize = MIN_QUANTILE_SAMPLES / 4;
 /// Delay that a line may have, as a share of the span after which a waiting set-up is sent again.
-const STANDING: f64 = 0.8;
+const TARGET_DELAY_PER_RESEND: f64 = 0.8;
 /// The same where set-ups are not sent again: a share of the shortest quoted time.
-const STANDING_QUOTED: f64 = 0.5;
+const TARGET_DELAY_PER_QUOTED_TIME: f64 = 0.5;
 /// Shots that all proxies together may have out at a central server of which nothing is known yet, and at the
 /// least; each proxy's line has its part.
-const FIRST_OUT: f64 = 12.0;
-const LEAST_OUT: f64 = 0.6;
+const INITIAL_FLEET_IN_FLIGHT: f64 = 12.0;
+const MIN_FLEET_IN_FLIGHT: f64 = 0.6;
 /// A proxy with conversations held or shots out wants a turn in each such part of a standing delay.
-const BEAT: f64 = 0.25;
+const TURN_INTERVAL_IN_TARGET_DELAYS: f64 = 0.25;
 /// Let through in full while the reported rate is above the best one over this.
-const RATE_SLACK: f64 = 1.25;
+const RATE_TOLERANCE: f64 = 1.25;
 /// Age in standing delays past which a shot still out shrinks its line.
-const JAMMED: f64 = 2.0;
+const OVERLOAD_AGE_IN_TARGET_DELAYS: f64 = 2.0;
 
 /// What the module reads of a service grade.
 #[derive(Clone)]
@@ -61,43 +61,43 @@
     quoted: f64,
     limit: f64,
     earnings: f64,
-    late: f64,
-    violation: f64,
+    late_share: f64,
+    violation_probability: f64,
     repeatable: bool,
     pools: Vec<u16>,
 }
 
 #[derive(Clone)]
-struct Shot {
+struct Attempt {
     server: usize,
-    at: f64,
+    sent_at: f64,
 }
 
 #[derive(Clone, Default)]
 struct Conversation {
     grade: usize,
-    first: u16,
+    preferred_pool: u16,
     number: Option<u64>,
     /// When its caller's first try was taken.
-    taken: f64,
+    accepted_at: f64,
     /// Drawn once: what is shared out by chance goes to the lowest.
-    chance: f64,
+    random_draw: f64,
     /// When the caller gives up.
-    until: f64,
-    worth: f64,
-    shots: u32,
-    shot: Option<Shot>,
+    caller_deadline: f64,
+    expected_earnings: f64,
+    attempts: u32,
+    attempt: Option<Attempt>,
     /// Where its latest shot found nobody, no answer or a fault.
-    failed_at: Option<usize>,
+    failed_server: Option<usize>,
     /// Where it met a fault that is not yet counted.
-    fault: Option<usize>,
-    stands: bool,
+    fault_server: Option<usize>,
+    established: bool,
     /// Answered for good; kept only until its shot's end is told.
-    over: bool,
+    closed: bool,
     /// Not sent again before this.
-    rest_until: f64,
+    release_until: f64,
     /// Was kept away from a central server by the fleet's limit alone, and counted.
-    short: bool,
+    counted_as_withheld: bool,
 }
 
 /// The decisions of one border proxy.
@@ -109,76 +109,82 @@
     now: f64,
     mean_earnings: f64,
     mean_hold: f64,
-    longest_limit: f64,
-    shortest_quoted: f64,
+    max_time_limit: f64,
+    min_quoted_time: f64,
     window: f64,
-    standing: f64,
+    target_delay: f64,
     centrals: Vec<Option<Central>>,
     conversations: Slab<Conversation>,
     held: Vec<Handle>,
     wake_at: f64,
     /// The share of shots that were lately overtaken by a later one's answer.
-    lost: f64,
+    lost_answer_share: f64,
     /// How long it last had no turn, and until when what it takes may have waited for that.
     stall: (f64, f64),
     /// How long a caller waits for a try, as a share of the time limit: what most ask for, and how firmly.
-    patience: (f64, u32),
-    numbers: HashMap<u64, Number>,
+    caller_timeout: (f64, u32),
+    called_numbers: HashMap<u64, CalledNumber>,
     /// When conversations were last taken, by tenant, and whether the next is in its share, if known.
-    tenants: Vec<VecDeque<f64>>,
-    shares: Vec<Option<bool>>,
+    tenant_arrivals: Vec<VecDeque<f64>>,
+    tenants_within_share: Vec<Option<bool>>,
 }
 
 /// The delay that a line may have: past it set-ups are sent again, or stand late.
-fn standing(terms: &Terms, shortest_quoted: f64) -> f64 {
-    let quoted = STANDING_QUOTED * shortest_quoted;
-    if terms.resend_after > 0.0 { quoted.min(STANDING * terms.resend_after) } else { quoted }
+fn target_delay(terms: &Terms, min_quoted_time: f64) -> f64 {
+    let quoted_bound = TARGET_DELAY_PER_QUOTED_TIME * min_quoted_time;
+    if terms.resend_after > 0.0 {
+        quoted_bound.min(TARGET_DELAY_PER_RESEND * terms.resend_after)
+    } else {
+        quoted_bound
+    }
 }
 
 impl Proxy {
     pub fn new(terms: Terms, seed: u64, now: f64) -> Self {
-        let mean = terms.grades.iter().map(|g| g.earnings).sum::<f64>() / terms.grades.len().max(1) as f64;
+        let mean_earnings =
+            terms.grades.iter().map(|g| g.earnings).sum::<f64>() / terms.grades.len().max(1) as f64;
         let mean_hold = terms.grades.iter().map(|g| g.hold).sum::<f64>() / terms.grades.len().max(1) as f64;
-        let row = |g: &GradeTerms| Grade {
+        let grade = |g: &GradeTerms| Grade {
             quoted: g.quoted,
             limit: g.limit,
             earnings: g.earnings,
-            late: g.late_share,
-            violation: (VIOLATION * g.earnings / mean).clamp(VIOLATION / 10.0, 0.5),
+            late_share: g.late_share,
+            violation_probability: (MEAN_VIOLATION_PROBABILITY * g.earnings / mean_earnings)
+                .clamp(MEAN_VIOLATION_PROBABILITY / 10.0, 0.5),
             repeatable: g.repeatable,
             pools: g.pools.clone(),
         };
-        let grades: Vec<Grade> = terms.grades.iter().map(row).collect();
-        let longest_limit = grades.iter().map(|g| g.limit).fold(0.0, f64::max);
-        let shortest_quoted = grades.iter().map(|g| g.quoted).fold(f64::INFINITY, f64::min);
-        let standing = standing(&terms, shortest_quoted);
+        let grades: Vec<Grade> = terms.grades.iter().map(grade).collect();
+        let max_time_limit = grades.iter().map(|g| g.limit).fold(0.0, f64::max);
+        let min_quoted_time = grades.iter().map(|g| g.quoted).fold(f64::INFINITY, f64::min);
+        let target_delay = target_delay(&terms, min_quoted_time);
         Self {
-            tenants: terms.tenants.iter().map(|_| VecDeque::new()).collect(),
-            shares: vec![None; terms.tenants.len()],
+            tenant_arrivals: terms.tenants.iter().map(|_| VecDeque::new()).collect(),
+            tenants_within_share: vec![None; terms.tenants.len()],
             terms,
             grades,
             rng: Pcg64Mcg::seed_from_u64(seed),
             now,
-            mean_earnings: mean,
+            mean_earnings,
             mean_hold,
-            longest_limit,
-            shortest_quoted,
-            window: WINDOW_LIMITS * longest_limit,
-            standing,
+            max_time_limit,
+            min_quoted_time,
+            window: WINDOW_IN_TIME_LIMITS * max_time_limit,
+            target_delay,
             centrals: Vec::new(),
             conversations: Slab::new(),
             held: Vec::new(),
             wake_at: f64::INFINITY,
-            lost: 0.0,
+            lost_answer_share: 0.0,
             stall: (0.0, now),
-            patience: (0.0, 0),
-            numbers: HashMap::new(),
+            caller_timeout: (0.0, 0),
+            called_numbers: HashMap::new(),
         }
     }
 
     /// This proxy as it is now, but under other terms with the same grades and tenants: what would it do?
     pub fn with_terms(&self, terms: Terms) -> Self {
-        Self { standing: standing(&terms, self.shortest_quoted), terms, ..self.clone() }
+        Self { target_delay: target_delay(&terms, self.min_quoted_time), terms, ..self.clone() }
     }
 
     /// The time of what follows.
@@ -189,7 +195,7 @@
                 self.wake_at = f64::INFINITY;
             }
             if now - self.now > self.stall.0 || now > self.stall.1 {
-                self.stall = (now - self.now, now + BEAT * self.standing);
+                self.stall = (now - self.now, now + TURN_INTERVAL_IN_TARGET_DELAYS * self.target_delay);
             }
             self.now = now;
         }
@@ -200,14 +206,14 @@
         let central = self.centrals.get(server.0 as usize)?.as_ref()?;
         Some(ServerView {
             state: central.state,
-            cold: self.now - central.started < self.terms.cold_duration,
-            in_flight: central.waiting().count(),
-            concurrency_limit: central.allowance,
-            cooling_down: self.now - central.rests < central.rest,
+            cold: self.now - central.started_at < self.terms.cold_duration,
+            in_flight: central.queued().count(),
+            concurrency_limit: central.concurrency_limit,
+            cooling_down: self.now - central.cool_down_since < central.cool_down,
             samples: central.histogram.samples(),
             mean_ratio: central.histogram.mean(),
-            delay: central.delay,
-            rate: central.tells_rate().then_some(central.rate),
+            delay: central.mean_delay,
+            rate: central.reports_rate().then_some(central.reported_rate),
         })
     }
 
--- /dev/null
+++ b/src/choice/pending.rs
@@ -0,0 +1,116 @@
+//! Held, shot, called off or given up: each turn.
+
+use super::*;
+
+/// Past this share of lost shots answers are taken to get lost; an answer is quick under this share of the
+/// standing delay.
+const MAX_LOST_ANSWER_SHARE: f64 = 0.05;
+const QUICK_ANSWER_IN_TARGET_DELAYS: f64 = 0.25;
+
+impl Proxy {
+    /// To be called when all that has come at one time is told: shoots what can be shot, best earners first,
+    /// and gives up at once what can no longer stand in time.
+    pub fn run_pending(&mut self, host: &mut impl Host) {
+        let window_start = self.now - self.window;
+        for central in self.centrals.iter_mut().flatten() {
+            central.forget_before(window_start);
+        }
+        self.cancel_lost_attempts(host);
+        self.probe(host);
+        let (now, max_time_limit) = (self.now, self.max_time_limit);
+        self.called_numbers.retain(|_, n| now - n.last_seen_at.max(n.not_before) < max_time_limit);
+        let priority = |c: &Conversation| (-c.expected_earnings, c.accepted_at);
+        let mut held = std::mem::take(&mut self.held);
+        held.sort_by(|a, b| {
+            let (a, b) = (&self.conversations[a.key()], &self.conversations[b.key()]);
+            priority(a).partial_cmp(&priority(b)).expect("finite")
+        });
+        let hold_capacity = self.hold_capacity();
+        let mut wake_at = f64::INFINITY;
+        for handle in held {
+            let conversation = &self.conversations[handle.key()];
+            let (release_until, latest_send_time) =
+                (conversation.release_until, self.latest_send_time(conversation));
+            let released = release_until <= self.now;
+            let backing_off = conversation.number.is_some_and(|n| self.is_backing_off(n));
+            let chosen = if released && !backing_off { self.choose_server(handle) } else { None };
+            if let Some(index) = chosen {
+                self.send_attempt(handle, index, host);
+            } else if backing_off || latest_send_time < self.now || self.held.len() >= hold_capacity {
+                self.give_up(handle, host);
+            } else {
+                self.held.push(handle);
+                wake_at = wake_at.min(latest_send_time + 1.0).min(if released {
+                    f64::INFINITY
+                } else {
+                    release_until
+                });
+            }
+        }
+        if !self.held.is_empty() || self.centrals.iter().flatten().any(|c| !c.in_flight.is_empty()) {
+            wake_at = wake_at.min(self.now + TURN_INTERVAL_IN_TARGET_DELAYS * self.target_delay);
+            if wake_at < self.wake_at {
+                self.wake_at = wake_at;
+                host.wake(wake_at);
+            }
+        }
+    }
+
+    /// Departure: a shot that still has no answer after the standing delay is called off while there is time
+    /// to wait out the release and be answered by another, if it was overtaken, or if shots lately were and
+    /// its server's latest answer was quick. Guards against answers that get lost; catches silent servers.
+    /// Hurts where a server slows down all at once while answers get lost elsewhere. Lost, not late: it
+    /// narrows no line.
+    pub(super) fn cancel_lost_attempts(&mut self, host: &mut impl Host) {
+        for central in self.centrals.iter_mut().flatten().filter(|_| self.terms.may_cancel) {
+            let quick = self.lost_answer_share > MAX_LOST_ANSWER_SHARE
+                && central.latest_delay <= QUICK_ANSWER_IN_TARGET_DELAYS * self.target_delay;
+            let is_lost = |attempt: &&mut InFlight| (attempt.superseded || quick) && !attempt.cancelled;
+            for attempt in central.in_flight.iter_mut().filter(is_lost) {
+                let Some(conversation) = self.conversations.get(attempt.handle.key()) else { continue };
+                let grade = &self.grades[conversation.grade];
+                let next_answer_at =
+                    self.now + self.terms.release + central.mean_delay.max(self.target_delay * 0.1);
+                let may_retry = conversation.attempts < self.terms.max_attempts && grade.repeatable;
+                if may_retry
+                    && self.now - attempt.sent_at > self.target_delay
+                    && next_answer_at < conversation.accepted_at + grade.quoted
+                {
+                    (attempt.cancelled, attempt.superseded) = (true, true);
+                    host.cancel(attempt.handle, conversation.attempts as u16 - 1);
+                }
+            }
+        }
+    }
+
+    /// How many conversations are worth holding: what the lines have lately taken in half a quoted time.
+    pub(super) fn hold_capacity(&self) -> usize {
+        let recent_attempts: usize = self.centrals.iter().flatten().map(|c| c.sent_times.len()).sum();
+        2 + (recent_attempts as f64 * 0.5 * self.min_quoted_time / self.window) as usize
+    }
+
+    pub(super) fn give_up(&mut self, handle: Handle, host: &mut impl Host) {
+        let conversation = self.conversations.remove(handle.key());
+        self.record_fault(conversation.fault_server);
+        if !self.grades[conversation.grade].repeatable && conversation.attempts > 0 {
+            return host.fail(handle);
+        }
+        if let Some(number) = conversation.number {
+            let record = self
+                .called_numbers
+                .entry(number)
+                .or_insert_with(|| CalledNumber::new(conversation.accepted_at));
+            record.last_seen_at = self.now;
+        }
+        // Not before the first server takes shots again, where all have asked to be left alone.
+        let running = self.centrals.iter().flatten().filter(|c| c.state == State::Running);
+        let shortest_wait = running.map(|c| self.remaining_retry_after(c)).fold(f64::INFINITY, f64::min);
+        let shortest_wait = if shortest_wait.is_finite() { shortest_wait } else { 0.0 };
+        let jitter = 0.5 + 0.5 * self.rng.random::<f64>();
+        let retry_after = self
+            .terms
+            .max_retry_after
+            .map(|max_retry_after| (max_retry_after * jitter).max(shortest_wait).min(max_retry_after));
+        host.refuse(handle, retry_after);
+    }
+}
