--- a/simhost/src/fleet.rs
+++ b/simhost/src/fleet.rs
@@ -7,49 +7,50 @@
 use crate::instance::{Entry, Instance};
 use crate::wire::{Batch, Fields, Reply, records};
 
-const LISTS: usize = 16;
+const LIST_COUNT: usize = 16;
 
 #[derive(Default)]
 pub struct Fleet {
     instances: HashMap<u32, Instance>,
-    lists: [Vec<Entry>; LISTS],
+    lists: [Vec<Entry>; LIST_COUNT],
 }
 
 impl Fleet {
     /// Plays one batch and gives the reply to it.
-    pub fn play(&mut self, batch: &Batch) -> Result<Reply> {
+    pub fn process(&mut self, batch: &Batch) -> Result<Reply> {
         let mut reply = Reply::default();
         let now = batch.clock * 1000.0;
-        let mut named = None;
-        let mut told = Vec::new();
+        let mut current_instance = None;
+        let mut touched = Vec::new();
         for (code, bytes) in records(batch)? {
-            let record = name_of(code)?;
+            let record = record_name(code)?;
             let fields = &mut Fields::new(record, bytes);
             match code {
                 4 => self.inventory(fields)?,
-                6 => named = Some(fields.u32("who")?),
+                6 => current_instance = Some(fields.u32("who")?),
                 _ => {
-                    let who = named.with_context(|| format!("{record}: no switch_to names an instance"))?;
-                    self.play_one(who, now, code, record, fields, &mut reply)?;
-                    if told.last() != Some(&who) {
-                        told.push(who);
+                    let instance_id = current_instance
+                        .with_context(|| format!("{record}: no switch_to names an instance"))?;
+                    self.process_record(instance_id, now, code, record, fields, &mut reply)?;
+                    if touched.last() != Some(&instance_id) {
+                        touched.push(instance_id);
                     }
                 }
             }
             fields.end()?;
         }
-        let mut settled = HashSet::new();
-        for who in told.into_iter().filter(|&who| settled.insert(who)) {
-            if let Some(instance) = self.instances.get_mut(&who) {
-                instance.settle(&mut reply);
+        let mut seen = HashSet::new();
+        for instance_id in touched.into_iter().filter(|&instance_id| seen.insert(instance_id)) {
+            if let Some(instance) = self.instances.get_mut(&instance_id) {
+                instance.run_pending(&mut reply);
             }
         }
         Ok(reply)
     }
 
-    fn play_one(
+    fn process_record(
         &mut self,
-        who: u32,
+        instance_id: u32,
         now: f64,
         code: u8,
         record: &str,
@@ -57,18 +58,18 @@
         reply: &mut Reply,
     ) -> Result<()> {
         if code == 1 {
-            self.instances.insert(who, Instance::launch(who, now, fields)?);
+            self.instances.insert(instance_id, Instance::launch(instance_id, now, fields)?);
             return Ok(());
         }
         if code == 9 {
-            self.instances.remove(&who);
+            self.instances.remove(&instance_id);
             return Ok(());
         }
         let instance = self
             .instances
-            .get_mut(&who)
-            .with_context(|| format!("{record}: instance {who} is not running"))?;
-        instance.at(now);
+            .get_mut(&instance_id)
+            .with_context(|| format!("{record}: instance {instance_id} is not running"))?;
+        instance.advance_clock(now);
         match code {
             2 => instance.withdrawn(fields),
             3 => {
@@ -98,7 +99,7 @@
 
     fn inventory(&mut self, fields: &mut Fields) -> Result<()> {
         let list = usize::from(fields.u8("roster_id")?);
-        ensure!(list < LISTS, "inventory: field roster_id is {list}, over {}", LISTS - 1);
+        ensure!(list < LIST_COUNT, "inventory: field roster_id is {list}, over {}", LIST_COUNT - 1);
         let count = fields.u32("members")? as usize;
         let length = count.checked_mul(Entry::BYTES).context("inventory: field members")?;
         let entries = &mut Fields::new("inventory", fields.bytes("members", length)?);
@@ -107,7 +108,7 @@
     }
 }
 
-fn name_of(code: u8) -> Result<&'static str> {
+fn record_name(code: u8) -> Result<&'static str> {
     Ok(match code {
         1 => "launch",
         2 => "withdrawn",
--- a/simhost/src/instance.rs
+++ b/simhost/src/instance.rs
@@ -15,7 +15,7 @@
     server: Address,
     state: State,
     pool: u16,
-    started: Option<f64>,
+    started_at: Option<f64>,
 }
 
 impl Entry {
@@ -34,20 +34,20 @@
         };
         let pool = fields.u16("point_code")?;
         let launched = fields.millis("launched")?;
-        Ok(Self { server, state, pool, started: Some(launched).filter(|&at| at != 0.0) })
+        Ok(Self { server, state, pool, started_at: Some(launched).filter(|&time| time != 0.0) })
     }
 }
 
-/// The names of one instance: conversations by handle, central servers by index.
+/// The names of one instance: requests by handle, central servers by index.
 #[derive(Default)]
-struct Names {
+struct IdMap {
     handles: HashMap<u64, Handle>,
-    conversations: Vec<u64>,
+    requests: Vec<u64>,
     servers: HashMap<Address, Server>,
     addresses: Vec<Address>,
 }
 
-impl Names {
+impl IdMap {
     fn server(&mut self, address: Address) -> Server {
         *self.servers.entry(address).or_insert_with(|| {
             self.addresses.push(address);
@@ -55,35 +55,35 @@
         })
     }
 
-    fn taken(&mut self, req: u64, handle: Handle) {
+    fn insert(&mut self, req: u64, handle: Handle) {
         let slot = handle.0 as usize;
-        if self.conversations.len() <= slot {
-            self.conversations.resize(slot + 1, 0);
+        if self.requests.len() <= slot {
+            self.requests.resize(slot + 1, 0);
         }
-        self.conversations[slot] = req;
+        self.requests[slot] = req;
         self.handles.insert(req, handle);
     }
 }
 
 /// Writes the module's answers straight into the reply.
-struct Answers<'a> {
-    who: u32,
-    names: &'a mut Names,
+struct ReplyHost<'a> {
+    instance_id: u32,
+    ids: &'a mut IdMap,
     reply: &'a mut Reply,
 }
 
-impl Answers<'_> {
+impl ReplyHost<'_> {
     fn req(&self, handle: Handle) -> [u8; 8] {
-        self.names.conversations[handle.0 as usize].to_le_bytes()
+        self.ids.requests[handle.0 as usize].to_le_bytes()
     }
 
     fn forget(&mut self, handle: Handle) {
-        let req = self.names.conversations[handle.0 as usize];
-        self.names.handles.remove(&req);
+        let req = self.ids.requests[handle.0 as usize];
+        self.ids.handles.remove(&req);
     }
 
-    fn put(&mut self, code: u8, fields: &[&[u8]]) {
-        self.reply.record(self.who, code, fields);
+    fn write_record(&mut self, code: u8, fields: &[&[u8]]) {
+        self.reply.record(self.instance_id, code, fields);
     }
 }
 
@@ -91,86 +91,93 @@
     (millis / 1000.0).to_le_bytes()
 }
 
-impl Host for Answers<'_> {
-    fn send_attempt(&mut self, handle: Handle, server: Server, time_out: f64) {
-        let address = self.names.addresses[server.0 as usize];
-        self.put(5, &[&self.req(handle), &address, &seconds(time_out)]);
+impl Host for ReplyHost<'_> {
+    fn send_attempt(&mut self, handle: Handle, server: Server, timeout: f64) {
+        let address = self.ids.addresses[server.0 as usize];
+        self.write_record(5, &[&self.req(handle), &address, &seconds(timeout)]);
     }
 
-    fn refuse(&mut self, handle: Handle, come_back: Option<f64>) {
-        self.put(11, &[&self.req(handle), &seconds(come_back.unwrap_or(0.0))]);
+    fn refuse(&mut self, handle: Handle, retry_after: Option<f64>) {
+        self.write_record(11, &[&self.req(handle), &seconds(retry_after.unwrap_or(0.0))]);
         self.forget(handle);
     }
 
     fn fail(&mut self, handle: Handle) {
-        self.put(12, &[&self.req(handle)]);
+        self.write_record(12, &[&self.req(handle)]);
         self.forget(handle);
     }
 
-    fn cancel(&mut self, handle: Handle, shot: u16) {
-        self.put(13, &[&self.req(handle), &shot.to_le_bytes()]);
+    fn cancel(&mut self, handle: Handle, attempt: u16) {
+        self.write_record(13, &[&self.req(handle), &attempt.to_le_bytes()]);
     }
 
     fn wake(&mut self, at: f64) {
-        self.put(8, &[&0u64.to_le_bytes(), &seconds(at)]);
+        self.write_record(8, &[&0u64.to_le_bytes(), &seconds(at)]);
     }
 
     fn probe(&mut self, server: Server) {
-        let address = self.names.addresses[server.0 as usize];
-        self.put(6, &[&address]);
+        let address = self.ids.addresses[server.0 as usize];
+        self.write_record(6, &[&address]);
     }
 
     fn broadcast(&mut self, message: &[u8]) {
-        self.put(2, &[&u16::MAX.to_le_bytes(), &(message.len() as u16).to_le_bytes(), message]);
+        self.write_record(2, &[&u16::MAX.to_le_bytes(), &(message.len() as u16).to_le_bytes(), message]);
     }
 
     fn log(&mut self, line: &str) {
         let line = &line.as_bytes()[..line.len().min(usize::from(u16::MAX))];
-        self.put(3, &[&(line.len() as u16).to_le_bytes(), line]);
+        self.write_record(3, &[&(line.len() as u16).to_le_bytes(), line]);
     }
 }
 
 /// One border proxy of the simulator.
 pub struct Instance {
-    who: u32,
+    instance_id: u32,
     proxy: Proxy,
-    names: Names,
-    order: ReportLayout,
+    ids: IdMap,
+    report_layout: ReportLayout,
     grades: usize,
     tenants: usize,
 }
 
 impl Instance {
-    pub fn launch(who: u32, now: f64, fields: &mut Fields) -> Result<Self> {
+    pub fn launch(instance_id: u32, now: f64, fields: &mut Fields) -> Result<Self> {
         let seed = fields.u64("salt")?;
         let length = fields.u32("setup")? as usize;
-        let pairs = SettingsMap::from_lines(fields.bytes("setup", length)?).context("launch")?;
-        let terms = pairs.terms().context("launch")?;
-        let order = pairs.report_layout().context("launch")?;
+        let settings = SettingsMap::from_lines(fields.bytes("setup", length)?).context("launch")?;
+        let terms = settings.terms().context("launch")?;
+        let report_layout = settings.report_layout().context("launch")?;
         let (grades, tenants) = (terms.grades.len(), terms.tenants.len());
-        Ok(Self { who, proxy: Proxy::new(terms, seed, now), names: Names::default(), order, grades, tenants })
+        Ok(Self {
+            instance_id,
+            proxy: Proxy::new(terms, seed, now),
+            ids: IdMap::default(),
+            report_layout,
+            grades,
+            tenants,
+        })
     }
 
     /// The time of what follows.
-    pub fn at(&mut self, now: f64) {
+    pub fn advance_clock(&mut self, now: f64) {
         self.proxy.advance_clock(now);
     }
 
     /// The list changed; `entries` is `None` where the news only tells that the list could not be had.
     pub fn membership(&mut self, entries: &[Entry], whole: bool, reply: &mut Reply) {
-        let line = |e: &Entry| ServerEntry {
-            server: self.names.server(e.server),
-            state: e.state,
-            pool: e.pool,
-            started_at: e.started,
+        let to_entry = |entry: &Entry| ServerEntry {
+            server: self.ids.server(entry.server),
+            state: entry.state,
+            pool: entry.pool,
+            started_at: entry.started_at,
         };
-        let lines: Vec<ServerEntry> = entries.iter().map(line).collect();
-        self.with(reply, |proxy, host| proxy.update_server_list(&lines, whole, host));
+        let server_entries: Vec<ServerEntry> = entries.iter().map(to_entry).collect();
+        self.with_host(reply, |proxy, host| proxy.update_server_list(&server_entries, whole, host));
     }
 
     /// All that came for the instance at this time is told.
-    pub fn settle(&mut self, reply: &mut Reply) {
-        self.with(reply, |proxy, host| proxy.run_pending(host));
+    pub fn run_pending(&mut self, reply: &mut Reply) {
+        self.with_host(reply, |proxy, host| proxy.run_pending(host));
     }
 
     /// Another proxy's message: the decisions send none, so none is owed attention.
@@ -191,12 +198,12 @@
         ensure!(grade < self.grades, "job_in: field category is {grade} of {} grades", self.grades);
         fields.bytes("weight_hint", 8)?;
         fields.f32("hop")?;
-        let first = fields.f32("far_end")? as u16;
+        let preferred_pool = fields.f32("far_end")? as u16;
         fields.f32("width")?;
         let tenant = Some(tenant).filter(|&t| t < self.tenants);
-        let call = Call { grade, tenant, preferred_pool: first, number, remaining, redial: opts & 2 != 0 };
+        let call = Call { grade, tenant, preferred_pool, number, remaining, redial: opts & 2 != 0 };
         let handle = self.proxy.accept(&call);
-        self.names.taken(req, handle);
+        self.ids.insert(req, handle);
         handle.enqueue(&mut self.proxy);
         Ok(())
     }
@@ -206,7 +213,7 @@
         fields.u16("send_no")?;
         fields.address("server")?;
         fields.millis("time_taken")?;
-        if let Some(&handle) = self.names.handles.get(&req) {
+        if let Some(&handle) = self.ids.handles.get(&req) {
             handle.established(&mut self.proxy);
         }
         Ok(())
@@ -223,45 +230,45 @@
         };
         fields.millis("time_taken")?;
         let finished = fields.u8("finished")? != 0;
-        let server = self.names.server(fields.address("server")?);
+        let server = self.ids.server(fields.address("server")?);
         fields.u16("send_no")?;
-        let mut report = self.order.read(&fields.values("report")?);
+        let mut report = self.report_layout.read(&fields.values("report")?);
         report.retry_after = Some(f64::from(wait)).filter(|&wait| ending == Ending::Rejected && wait > 0.0);
         self.proxy.reported(server, report);
-        if let Some(&handle) = self.names.handles.get(&req) {
-            self.with(reply, |proxy, host| handle.attempt_ended(proxy, ending, finished, host));
-            self.drop_if_done(req, handle);
+        if let Some(&handle) = self.ids.handles.get(&req) {
+            self.with_host(reply, |proxy, host| handle.attempt_ended(proxy, ending, finished, host));
+            self.remove_if_done(req, handle);
         }
         Ok(())
     }
 
     pub fn withdrawn(&mut self, fields: &mut Fields) -> Result<()> {
         let req = fields.u64("req")?;
-        if let Some(&handle) = self.names.handles.get(&req) {
+        if let Some(&handle) = self.ids.handles.get(&req) {
             handle.caller_gone(&mut self.proxy);
-            self.drop_if_done(req, handle);
+            self.remove_if_done(req, handle);
         }
         Ok(())
     }
 
     /// A central server's free lines, told unasked.
     pub fn ping_result(&mut self, fields: &mut Fields) -> Result<()> {
-        let server = self.names.server(fields.address("server")?);
+        let server = self.ids.server(fields.address("server")?);
         fields.millis("time_taken")?;
         ending("ping_result", fields.u8("rc")?)?;
-        let report = self.order.read(&fields.values("report")?);
+        let report = self.report_layout.read(&fields.values("report")?);
         self.proxy.reported(server, report);
         Ok(())
     }
 
-    fn drop_if_done(&mut self, req: u64, handle: Handle) {
+    fn remove_if_done(&mut self, req: u64, handle: Handle) {
         if !self.proxy.contains(handle) {
-            self.names.handles.remove(&req);
+            self.ids.handles.remove(&req);
         }
     }
 
-    fn with(&mut self, reply: &mut Reply, call: impl FnOnce(&mut Proxy, &mut Answers)) {
-        call(&mut self.proxy, &mut Answers { who: self.who, names: &mut self.names, reply });
+    fn with_host(&mut self, reply: &mut Reply, call: impl FnOnce(&mut Proxy, &mut ReplyHost)) {
+        call(&mut self.proxy, &mut ReplyHost { instance_id: self.instance_id, ids: &mut self.ids, reply });
     }
 }
 
--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -21,7 +21,7 @@
     let mut output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
     let mut fleet = Fleet::default();
     while let Some(batch) = wire::read_batch(&mut input)? {
-        fleet.play(&batch)?.send(&mut output).context("reply")?;
+        fleet.process(&batch)?.send(&mut output).context("reply")?;
     }
     Ok(())
 }
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -6,7 +6,7 @@
 use bytes::{Buf, BufMut};
 
 /// A frame longer than this is taken for a corrupt length.
-const LONGEST_FRAME: usize = 1 << 30;
+const MAX_FRAME_BYTES: usize = 1 << 30;
 
 /// One batch as it was read: the clock in seconds, how many records, and their bytes.
 pub struct Batch {
@@ -18,12 +18,12 @@
 /// Reads the next batch; `None` at a clean end of input.
 pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>> {
     let mut header = [0; 16];
-    let mut got = 0;
-    while got < header.len() {
-        match input.read(&mut header[got..]) {
-            Ok(0) if got == 0 => return Ok(None),
-            Ok(0) => bail!("batch header: input ends after {got} of {} bytes", header.len()),
-            Ok(n) => got += n,
+    let mut received = 0;
+    while received < header.len() {
+        match input.read(&mut header[received..]) {
+            Ok(0) if received == 0 => return Ok(None),
+            Ok(0) => bail!("batch header: input ends after {received} of {} bytes", header.len()),
+            Ok(n) => received += n,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) => return Err(e).context("batch header"),
         }
@@ -31,7 +31,7 @@
     let mut fields = &header[..];
     let (records, length, clock) = (fields.get_u32_le(), fields.get_u32_le() as usize, fields.get_f64_le());
     ensure!(clock.is_finite(), "batch header: field clock is not a number");
-    ensure!(length <= LONGEST_FRAME, "batch header: field length is {length}, over {LONGEST_FRAME}");
+    ensure!(length <= MAX_FRAME_BYTES, "batch header: field length is {length}, over {MAX_FRAME_BYTES}");
     // Grows with what really arrives, so that a corrupt length costs no memory.
     let mut body = Vec::new();
     let read = input.take(length as u64).read_to_end(&mut body).context("batch body")?;
@@ -45,21 +45,21 @@
 /// Reads the fields of one record, by name, so that a misfit can be told plainly.
 pub struct Fields<'a> {
     record: &'static str,
-    rest: &'a [u8],
+    remaining: &'a [u8],
 }
 
 impl<'a> Fields<'a> {
-    pub fn new(record: &'static str, rest: &'a [u8]) -> Self {
-        Self { record, rest }
+    pub fn new(record: &'static str, remaining: &'a [u8]) -> Self {
+        Self { record, remaining }
     }
 
     pub fn bytes(&mut self, field: &str, length: usize) -> Result<&'a [u8]> {
         let record = self.record;
-        let Some((taken, rest)) = self.rest.split_at_checked(length) else {
-            bail!("{record}: field {field} wants {length} bytes, {} are left", self.rest.len());
+        let Some((value, remaining)) = self.remaining.split_at_checked(length) else {
+            bail!("{record}: field {field} wants {length} bytes, {} are left", self.remaining.len());
         };
-        self.rest = rest;
-        Ok(taken)
+        self.remaining = remaining;
+        Ok(value)
     }
 
     pub fn u8(&mut self, field: &str) -> Result<u8> {
@@ -100,7 +100,7 @@
     }
 
     pub fn end(&self) -> Result<()> {
-        ensure!(self.rest.is_empty(), "{}: {} bytes are left over", self.record, self.rest.len());
+        ensure!(self.remaining.is_empty(), "{}: {} bytes are left over", self.record, self.remaining.len());
         Ok(())
     }
 }
@@ -109,10 +109,11 @@
 pub fn records(batch: &Batch) -> Result<Vec<(u8, &[u8])>> {
     let mut frame = Fields::new("batch", &batch.body);
     let mut found = Vec::new();
-    for n in 0..batch.records {
-        let code = frame.u8("code").with_context(|| format!("record {n}"))?;
-        let length = frame.u32("length").with_context(|| format!("record {n}"))?;
-        found.push((code, frame.bytes("fields", length as usize).with_context(|| format!("record {n}"))?));
+    for index in 0..batch.records {
+        let code = frame.u8("code").with_context(|| format!("record {index}"))?;
+        let length = frame.u32("length").with_context(|| format!("record {index}"))?;
+        found
+            .push((code, frame.bytes("fields", length as usize).with_context(|| format!("record {index}"))?));
     }
     frame.end()?;
     Ok(found)
@@ -122,15 +123,15 @@
 #[derive(Default)]
 pub struct Reply {
     body: Vec<u8>,
-    named: Option<u32>,
+    current_instance: Option<u32>,
 }
 
 impl Reply {
     /// Starts a record of `who`, naming the instance where it was not the last one named.
-    pub fn record(&mut self, who: u32, code: u8, fields: &[&[u8]]) {
-        if self.named != Some(who) {
-            self.named = Some(who);
-            self.put(1, &[&who.to_le_bytes()]);
+    pub fn record(&mut self, instance_id: u32, code: u8, fields: &[&[u8]]) {
+        if self.current_instance != Some(instance_id) {
+            self.current_instance = Some(instance_id);
+            self.put(1, &[&instance_id.to_le_bytes()]);
         }
         self.put(code, fields);
     }
--- a/simhost/tests/wire.rs
+++ b/simhost/tests/wire.rs
@@ -58,7 +58,7 @@
     vec![inventory(), switch_to(3), launch(SETUP), membership(2)]
 }
 
-fn play(input: &[u8]) -> Output {
+fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_frostthread-simhost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -72,41 +72,41 @@
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_clean() {
-    let output = play(&frame(&[]));
+    let output = run_adapter(&frame(&[]));
     assert!(output.status.success());
     assert_eq!(output.stdout, 0u32.to_le_bytes());
 }
 
 #[test]
-fn a_call_is_transmitted_under_its_instance() {
+fn an_attempt_is_sent_under_its_instance() {
     let mut records = start();
     records.push(job_in(77, 0));
-    let output = play(&frame(&records));
+    let output = run_adapter(&frame(&records));
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let mut wanted = vec![1, 4, 0, 0, 0, 3, 0, 0, 0, 5, 22, 0, 0, 0];
-    wanted.extend(77u64.to_le_bytes());
-    wanted.extend(SERVER);
-    assert_eq!(output.stdout[4..4 + wanted.len()], wanted);
-    assert_eq!(output.stdout, play(&frame(&records)).stdout, "the same input gives the same output");
+    let mut expected_prefix = vec![1, 4, 0, 0, 0, 3, 0, 0, 0, 5, 22, 0, 0, 0];
+    expected_prefix.extend(77u64.to_le_bytes());
+    expected_prefix.extend(SERVER);
+    assert_eq!(output.stdout[4..4 + expected_prefix.len()], expected_prefix);
+    assert_eq!(output.stdout, run_adapter(&frame(&records)).stdout, "the same input gives the same output");
 }
 
 #[test]
-fn a_halt_and_a_launch_in_one_batch_start_anew() {
+fn a_halt_and_a_launch_in_one_batch_start_a_new_instance() {
     let mut records = start();
     records.extend([job_in(77, 0), (9, vec![]), launch(SETUP), membership(2)]);
     // What is told of a conversation of the former life is passed over.
     records.push((2, 77u64.to_le_bytes().to_vec()));
-    assert!(play(&frame(&records)).status.success());
+    assert!(run_adapter(&frame(&records)).status.success());
 }
 
 #[test]
 fn several_instances_share_a_process_but_no_state() {
     let mut records = start();
     records.extend([switch_to(4), launch(SETUP), membership(2), job_in(77, 0), switch_to(3), job_in(77, 0)]);
-    let output = play(&frame(&records));
+    let output = run_adapter(&frame(&records));
     assert!(output.status.success());
-    let shots = output.stdout[4..].windows(9).filter(|w| w[0] == 1 && w[1] == 4 && w[2..5] == [0; 3]);
-    assert_eq!(shots.count(), 2, "each has an answer of its own");
+    let switches = output.stdout[4..].windows(9).filter(|w| w[0] == 1 && w[1] == 4 && w[2..5] == [0; 3]);
+    assert_eq!(switches.count(), 2, "each has an answer of its own");
 }
 
 fn without(key: &str) -> (u8, Vec<u8>) {
@@ -117,7 +117,7 @@
 #[case::a_truncated_header(vec![1, 0, 0], "batch header")]
 #[case::a_truncated_body(frame(&start())[..40].to_vec(), "batch body")]
 #[case::a_corrupt_length([&[1, 0, 0, 0, 255, 255, 255, 255][..], &[0; 8]].concat(), "length")]
-#[case::a_count_that_does_not_fit([&[9, 0, 0, 0, 0, 0, 0, 0][..], &[0; 8]].concat(), "code")]
+#[case::a_record_count_over_the_body([&[9, 0, 0, 0, 0, 0, 0, 0][..], &[0; 8]].concat(), "code")]
 #[case::a_short_record(frame(&[switch_to(3), (1, vec![0; 5])]), "launch: field salt")]
 #[case::a_record_too_long(frame(&[(6, vec![0; 5])]), "switch_to: 1 bytes")]
 #[case::a_list_shorter_than_its_count(frame(&[(4, vec![0, 9, 0, 0, 0])]), "inventory: field members")]
@@ -126,13 +126,13 @@
 #[case::no_instance_named(frame(&[launch(SETUP)]), "launch")]
 #[case::an_unknown_grade(frame(&[&start()[..], &[job_in(1, 9)]].concat()), "job_in: field category")]
 #[case::a_missing_setting(frame(&[switch_to(3), without("domain.repeat")]), "domain.repeat")]
-#[case::no_length_for_a_grade(
+#[case::no_mean_hold_for_a_grade(
     frame(&[switch_to(3), launch(&SETUP.replace("mean_hold=8.1", "mean_hold="))]), "domain.mean_hold"
 )]
-#[case::a_senseless_setting(frame(&[switch_to(3), launch("balancers=many\n")]), "launch: setting")]
-fn what_does_not_fit_ends_with_one_plain_line(#[case] input: Vec<u8>, #[case] named: &str) {
-    let output = play(&input);
-    let told = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(1), "{told}");
-    assert!(told.contains(named) && told.lines().count() == 1, "{told}");
+#[case::an_invalid_setting(frame(&[switch_to(3), launch("balancers=many\n")]), "launch: setting")]
+fn malformed_input_ends_the_process_with_one_error_line(#[case] input: Vec<u8>, #[case] expected_text: &str) {
+    let output = run_adapter(&input);
+    let stderr_text = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(1), "{stderr_text}");
+    assert!(stderr_text.contains(expected_text) && stderr_text.lines().count() == 1, "{stderr_text}");
 }
--- a/terms/src/lib.rs
+++ b/terms/src/lib.rs
@@ -13,10 +13,10 @@
 use serde_json::Value;
 
 /// No list in the settings is longer than this.
-const LONGEST_LIST: usize = 10_000;
+const MAX_LIST_LEN: usize = 10_000;
 
 /// Objects within objects in the settings go no deeper than this.
-const DEEPEST: usize = 16;
+const MAX_DEPTH: usize = 16;
 
 /// The settings as they came; keys that are not asked for are ignored.
 pub struct SettingsMap(HashMap<String, String>);
@@ -32,10 +32,10 @@
     /// Nested objects and lists. They are laid flat as the lines are: a list of plain values joined by commas,
     /// any other list as its length and its items by number.
     pub fn from_json(settings: &Value) -> Result<Self> {
-        let mut pairs = HashMap::new();
+        let mut flat = HashMap::new();
         ensure!(settings.is_object(), "field settings is no object");
-        lay_flat(settings, &mut String::new(), 0, &mut pairs)?;
-        Ok(Self(pairs))
+        flatten(settings, &mut String::new(), 0, &mut flat)?;
+        Ok(Self(flat))
     }
 
     fn text(&self, key: &str) -> Result<&str> {
@@ -51,11 +51,11 @@
         self.value(key, "true or false")
     }
 
-    fn whole<T: FromStr>(&self, key: &str) -> Result<T> {
+    fn integer<T: FromStr>(&self, key: &str) -> Result<T> {
         self.value(key, "a whole number")
     }
 
-    fn number(&self, key: &str) -> Result<f64> {
+    fn non_negative(&self, key: &str) -> Result<f64> {
         const WANTED: &str = "a number of 0 or more";
         let number: f64 = self.value(key, WANTED)?;
         ensure!(number.is_finite() && number >= 0.0, "setting {key} is {number}, wanted is {WANTED}");
@@ -64,21 +64,21 @@
 
     /// A time, in seconds there, as milliseconds.
     fn millis(&self, key: &str) -> Result<f64> {
-        Ok(self.number(key)? * 1000.0)
+        Ok(self.non_negative(key)? * 1000.0)
     }
 
     /// A time without which nothing can be reckoned.
-    fn span(&self, key: &str) -> Result<f64> {
-        let span = self.millis(key)?;
-        ensure!(span > 0.0, "setting {key} is {span}, wanted is a time over 0");
-        Ok(span)
+    fn positive_millis(&self, key: &str) -> Result<f64> {
+        let millis = self.millis(key)?;
+        ensure!(millis > 0.0, "setting {key} is {millis}, wanted is a time over 0");
+        Ok(millis)
     }
 
     /// How many there are of something that there must be one of.
-    fn some(&self, key: &str) -> Result<u32> {
-        let some = self.whole(key)?;
-        ensure!(some > 0, "setting {key} is 0, wanted is 1 or more");
-        Ok(some)
+    fn positive_count(&self, key: &str) -> Result<u32> {
+        let count = self.integer(key)?;
+        ensure!(count > 0, "setting {key} is 0, wanted is 1 or more");
+        Ok(count)
     }
 
     fn list<T: FromStr>(&self, key: &str) -> Result<Vec<T>> {
@@ -90,8 +90,8 @@
     }
 
     fn count(&self, key: &str) -> Result<usize> {
-        let count = self.whole(key)?;
-        ensure!(count <= LONGEST_LIST, "setting {key} is {count}, over {LONGEST_LIST}");
+        let count = self.integer(key)?;
+        ensure!(count <= MAX_LIST_LEN, "setting {key} is {count}, over {MAX_LIST_LEN}");
         Ok(count)
     }
 }
@@ -111,8 +111,8 @@
     pub fn read_named(&self, text: &str) -> Report {
         let mut values = vec![-1.0; self.names.len()];
         for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
-            if let Some(place) = self.names.iter().position(|n| n == name.trim()) {
-                values[place] = value.trim().parse().unwrap_or(-1.0);
+            if let Some(position) = self.names.iter().position(|n| n == name.trim()) {
+                values[position] = value.trim().parse().unwrap_or(-1.0);
             }
         }
         self.read(&values)
@@ -120,8 +120,8 @@
 
     /// The figures that a report holds; one below zero was not told.
     pub fn read(&self, values: &[f32]) -> Report {
-        let figure = |place: Option<usize>| {
-            let value = values.get(place?).copied().map(f64::from);
+        let figure = |position: Option<usize>| {
+            let value = values.get(position?).copied().map(f64::from);
             value.filter(|value| value.is_finite() && *value >= 0.0)
         };
         Report {
@@ -139,12 +139,12 @@
     pub fn report_layout(&self) -> Result<ReportLayout> {
         let names: Vec<String> =
             if self.0.contains_key("feedback.names") { self.list("feedback.names")? } else { Vec::new() };
-        let place = |wanted: &str| names.iter().position(|name| name == wanted);
+        let position_of = |wanted: &str| names.iter().position(|name| name == wanted);
         Ok(ReportLayout {
-            free: place("idle"),
-            lines: place("circuits"),
-            rate: place("max_rate"),
-            wait: place("svc_ms"),
+            free: position_of("idle"),
+            lines: position_of("circuits"),
+            rate: position_of("max_rate"),
+            wait: position_of("svc_ms"),
             names,
         })
     }
@@ -168,18 +168,18 @@
     pub fn terms(&self) -> Result<Terms> {
         let form = self.text("domain.network_form")?;
         ensure!(form == "skills", "setting domain.network_form is {form:?}, wanted is 'skills'");
-        let holds: Vec<f64> = self.list("domain.mean_hold")?;
+        let mean_holds: Vec<f64> = self.list("domain.mean_hold")?;
         let grades: Vec<GradeTerms> =
-            (0..self.count("profiles.count")?).map(|i| grade(self, i, &holds)).collect::<Result<_>>()?;
+            (0..self.count("profiles.count")?).map(|i| grade(self, i, &mean_holds)).collect::<Result<_>>()?;
         ensure!(!grades.is_empty(), "setting profiles.count is 0");
         let tenants = if self.0.contains_key("tenants.count") { self.count("tenants.count")? } else { 0 };
-        let tenant = |i| Ok(TenantTerms { quota: self.number(&format!("tenants.{i}.quota_rps"))? });
+        let tenant = |i| Ok(TenantTerms { quota: self.non_negative(&format!("tenants.{i}.quota_rps"))? });
         Ok(Terms {
-            proxies: self.some("balancers")?,
+            proxies: self.positive_count("balancers")?,
             grades,
             tenants: (0..tenants).map(tenant).collect::<Result<_>>()?,
-            over_share: if tenants > 0 { self.number("over_share_worth")? } else { 1.0 },
-            max_attempts: self.some("bounds.max_attempts")?,
+            over_share: if tenants > 0 { self.non_negative("over_share_worth")? } else { 1.0 },
+            max_attempts: self.positive_count("bounds.max_attempts")?,
             max_retry_after: if self.flag("bounds.retry_after")? {
                 Some(self.millis("bounds.max_retry_after")?)
             } else {
@@ -191,82 +191,79 @@
             resend_after: self.millis("domain.repeat")?,
             respect_retry_after: self.flag("domain.gives_wait")?,
             cold_duration: self.millis("rules.cold")?,
-            initial_capacity_share: self.number("rules.cold_from")?,
-            overload_factor: self.number("rules.overload_factor")?,
-            overload_duration: self.span("rules.fall")?,
+            initial_capacity_share: self.non_negative("rules.cold_from")?,
+            overload_factor: self.non_negative("rules.overload_factor")?,
+            overload_duration: self.positive_millis("rules.fall")?,
         })
     }
 
     /// How long a connection to a central server may take to come up.
     pub fn connect_timeout(&self) -> Result<f64> {
-        self.span("bounds.connect_timeout")
+        self.positive_millis("bounds.connect_timeout")
     }
 
     /// How many conversations a proxy may have open.
     pub fn max_open_calls(&self) -> Result<usize> {
-        self.whole("bounds.open_cap")
+        self.integer("bounds.open_cap")
     }
 }
 
 /// Lays a JSON value out as `path=value`; `path` is as it was when done.
-fn lay_flat(
-    value: &Value,
-    path: &mut String,
-    depth: usize,
-    into: &mut HashMap<String, String>,
-) -> Result<()> {
-    ensure!(depth <= DEEPEST, "setting {path}: nested more than {DEEPEST} deep");
+fn flatten(value: &Value, path: &mut String, depth: usize, flat: &mut HashMap<String, String>) -> Result<()> {
+    ensure!(depth <= MAX_DEPTH, "setting {path}: nested more than {MAX_DEPTH} deep");
     let length = path.len();
-    let plain = |value: &Value| !value.is_object() && !value.is_array();
+    let is_scalar = |value: &Value| !value.is_object() && !value.is_array();
     let text = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
     match value {
         Value::Object(fields) => {
             for (key, field) in fields {
                 let dot = if path.is_empty() { "" } else { "." };
                 let _ = write!(path, "{dot}{key}");
-                lay_flat(field, path, depth + 1, into)?;
+                flatten(field, path, depth + 1, flat)?;
                 path.truncate(length);
             }
         }
-        Value::Array(items) if items.iter().all(plain) => {
+        Value::Array(items) if items.iter().all(is_scalar) => {
             ensure!(
-                items.len() <= LONGEST_LIST,
-                "setting {path}: {} items, over {LONGEST_LIST}",
+                items.len() <= MAX_LIST_LEN,
+                "setting {path}: {} items, over {MAX_LIST_LEN}",
                 items.len()
             );
-            into.insert(path.clone(), items.iter().map(text).collect::<Vec<_>>().join(","));
+            flat.insert(path.clone(), items.iter().map(text).collect::<Vec<_>>().join(","));
         }
         Value::Array(items) => {
-            into.insert(format!("{path}.count"), items.len().to_string());
+            flat.insert(format!("{path}.count"), items.len().to_string());
             for (i, item) in items.iter().enumerate() {
                 let _ = write!(path, ".{i}");
-                lay_flat(item, path, depth + 1, into)?;
+                flatten(item, path, depth + 1, flat)?;
                 path.truncate(length);
             }
         }
-        plain => {
-            into.insert(path.clone(), text(plain));
+        scalar => {
+            flat.insert(path.clone(), text(scalar));
         }
     }
     Ok(())
 }
 
-fn grade(pairs: &SettingsMap, i: usize, holds: &[f64]) -> Result<GradeTerms> {
-    let key = |name: &str| format!("profiles.{i}.{name}");
+fn grade(settings: &SettingsMap, index: usize, mean_holds: &[f64]) -> Result<GradeTerms> {
+    let key = |name: &str| format!("profiles.{index}.{name}");
     let effect = key("effect");
-    let repeatable = match pairs.text(&effect)? {
+    let repeatable = match settings.text(&effect)? {
         "repeatable" => true,
         "once" | "by_key" => false,
         other => bail!("setting {effect} is {other:?}, wanted is 'repeatable', 'by_key' or 'once'"),
     };
-    let hold = holds.get(i).copied().filter(|hold| hold.is_finite() && *hold > 0.0);
+    let mean_hold =
+        mean_holds.get(index).copied().filter(|mean_hold| mean_hold.is_finite() && *mean_hold > 0.0);
     Ok(GradeTerms {
-        quoted: pairs.span(&key("objective"))?,
-        limit: pairs.span(&key("deadline"))?,
-        hold: hold.with_context(|| format!("setting domain.mean_hold: none for grade {i}"))? * 1000.0,
-        earnings: pairs.number(&key("worth"))?,
-        late_share: pairs.number(&key("late_worth"))?,
+        quoted: settings.positive_millis(&key("objective"))?,
+        limit: settings.positive_millis(&key("deadline"))?,
+        hold: mean_hold.with_context(|| format!("setting domain.mean_hold: none for grade {index}"))?
+            * 1000.0,
+        earnings: settings.non_negative(&key("worth"))?,
+        late_share: settings.non_negative(&key("late_worth"))?,
         repeatable,
-        pools: pairs.list(&format!("domain.pools_by_class.{i}"))?,
+        pools: settings.list(&format!("domain.pools_by_class.{index}"))?,
     })
 }
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -2,7 +2,7 @@
 
 mod fake;
 
-use fake::{Story, terms};
+use fake::{Scenario, terms};
 use frostthread::host::{Ending, Report, Server, Terms};
 use rstest::rstest;
 
@@ -10,128 +10,128 @@
 #[case(Ending::TimedOut)]
 #[case(Ending::Reset)]
 #[case(Ending::Cancelled)]
-fn the_release_is_awaited(#[case] ending: Ending) {
-    let mut story = Story::with(2);
-    let handle = story.call(0, 0);
-    story.pass(100.0);
-    story.ended(handle, ending);
-    story.pass(299.0);
-    assert_eq!(story.went(handle).len(), 1, "nothing is sent within the release");
-    story.pass(100.0);
-    assert_eq!(story.went(handle).len(), 2, "then it is sent again");
+fn a_call_is_not_retried_before_its_release_is_over(#[case] ending: Ending) {
+    let mut scenario = Scenario::with_servers(2);
+    let handle = scenario.call(0, 0);
+    scenario.advance(100.0);
+    scenario.end_attempt(handle, ending);
+    scenario.advance(299.0);
+    assert_eq!(scenario.servers_tried(handle).len(), 1, "nothing is sent within the release");
+    scenario.advance(100.0);
+    assert_eq!(scenario.servers_tried(handle).len(), 2, "then it is sent again");
 }
 
 #[test]
-fn a_nacked_conversation_is_sent_again_at_once_and_never_twice_at_a_time() {
-    let mut story = Story::with(2);
-    let handle = story.call(0, 0);
-    story.pass(2000.0);
-    assert_eq!(story.went(handle).len(), 1);
-    let other = story.call(0, 1);
-    story.ended(other, Ending::Rejected);
-    assert_eq!(story.went(other).len(), 2, "at once");
-    assert_eq!(story.went(handle).len(), 1, "the one still out is left alone");
+fn a_rejected_call_is_retried_at_once_and_never_has_two_attempts_in_flight() {
+    let mut scenario = Scenario::with_servers(2);
+    let handle = scenario.call(0, 0);
+    scenario.advance(2000.0);
+    assert_eq!(scenario.servers_tried(handle).len(), 1);
+    let other = scenario.call(0, 1);
+    scenario.end_attempt(other, Ending::Rejected);
+    assert_eq!(scenario.servers_tried(other).len(), 2, "at once");
+    assert_eq!(scenario.servers_tried(handle).len(), 1, "the one still out is left alone");
 }
 
 #[test]
-fn shots_end_with_the_agreed_number_and_a_failure() {
-    let mut story = Story::with(3);
-    let handle = story.call(0, 0);
+fn attempts_stop_at_the_agreed_maximum_with_one_final_answer() {
+    let mut scenario = Scenario::with_servers(3);
+    let handle = scenario.call(0, 0);
     for _ in 0..4 {
-        if story.went(handle).len() <= 4 && story.host.failed.is_empty() {
-            story.ended(handle, Ending::Rejected);
-            story.pass(5.0);
+        if scenario.servers_tried(handle).len() <= 4 && scenario.host.failed.is_empty() {
+            scenario.end_attempt(handle, Ending::Rejected);
+            scenario.advance(5.0);
         }
     }
-    assert!(story.went(handle).len() <= 4);
-    assert_eq!(story.host.failed.len() + story.host.refused.len(), 1, "one final answer");
-    assert!(!story.proxy.contains(handle));
+    assert!(scenario.servers_tried(handle).len() <= 4);
+    assert_eq!(scenario.host.failed.len() + scenario.host.refused.len(), 1, "one final answer");
+    assert!(!scenario.proxy.contains(handle));
 }
 
 #[rstest]
 #[case::refused_by_the_network(Ending::NoConnection)]
 #[case::no_answer(Ending::TimedOut)]
-fn the_next_shot_goes_elsewhere_while_others_pass(#[case] ending: Ending) {
-    let mut story = Story::with(3);
-    let handle = story.call(0, 0);
-    story.ended(handle, ending);
-    story.pass(400.0);
-    assert_eq!(story.went(handle)[0], 0);
-    assert_ne!(story.went(handle)[1], 0);
+fn the_next_attempt_goes_to_another_server_while_one_is_eligible(#[case] ending: Ending) {
+    let mut scenario = Scenario::with_servers(3);
+    let handle = scenario.call(0, 0);
+    scenario.end_attempt(handle, ending);
+    scenario.advance(400.0);
+    assert_eq!(scenario.servers_tried(handle)[0], 0);
+    assert_ne!(scenario.servers_tried(handle)[1], 0);
 }
 
 #[rstest]
-#[case::a_told_wait(Some(100.0), 20.0, 2000.0)]
-#[case::none_told(None, 20.0, 3000.0)]
-#[case::late_anyway(Some(100.0), 2500.0, 3000.0)]
-fn where_waits_are_told_a_shot_ends_with_its_quoted_time(
+#[case::a_reported_wait(Some(100.0), 20.0, 2000.0)]
+#[case::no_reported_wait(None, 20.0, 3000.0)]
+#[case::answers_late_anyway(Some(100.0), 2500.0, 3000.0)]
+fn an_attempt_times_out_with_its_quoted_time_where_waits_are_reported(
     #[case] wait: Option<f64>,
-    #[case] latest: f64,
-    #[case] time_out: f64,
+    #[case] latest_delay: f64,
+    #[case] timeout: f64,
 ) {
-    let mut story = Story::with(1);
-    story.answer(0, latest);
-    story.pass(6000.0);
-    story.proxy.reported(Server(0), Report { wait, ..Report::default() });
-    story.call(0, 0);
-    assert_eq!(story.host.shots.last().expect("sent").2, time_out);
+    let mut scenario = Scenario::with_servers(1);
+    scenario.complete_call(0, latest_delay);
+    scenario.advance(6000.0);
+    scenario.proxy.reported(Server(0), Report { wait, ..Report::default() });
+    scenario.call(0, 0);
+    assert_eq!(scenario.host.attempts.last().expect("sent").2, timeout);
 }
 
 #[test]
-fn an_overtaken_shot_is_lost_so_it_holds_no_line_and_is_called_off() {
-    let mut story = Story::with(1);
-    let lost = story.call(0, 0);
-    story.pass(10.0);
-    (0..3).for_each(|_| story.answer(0, 50.0));
-    let both = [story.call(0, 0), story.call(0, 0)];
-    assert!(both.iter().all(|&h| story.went(h) == [0]), "the lost shot holds no line");
-    assert!(story.host.cancelled.is_empty(), "it may only be a little late");
-    story.pass(500.0);
-    story.stood(both[0]);
-    assert_eq!(story.host.cancelled, [(lost, 0)], "called off, and once");
-    story.stood(both[1]);
-    story.ended(lost, Ending::Cancelled);
-    story.pass(310.0);
-    assert_eq!(story.went(lost), [0, 0], "sent again after the release");
+fn a_superseded_attempt_uses_no_capacity_and_is_cancelled() {
+    let mut scenario = Scenario::with_servers(1);
+    let lost = scenario.call(0, 0);
+    scenario.advance(10.0);
+    (0..3).for_each(|_| scenario.complete_call(0, 50.0));
+    let both = [scenario.call(0, 0), scenario.call(0, 0)];
+    assert!(both.iter().all(|&h| scenario.servers_tried(h) == [0]), "the lost shot holds no line");
+    assert!(scenario.host.cancelled.is_empty(), "it may only be a little late");
+    scenario.advance(500.0);
+    scenario.establish(both[0]);
+    assert_eq!(scenario.host.cancelled, [(lost, 0)], "called off, and once");
+    scenario.establish(both[1]);
+    scenario.end_attempt(lost, Ending::Cancelled);
+    scenario.advance(310.0);
+    assert_eq!(scenario.servers_tried(lost), [0, 0], "sent again after the release");
 }
 
 #[rstest]
 #[case::answers_get_lost(3, 1)]
 #[case::none_was_lost(0, 0)]
-fn where_answers_get_lost_a_shot_at_a_quick_server_is_called_off_in_time(
-    #[case] lost: usize,
+fn an_unanswered_attempt_at_a_quick_server_is_cancelled_where_answers_get_lost(
+    #[case] lost_answers: usize,
     #[case] cancelled: usize,
 ) {
-    let mut story = Story::among(1, Terms { proxies: 1, ..terms() });
-    (0..10).for_each(|_| story.answer(0, 20.0));
-    for _ in 0..lost {
-        let unheard = story.call(0, 0);
-        story.pass(10.0);
-        story.answer(0, 20.0);
-        story.ended(unheard, Ending::TimedOut);
-        unheard.caller_gone(&mut story.proxy);
+    let mut scenario = Scenario::with_terms(1, Terms { proxies: 1, ..terms() });
+    (0..10).for_each(|_| scenario.complete_call(0, 20.0));
+    for _ in 0..lost_answers {
+        let unanswered = scenario.call(0, 0);
+        scenario.advance(10.0);
+        scenario.complete_call(0, 20.0);
+        scenario.end_attempt(unanswered, Ending::TimedOut);
+        unanswered.caller_gone(&mut scenario.proxy);
     }
-    let handle = story.call(0, 0);
-    story.pass(390.0);
-    assert!(story.host.cancelled.is_empty(), "it may still be answered");
-    story.pass(110.0);
-    assert_eq!(story.host.cancelled.len(), cancelled);
+    let handle = scenario.call(0, 0);
+    scenario.advance(390.0);
+    assert!(scenario.host.cancelled.is_empty(), "it may still be answered");
+    scenario.advance(110.0);
+    assert_eq!(scenario.host.cancelled.len(), cancelled);
     if cancelled > 0 {
-        story.ended(handle, Ending::Cancelled);
-        story.pass(310.0);
-        assert_eq!(story.went(handle), [0, 0], "again, once the release is over");
+        scenario.end_attempt(handle, Ending::Cancelled);
+        scenario.advance(310.0);
+        assert_eq!(scenario.servers_tried(handle), [0, 0], "again, once the release is over");
     }
 }
 
 #[test]
-fn a_quick_fault_overtakes_nothing() {
-    let mut story = Story::with(1);
-    let early = story.call(0, 0);
-    story.pass(10.0);
-    let faulty = story.call(0, 0);
-    story.ended(faulty, Ending::Error);
-    story.pass(600.0);
-    story.call(0, 0);
-    assert!(story.host.cancelled.is_empty(), "it may still stand in line");
-    assert_eq!(story.went(early), [0]);
+fn a_quick_fault_supersedes_no_earlier_attempt() {
+    let mut scenario = Scenario::with_servers(1);
+    let early = scenario.call(0, 0);
+    scenario.advance(10.0);
+    let faulty = scenario.call(0, 0);
+    scenario.end_attempt(faulty, Ending::Error);
+    scenario.advance(600.0);
+    scenario.call(0, 0);
+    assert!(scenario.host.cancelled.is_empty(), "it may still stand in line");
+    assert_eq!(scenario.servers_tried(early), [0]);
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -6,129 +6,142 @@
 
 use std::collections::VecDeque;
 
-use fake::{Fake, line, terms};
+use fake::{FakeHost, server_entry, terms};
 use frostthread::host::{Call, Ending, Report, Server, State, Terms};
 use frostthread::{Handle, Proxy};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 
-const TICK: f64 = 10.0;
+const TICK_MS: f64 = 10.0;
 /// One way to the central server.
-const WAY: f64 = 20.0;
+const ONE_WAY_DELAY_MS: f64 = 20.0;
 /// Calls are offered so many times as many as it could take when warm.
-const OFFERED: f64 = 4.0;
+const OFFERED_LOAD_FACTOR: f64 = 4.0;
 /// Each proxy hears of the start at a time of its own within this.
-const HEARD: f64 = 300.0;
+const MAX_LIST_DELAY_MS: f64 = 300.0;
 /// Lines turn over so many times as fast as the processor can set up, as on the operators' bench.
-const LINES: f64 = 2.0;
+const LINE_TURNOVER_FACTOR: f64 = 2.0;
 
 /// What its answers tell, and what it says when it is first connected to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Tells {
+enum ReportedFigures {
     Nothing,
     Lines,
     /// Lines at once, its rate with each answer, with noise.
     Rates,
 }
 
-struct One {
+struct SimulatedProxy {
     proxy: Proxy,
-    host: Fake,
+    host: FakeHost,
     /// Calls a second.
-    demand: f64,
-    seen: usize,
-    told: bool,
-    out: Vec<Handle>,
+    calls_per_second: f64,
+    attempts_seen: usize,
+    knows_server: bool,
+    in_flight: Vec<Handle>,
 }
 
-struct World {
+struct Cluster {
     terms: Terms,
-    tells: Tells,
-    warm: f64,
-    chance: Pcg64Mcg,
-    all: Vec<One>,
+    reported_figures: ReportedFigures,
+    warm_rate: f64,
+    rng: Pcg64Mcg,
+    members: Vec<SimulatedProxy>,
     now: f64,
     /// When its processor is next free, and what it will answer: when, to whom, in which life of theirs.
-    free_at: f64,
+    processor_free_at: f64,
     answers: Vec<(f64, usize, usize, Handle)>,
-    lives: Vec<usize>,
-    came: VecDeque<f64>,
+    generations: Vec<usize>,
+    arrivals: VecDeque<f64>,
 }
 
-impl World {
-    fn new(proxies: u32, warm: f64, tells: Tells, seed: u64) -> Self {
+impl Cluster {
+    fn new(proxies: u32, warm_rate: f64, reported_figures: ReportedFigures, seed: u64) -> Self {
         let terms = Terms { proxies, initial_capacity_share: 0.3, overload_factor: 2.5, ..terms() };
-        let chance = Pcg64Mcg::seed_from_u64(seed);
-        let mut world = Self {
+        let rng = Pcg64Mcg::seed_from_u64(seed);
+        let mut cluster = Self {
             terms,
-            tells,
-            warm,
-            chance,
-            all: Vec::new(),
+            reported_figures,
+            warm_rate,
+            rng,
+            members: Vec::new(),
             now: 0.0,
-            free_at: 0.0,
+            processor_free_at: 0.0,
             answers: Vec::new(),
-            lives: vec![0; proxies as usize],
-            came: VecDeque::new(),
+            generations: vec![0; proxies as usize],
+            arrivals: VecDeque::new(),
         };
         for _ in 0..proxies {
-            let one = world.start();
-            world.all.push(one);
+            let member = cluster.start();
+            cluster.members.push(member);
         }
-        world
+        cluster
     }
 
-    fn start(&mut self) -> One {
-        let proxy = Proxy::new(self.terms.clone(), self.chance.random(), self.now);
+    fn start(&mut self) -> SimulatedProxy {
+        let proxy = Proxy::new(self.terms.clone(), self.rng.random(), self.now);
         // Some get several times what others get.
-        let demand = -self.chance.random::<f64>().ln() * OFFERED * self.warm / f64::from(self.terms.proxies);
-        One { proxy, host: Fake::default(), demand, seen: 0, told: false, out: Vec::new() }
+        let calls_per_second = -self.rng.random::<f64>().ln() * OFFERED_LOAD_FACTOR * self.warm_rate
+            / f64::from(self.terms.proxies);
+        SimulatedProxy {
+            proxy,
+            host: FakeHost::default(),
+            calls_per_second,
+            attempts_seen: 0,
+            knows_server: false,
+            in_flight: Vec::new(),
+        }
     }
 
     /// Set-ups a second that it can do.
     fn rate(&self) -> f64 {
         let warmth = (self.now / self.terms.cold_duration).min(1.0);
-        self.warm * (self.terms.initial_capacity_share + (1.0 - self.terms.initial_capacity_share) * warmth)
+        self.warm_rate
+            * (self.terms.initial_capacity_share + (1.0 - self.terms.initial_capacity_share) * warmth)
     }
 
     fn report(&mut self, with_rate: bool) -> Report {
-        let noise = 0.9 + 0.2 * self.chance.random::<f64>();
-        let lines = (LINES * self.warm * 8.0).ceil();
-        let rate = (with_rate && self.tells == Tells::Rates).then(|| self.rate() * noise);
-        match self.tells {
-            Tells::Nothing => Report::default(),
+        let noise = 0.9 + 0.2 * self.rng.random::<f64>();
+        let lines = (LINE_TURNOVER_FACTOR * self.warm_rate * 8.0).ceil();
+        let rate =
+            (with_rate && self.reported_figures == ReportedFigures::Rates).then(|| self.rate() * noise);
+        match self.reported_figures {
+            ReportedFigures::Nothing => Report::default(),
             _ => Report { free: Some(lines), lines: Some(lines), rate, ..Report::default() },
         }
     }
 
     fn tick(&mut self) {
-        self.now += TICK;
+        self.now += TICK_MS;
         let now = self.now;
-        let due: Vec<_> = self.answers.extract_if(.., |answer| answer.0 <= now).collect();
-        for index in 0..self.all.len() {
+        let due_answers: Vec<_> = self.answers.extract_if(.., |answer| answer.0 <= now).collect();
+        for index in 0..self.members.len() {
             let report = self.report(true);
-            let first = self.report(false);
-            let heard = self.chance.random::<f64>() < TICK / HEARD;
-            let calls = self.all[index].demand * TICK / 1000.0;
-            let calls = calls as usize + usize::from(self.chance.random::<f64>() < calls.fract());
-            let life = self.lives[index];
-            let One { proxy, host, seen, told, out, .. } = &mut self.all[index];
+            let first_report = self.report(false);
+            let learns_list = self.rng.random::<f64>() < TICK_MS / MAX_LIST_DELAY_MS;
+            let call_count = self.members[index].calls_per_second * TICK_MS / 1000.0;
+            let call_count = call_count as usize + usize::from(self.rng.random::<f64>() < call_count.fract());
+            let generation = self.generations[index];
+            let SimulatedProxy { proxy, host, attempts_seen, knows_server, in_flight, .. } =
+                &mut self.members[index];
             proxy.advance_clock(now);
-            if heard && !*told {
-                *told = true;
-                proxy.update_server_list(&[line(0, State::Running, Some(0.0))], true, host);
-                proxy.reported(Server(0), first);
+            if learns_list && !*knows_server {
+                *knows_server = true;
+                proxy.update_server_list(&[server_entry(0, State::Running, Some(0.0))], true, host);
+                proxy.reported(Server(0), first_report);
             }
-            for (_, _, _, handle) in due.iter().filter(|due| due.1 == index && due.2 == life) {
+            for (_, _, _, handle) in
+                due_answers.iter().filter(|answer| answer.1 == index && answer.2 == generation)
+            {
                 proxy.reported(Server(0), report);
-                if out.contains(handle) {
+                if in_flight.contains(handle) {
                     handle.established(proxy);
                     handle.attempt_ended(proxy, Ending::Ok, true, host);
-                    out.retain(|other| other != handle);
+                    in_flight.retain(|other| other != handle);
                 }
             }
-            for _ in 0..calls {
+            for _ in 0..call_count {
                 let call = Call {
                     grade: 0,
                     tenant: None,
@@ -140,65 +153,70 @@
                 proxy.accept(&call).enqueue(proxy);
             }
             proxy.run_pending(host);
-            let sent: Vec<Handle> = host.shots[*seen..].iter().map(|shot| shot.0).collect();
-            *seen = host.shots.len();
-            out.extend(&sent);
+            let sent: Vec<Handle> = host.attempts[*attempts_seen..].iter().map(|attempt| attempt.0).collect();
+            *attempts_seen = host.attempts.len();
+            in_flight.extend(&sent);
             for handle in sent {
-                self.came.push_back(now);
-                self.free_at = self.free_at.max(now + WAY) + 1000.0 / self.rate();
-                self.answers.push((self.free_at + WAY, index, life, handle));
+                self.arrivals.push_back(now);
+                self.processor_free_at =
+                    self.processor_free_at.max(now + ONE_WAY_DELAY_MS) + 1000.0 / self.rate();
+                self.answers.push((self.processor_free_at + ONE_WAY_DELAY_MS, index, generation, handle));
             }
         }
     }
 
     /// A part of all proxies is killed and starts again, knowing nothing.
-    fn restart(&mut self, part: f64) {
-        for index in 0..self.all.len() {
-            if self.chance.random::<f64>() < part {
-                self.lives[index] += 1;
-                self.all[index] = self.start();
+    fn restart(&mut self, share: f64) {
+        for index in 0..self.members.len() {
+            if self.rng.random::<f64>() < share {
+                self.generations[index] += 1;
+                self.members[index] = self.start();
             }
         }
     }
 
     /// The worst span of a fall while it is cold: what came in it over what may.
-    fn worst(&mut self, restart_at: Option<f64>) -> f64 {
-        let span = self.terms.overload_duration;
-        let mut worst = 0.0;
+    fn worst_ratio(&mut self, restart_at: Option<f64>) -> f64 {
+        let overload_duration = self.terms.overload_duration;
+        let mut worst_ratio = 0.0;
         // What comes as the cold time ends comes to a warm one.
-        while self.now < self.terms.cold_duration - TICK {
+        while self.now < self.terms.cold_duration - TICK_MS {
             self.tick();
-            if restart_at.is_some_and(|at| (self.now - at).abs() < TICK / 2.0) {
+            if restart_at.is_some_and(|at| (self.now - at).abs() < TICK_MS / 2.0) {
                 self.restart(0.7);
             }
-            while self.came.front().is_some_and(|at| *at <= self.now - span) {
-                self.came.pop_front();
+            while self.arrivals.front().is_some_and(|arrived_at| *arrived_at <= self.now - overload_duration)
+            {
+                self.arrivals.pop_front();
             }
-            let allowed = self.terms.overload_factor * self.rate() * span / 1000.0;
-            worst = f64::max(worst, self.came.len() as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0));
+            let allowed = self.terms.overload_factor * self.rate() * overload_duration / 1000.0;
+            worst_ratio =
+                f64::max(worst_ratio, self.arrivals.len() as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0));
         }
-        worst
+        worst_ratio
     }
 }
 
 /// Seeds that are played of each case.
-const PLAYED: u64 = 20;
+const SEEDS_PER_CASE: u64 = 20;
 
 #[rstest]
-fn all_proxies_together_do_not_push_a_cold_server_over(
+fn all_proxies_together_do_not_overload_a_cold_server(
     #[values(20, 30, 300)] proxies: u32,
-    #[values(3.0, 10.0, 40.0)] warm: f64,
-    #[values(Tells::Nothing, Tells::Lines, Tells::Rates)] tells: Tells,
+    #[values(3.0, 10.0, 40.0)] warm_rate: f64,
+    #[values(ReportedFigures::Nothing, ReportedFigures::Lines, ReportedFigures::Rates)]
+    reported_figures: ReportedFigures,
     #[values(None, Some(600.0), Some(4000.0))] restart_at: Option<f64>,
 ) {
-    let played = if proxies > 100 { PLAYED / 5 } else { PLAYED };
-    let plays = (0..played).map(|seed| World::new(proxies, warm, tells, seed).worst(restart_at));
-    let mut worst: Vec<f64> = plays.collect();
-    worst.sort_by(f64::total_cmp);
+    let seeds = if proxies > 100 { SEEDS_PER_CASE / 5 } else { SEEDS_PER_CASE };
+    let ratios = (0..seeds)
+        .map(|seed| Cluster::new(proxies, warm_rate, reported_figures, seed).worst_ratio(restart_at));
+    let mut worst_ratios: Vec<f64> = ratios.collect();
+    worst_ratios.sort_by(f64::total_cmp);
     println!(
-        "{proxies} {warm} {tells:?} {restart_at:?}: median {:.2} worst {:.2}",
-        worst[worst.len() / 2],
-        worst[worst.len() - 1]
+        "{proxies} {warm_rate} {reported_figures:?} {restart_at:?}: median {:.2} worst {:.2}",
+        worst_ratios[worst_ratios.len() / 2],
+        worst_ratios[worst_ratios.len() - 1]
     );
-    assert!(worst.iter().all(|&part| part < 1.0), "{worst:.2?}");
+    assert!(worst_ratios.iter().all(|&ratio| ratio < 1.0), "{worst_ratios:.2?}");
 }
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -8,48 +8,48 @@
 use frostthread::{Handle, Proxy};
 
 #[derive(Debug, Default)]
-pub struct Fake {
-    pub shots: Vec<(Handle, u32, f64)>,
+pub struct FakeHost {
+    pub attempts: Vec<(Handle, u32, f64)>,
     pub refused: Vec<(Handle, Option<f64>)>,
     pub failed: Vec<Handle>,
     pub cancelled: Vec<(Handle, u16)>,
-    pub wakes: Vec<f64>,
-    pub notes: Vec<String>,
+    pub wake_times: Vec<f64>,
+    pub log_lines: Vec<String>,
     pub probes: Vec<u32>,
 }
 
-impl Host for Fake {
-    fn send_attempt(&mut self, handle: Handle, server: Server, time_out: f64) {
-        self.shots.push((handle, server.0, time_out));
+impl Host for FakeHost {
+    fn send_attempt(&mut self, handle: Handle, server: Server, timeout: f64) {
+        self.attempts.push((handle, server.0, timeout));
     }
-    fn refuse(&mut self, handle: Handle, come_back: Option<f64>) {
-        self.refused.push((handle, come_back));
+    fn refuse(&mut self, handle: Handle, retry_after: Option<f64>) {
+        self.refused.push((handle, retry_after));
     }
     fn fail(&mut self, handle: Handle) {
         self.failed.push(handle);
     }
-    fn cancel(&mut self, handle: Handle, shot: u16) {
-        self.cancelled.push((handle, shot));
+    fn cancel(&mut self, handle: Handle, attempt: u16) {
+        self.cancelled.push((handle, attempt));
     }
     fn wake(&mut self, at: f64) {
-        self.wakes.push(at);
+        self.wake_times.push(at);
     }
     fn probe(&mut self, server: Server) {
         self.probes.push(server.0);
     }
     fn broadcast(&mut self, _: &[u8]) {}
     fn log(&mut self, line: &str) {
-        self.notes.push(line.to_owned());
+        self.log_lines.push(line.to_owned());
     }
 }
 
 /// A border proxy on its own clock, with the fake host beside it.
-pub struct Story {
+pub struct Scenario {
     pub proxy: Proxy,
-    pub host: Fake,
+    pub host: FakeHost,
     pub now: f64,
     /// How many shots there were when the handle was given out; handles come again.
-    began: HashMap<Handle, usize>,
+    attempts_before: HashMap<Handle, usize>,
 }
 
 pub fn terms() -> Terms {
@@ -81,35 +81,39 @@
     }
 }
 
-pub fn line(server: u32, state: State, started: Option<f64>) -> ServerEntry {
-    ServerEntry { server: Server(server), state, pool: server as u16, started_at: started }
+pub fn server_entry(server: u32, state: State, started_at: Option<f64>) -> ServerEntry {
+    ServerEntry { server: Server(server), state, pool: server as u16, started_at }
 }
 
-impl Story {
+impl Scenario {
     /// A proxy that knows so many running central servers, warm since long ago.
-    pub fn with(servers: u32) -> Self {
-        Self::among(servers, terms())
+    pub fn with_servers(servers: u32) -> Self {
+        Self::with_terms(servers, terms())
     }
 
-    pub fn among(servers: u32, terms: Terms) -> Self {
-        let lines: Vec<ServerEntry> = (0..servers).map(|s| line(s, State::Running, None)).collect();
+    pub fn with_terms(servers: u32, terms: Terms) -> Self {
+        let entries: Vec<ServerEntry> =
+            (0..servers).map(|server| server_entry(server, State::Running, None)).collect();
         let proxy = Proxy::new(terms, 7, 0.0);
-        let mut story = Self { proxy, host: Fake::default(), now: 0.0, began: HashMap::new() };
-        story.list(&lines);
-        story
+        let mut scenario =
+            Self { proxy, host: FakeHost::default(), now: 0.0, attempts_before: HashMap::new() };
+        scenario.update_server_list(&entries);
+        scenario
     }
 
-    pub fn list(&mut self, lines: &[ServerEntry]) {
-        self.proxy.update_server_list(lines, false, &mut self.host);
+    pub fn update_server_list(&mut self, entries: &[ServerEntry]) {
+        self.proxy.update_server_list(entries, false, &mut self.host);
         self.proxy.run_pending(&mut self.host);
     }
 
     /// Time goes on; the wakes that fall due are called.
-    pub fn pass(&mut self, span: f64) {
-        let end = self.now + span;
-        while let Some(at) = self.host.wakes.iter().copied().filter(|&at| at <= end).reduce(f64::min) {
-            self.host.wakes.retain(|&w| w != at);
-            self.now = self.now.max(at);
+    pub fn advance(&mut self, duration: f64) {
+        let end = self.now + duration;
+        while let Some(wake_at) =
+            self.host.wake_times.iter().copied().filter(|&wake_at| wake_at <= end).reduce(f64::min)
+        {
+            self.host.wake_times.retain(|&other| other != wake_at);
+            self.now = self.now.max(wake_at);
             self.proxy.advance_clock(self.now);
             self.proxy.run_pending(&mut self.host);
         }
@@ -117,24 +121,24 @@
         self.proxy.advance_clock(end);
     }
 
-    pub fn call(&mut self, grade: usize, first: u16) -> Handle {
-        self.call_of(grade, first, 0)
+    pub fn call(&mut self, grade: usize, preferred_pool: u16) -> Handle {
+        self.call_for_tenant(grade, preferred_pool, 0)
     }
 
-    pub fn call_of(&mut self, grade: usize, first: u16, tenant: usize) -> Handle {
-        self.take(&Call {
+    pub fn call_for_tenant(&mut self, grade: usize, preferred_pool: u16, tenant: usize) -> Handle {
+        self.accept(&Call {
             grade,
             tenant: Some(tenant),
-            preferred_pool: first,
+            preferred_pool,
             number: None,
             remaining: 3000.0,
             redial: false,
         })
     }
 
-    pub fn call_number(&mut self, number: u64) -> Handle {
+    pub fn call_to_number(&mut self, number: u64) -> Handle {
         let number = Some(number);
-        self.take(&Call {
+        self.accept(&Call {
             grade: 0,
             tenant: None,
             preferred_pool: 0,
@@ -145,49 +149,56 @@
     }
 
     /// A call that its caller gives up after `remaining`.
-    pub fn call_left(&mut self, remaining: f64) -> Handle {
-        self.take(&Call { grade: 0, tenant: None, preferred_pool: 0, number: None, remaining, redial: false })
+    pub fn call_with_remaining(&mut self, remaining: f64) -> Handle {
+        self.accept(&Call {
+            grade: 0,
+            tenant: None,
+            preferred_pool: 0,
+            number: None,
+            remaining,
+            redial: false,
+        })
     }
 
-    fn take(&mut self, call: &Call) -> Handle {
+    fn accept(&mut self, call: &Call) -> Handle {
         let handle = self.proxy.accept(call);
-        self.began.insert(handle, self.host.shots.len());
+        self.attempts_before.insert(handle, self.host.attempts.len());
         handle.enqueue(&mut self.proxy);
         self.proxy.run_pending(&mut self.host);
         handle
     }
 
-    pub fn stood(&mut self, handle: Handle) {
+    pub fn establish(&mut self, handle: Handle) {
         handle.established(&mut self.proxy);
         self.proxy.run_pending(&mut self.host);
     }
 
-    pub fn ended(&mut self, handle: Handle, ending: Ending) {
+    pub fn end_attempt(&mut self, handle: Handle, ending: Ending) {
         handle.attempt_ended(&mut self.proxy, ending, ending == Ending::Ok, &mut self.host);
         self.proxy.run_pending(&mut self.host);
     }
 
     /// One conversation, answered `delay` after its shot, unless it is given up before it has one.
-    pub fn answer(&mut self, first: u16, delay: f64) {
-        let handle = self.call(0, first);
-        while self.went(handle).is_empty() && self.proxy.contains(handle) {
-            self.pass(10.0);
+    pub fn complete_call(&mut self, preferred_pool: u16, delay: f64) {
+        let handle = self.call(0, preferred_pool);
+        while self.servers_tried(handle).is_empty() && self.proxy.contains(handle) {
+            self.advance(10.0);
         }
         if self.proxy.contains(handle) {
-            self.pass(delay);
-            self.stood(handle);
-            self.ended(handle, Ending::Ok);
+            self.advance(delay);
+            self.establish(handle);
+            self.end_attempt(handle, Ending::Ok);
         }
     }
 
     /// Where the conversation's shots went.
-    pub fn went(&self, handle: Handle) -> Vec<u32> {
-        let shots = &self.host.shots[self.began[&handle]..];
-        shots.iter().filter(|shot| shot.0 == handle).map(|shot| shot.1).collect()
+    pub fn servers_tried(&self, handle: Handle) -> Vec<u32> {
+        let attempts = &self.host.attempts[self.attempts_before[&handle]..];
+        attempts.iter().filter(|attempt| attempt.0 == handle).map(|attempt| attempt.1).collect()
     }
 
     /// How many shots the central server has had.
-    pub fn shots_at(&self, server: u32) -> usize {
-        self.host.shots.iter().filter(|shot| shot.1 == server).count()
+    pub fn attempts_at(&self, server: u32) -> usize {
+        self.host.attempts.iter().filter(|attempt| attempt.1 == server).count()
     }
 }
--- a/tests/fleet_evidence.rs
+++ b/tests/fleet_evidence.rs
@@ -2,140 +2,144 @@
 
 mod fake;
 
-use fake::{Story, line};
+use fake::{Scenario, server_entry};
 use frostthread::host::{Ending, Report, Server, State, Suspicion};
 use rstest::rstest;
 
-fn suspect(story: &mut Story, strength: f64) {
-    let since = story.now;
-    story.proxy.set_suspicion(Server(0), Some(Suspicion { strength, since }));
+fn suspect(scenario: &mut Scenario, strength: f64) {
+    let since = scenario.now;
+    scenario.proxy.set_suspicion(Server(0), Some(Suspicion { strength, since }));
 }
 
 #[test]
-fn a_suspected_central_server_gets_single_trial_shots_far_apart() {
-    let mut story = Story::with(2);
-    suspect(&mut story, 1.0);
+fn a_suspected_server_gets_single_half_open_attempts_far_apart() {
+    let mut scenario = Scenario::with_servers(2);
+    suspect(&mut scenario, 1.0);
     for _ in 0..60 {
-        let handle = story.call(0, 0);
-        story.pass(50.0);
-        if story.went(handle).last() == Some(&1) {
-            story.stood(handle);
-            story.ended(handle, Ending::Ok);
+        let handle = scenario.call(0, 0);
+        scenario.advance(50.0);
+        if scenario.servers_tried(handle).last() == Some(&1) {
+            scenario.establish(handle);
+            scenario.end_attempt(handle, Ending::Ok);
         }
     }
     // Five proxies at a standing delay of 400 ms: each tries about once in 2 s.
-    assert!((1..=4).contains(&story.shots_at(0)), "{}", story.shots_at(0));
-    assert!(story.shots_at(1) > 30);
+    assert!((1..=4).contains(&scenario.attempts_at(0)), "{}", scenario.attempts_at(0));
+    assert!(scenario.attempts_at(1) > 30);
 }
 
 #[test]
-fn one_answer_here_outweighs_all_others_words() {
-    let mut story = Story::with(2);
-    suspect(&mut story, 9.0);
-    story.pass(1.0);
-    while story.shots_at(0) == 0 {
-        let handle = story.call(0, 0);
-        story.pass(40.0);
-        story.stood(handle);
-        story.ended(handle, Ending::Ok);
+fn one_answer_to_this_proxy_outweighs_all_suspicions() {
+    let mut scenario = Scenario::with_servers(2);
+    suspect(&mut scenario, 9.0);
+    scenario.advance(1.0);
+    while scenario.attempts_at(0) == 0 {
+        let handle = scenario.call(0, 0);
+        scenario.advance(40.0);
+        scenario.establish(handle);
+        scenario.end_attempt(handle, Ending::Ok);
     }
-    let before = story.shots_at(0);
-    (0..5).for_each(|_| story.answer(0, 50.0));
-    assert_eq!(story.shots_at(0), before + 5);
+    let before = scenario.attempts_at(0);
+    (0..5).for_each(|_| scenario.complete_call(0, 50.0));
+    assert_eq!(scenario.attempts_at(0), before + 5);
 }
 
 #[rstest]
-#[case::too_few_say_so(Some(0.5))]
-#[case::taken_back(None)]
-fn a_weak_word_or_one_taken_back_changes_nothing(#[case] strength: Option<f64>) {
-    let mut story = Story::with(2);
-    suspect(&mut story, 1.0);
-    let since = story.now;
-    story.proxy.set_suspicion(Server(0), strength.map(|strength| Suspicion { strength, since }));
-    let handle = story.call(0, 0);
-    assert_eq!(story.went(handle), [0]);
+#[case::too_few_accusers(Some(0.5))]
+#[case::withdrawn(None)]
+fn a_weak_or_withdrawn_suspicion_changes_nothing(#[case] strength: Option<f64>) {
+    let mut scenario = Scenario::with_servers(2);
+    suspect(&mut scenario, 1.0);
+    let since = scenario.now;
+    scenario.proxy.set_suspicion(Server(0), strength.map(|strength| Suspicion { strength, since }));
+    let handle = scenario.call(0, 0);
+    assert_eq!(scenario.servers_tried(handle), [0]);
 }
 
 #[test]
-fn a_shot_that_never_left_is_no_answer() {
-    let mut story = Story::with(2);
-    suspect(&mut story, 1.0);
-    story.pass(1.0);
-    let mut trial = None;
+fn an_attempt_that_was_not_sent_does_not_count_as_an_answer() {
+    let mut scenario = Scenario::with_servers(2);
+    suspect(&mut scenario, 1.0);
+    scenario.advance(1.0);
+    let mut half_open = None;
     for _ in 0..200 {
-        let handle = story.call(0, 0);
-        story.pass(50.0);
-        if story.went(handle) == [0] {
-            trial = Some(handle);
+        let handle = scenario.call(0, 0);
+        scenario.advance(50.0);
+        if scenario.servers_tried(handle) == [0] {
+            half_open = Some(handle);
             break;
         }
-        story.stood(handle);
-        story.ended(handle, Ending::Ok);
+        scenario.establish(handle);
+        scenario.end_attempt(handle, Ending::Ok);
     }
-    story.ended(trial.expect("a trial shot"), Ending::NotSent);
-    let handle = story.call(0, 0);
-    assert_eq!(story.went(handle), [1]);
+    scenario.end_attempt(half_open.expect("a trial shot"), Ending::NotSent);
+    let handle = scenario.call(0, 0);
+    assert_eq!(scenario.servers_tried(handle), [1]);
 }
 
 #[test]
-fn no_more_shots_go_than_the_fleets_limit_leaves_and_those_kept_away_are_counted_once() {
-    let mut story = Story::with(2);
-    assert_eq!(story.proxy.set_fleet_limit(Server(0), Some(1)), 0);
-    assert_eq!(story.proxy.set_fleet_limit(Server(1), Some(0)), 0);
-    let (first, second) = (story.call(0, 0), story.call(0, 0));
-    assert_eq!((story.went(first), story.went(second)), (vec![0], vec![]));
-    story.pass(200.0);
-    assert_eq!(story.proxy.set_fleet_limit(Server(0), Some(0)), 1, "though it was tried in each beat");
-    assert_eq!(story.proxy.set_fleet_limit(Server(0), Some(1)), 0);
-    story.ended(first, Ending::Ok);
-    assert_eq!(story.went(second), [0]);
+fn no_more_attempts_go_than_the_fleet_limit_allows_and_each_withheld_call_is_counted_once() {
+    let mut scenario = Scenario::with_servers(2);
+    assert_eq!(scenario.proxy.set_fleet_limit(Server(0), Some(1)), 0);
+    assert_eq!(scenario.proxy.set_fleet_limit(Server(1), Some(0)), 0);
+    let (first, second) = (scenario.call(0, 0), scenario.call(0, 0));
+    assert_eq!((scenario.servers_tried(first), scenario.servers_tried(second)), (vec![0], vec![]));
+    scenario.advance(200.0);
+    assert_eq!(scenario.proxy.set_fleet_limit(Server(0), Some(0)), 1, "though it was tried in each beat");
+    assert_eq!(scenario.proxy.set_fleet_limit(Server(0), Some(1)), 0);
+    scenario.end_attempt(first, Ending::Ok);
+    assert_eq!(scenario.servers_tried(second), [0]);
 }
 
 #[test]
-fn what_the_limit_keeps_from_its_first_choice_goes_elsewhere() {
-    let mut story = Story::with(2);
-    story.proxy.set_fleet_limit(Server(0), Some(0));
-    let handle = story.call(0, 0);
-    assert_eq!(story.went(handle), [1]);
-    assert_eq!(story.proxy.set_fleet_limit(Server(0), Some(0)), 1);
+fn a_call_withheld_from_its_preferred_server_by_the_limit_goes_to_another() {
+    let mut scenario = Scenario::with_servers(2);
+    scenario.proxy.set_fleet_limit(Server(0), Some(0));
+    let handle = scenario.call(0, 0);
+    assert_eq!(scenario.servers_tried(handle), [1]);
+    assert_eq!(scenario.proxy.set_fleet_limit(Server(0), Some(0)), 1);
 }
 
 #[test]
-fn an_allotment_lets_a_busy_proxy_send_a_cold_server_more_than_an_equal_part() {
-    let shots = |allotted: bool| {
-        let mut story = Story::with(2);
-        story.pass(20_000.0);
-        story.list(&[line(0, State::Running, Some(19_900.0))]);
+fn a_fleet_limit_lets_a_busy_proxy_send_a_cold_server_more_than_an_equal_share() {
+    let attempts = |limited: bool| {
+        let mut scenario = Scenario::with_servers(2);
+        scenario.advance(20_000.0);
+        scenario.update_server_list(&[server_entry(0, State::Running, Some(19_900.0))]);
         let report = Report { rate: Some(10.0), ..Report::default() };
-        story.proxy.reported(Server(0), report);
+        scenario.proxy.reported(Server(0), report);
         for _ in 0..40 {
-            story.proxy.set_fleet_limit(Server(0), allotted.then_some(1));
-            story.answer(0, 20.0);
-            story.pass(80.0);
+            scenario.proxy.set_fleet_limit(Server(0), limited.then_some(1));
+            scenario.complete_call(0, 20.0);
+            scenario.advance(80.0);
         }
-        story.shots_at(0)
+        scenario.attempts_at(0)
     };
-    let (equal, more) = (shots(false), shots(true));
-    assert!(more > 2 * equal, "{more} and {equal}");
+    let (without_limit, with_limit) = (attempts(false), attempts(true));
+    assert!(with_limit > 2 * without_limit, "{with_limit} and {without_limit}");
 }
 
 #[test]
-fn an_allotment_opens_nothing_that_the_rules_or_the_test_close() {
-    let mut story = Story::with(2);
-    story.list(&[line(0, State::Draining, None)]);
-    story.proxy.set_fleet_limit(Server(0), Some(100));
-    let handle = story.call(0, 0);
-    assert_eq!(story.went(handle), [1]);
-    assert_eq!(story.proxy.set_fleet_limit(Server(0), Some(100)), 0, "the limit is not what keeps it away");
+fn a_fleet_limit_does_not_open_a_server_that_other_rules_close() {
+    let mut scenario = Scenario::with_servers(2);
+    scenario.update_server_list(&[server_entry(0, State::Draining, None)]);
+    scenario.proxy.set_fleet_limit(Server(0), Some(100));
+    let handle = scenario.call(0, 0);
+    assert_eq!(scenario.servers_tried(handle), [1]);
+    assert_eq!(
+        scenario.proxy.set_fleet_limit(Server(0), Some(100)),
+        0,
+        "the limit is not what keeps it away"
+    );
 }
 
 #[test]
-fn a_limit_that_is_withdrawn_while_shots_are_out_leaves_them_and_all_else_as_it_was() {
-    let mut story = Story::with(1);
-    story.proxy.set_fleet_limit(Server(0), Some(1));
-    let out = story.call(0, 0);
-    let held = story.call(0, 0);
-    story.proxy.set_fleet_limit(Server(0), None);
-    story.stood(out);
-    assert_eq!((story.went(out), story.went(held)), (vec![0], vec![0]));
+fn withdrawing_a_limit_leaves_attempts_in_flight_and_other_state_unchanged() {
+    let mut scenario = Scenario::with_servers(1);
+    scenario.proxy.set_fleet_limit(Server(0), Some(1));
+    let in_flight = scenario.call(0, 0);
+    let held = scenario.call(0, 0);
+    scenario.proxy.set_fleet_limit(Server(0), None);
+    scenario.establish(in_flight);
+    assert_eq!((scenario.servers_tried(in_flight), scenario.servers_tried(held)), (vec![0], vec![0]));
 }
--- a/tests/lines.rs
+++ b/tests/lines.rs
@@ -2,231 +2,237 @@
 
 mod fake;
 
-use fake::{Story, terms};
+use fake::{Scenario, terms};
 use frostthread::host::{Ending, Report, Server, Terms};
 use rstest::rstest;
 
 #[test]
-fn a_silent_central_server_stops_taking_work_before_any_time_out() {
-    let mut story = Story::with(2);
+fn a_silent_server_stops_getting_attempts_before_any_timeout() {
+    let mut scenario = Scenario::with_servers(2);
     for _ in 0..12 {
-        let handle = story.call(0, 0);
-        if story.went(handle) == [1] {
-            story.pass(30.0);
-            story.stood(handle);
-            story.ended(handle, Ending::Ok);
+        let handle = scenario.call(0, 0);
+        if scenario.servers_tried(handle) == [1] {
+            scenario.advance(30.0);
+            scenario.establish(handle);
+            scenario.end_attempt(handle, Ending::Ok);
         }
     }
-    assert!(story.shots_at(0) <= 3, "shots still out fill its line: {:?}", story.host);
-    assert!(story.shots_at(1) >= 9, "the rest goes elsewhere");
+    assert!(scenario.attempts_at(0) <= 3, "shots still out fill its line: {:?}", scenario.host);
+    assert!(scenario.attempts_at(1) >= 9, "the rest goes elsewhere");
 }
 
 #[test]
-fn a_jammed_line_is_narrowed_and_opens_again() {
-    let mut story = Story::with(1);
-    (0..2).for_each(|_| story.answer(0, 1500.0));
-    let both = [story.call(0, 0), story.call(0, 0)];
-    assert!(both.iter().any(|&h| story.went(h).is_empty()), "late answers have narrowed the line");
-    story.pass(2900.0);
+fn an_overloaded_server_gets_a_lower_limit_that_recovers() {
+    let mut scenario = Scenario::with_servers(1);
+    (0..2).for_each(|_| scenario.complete_call(0, 1500.0));
+    let both = [scenario.call(0, 0), scenario.call(0, 0)];
+    assert!(
+        both.iter().any(|&h| scenario.servers_tried(h).is_empty()),
+        "late answers have narrowed the line"
+    );
+    scenario.advance(2900.0);
     for handle in both {
-        story.ended(handle, Ending::Ok);
+        scenario.end_attempt(handle, Ending::Ok);
     }
-    (0..40).for_each(|_| story.answer(0, 60.0));
-    let both = [story.call(0, 0), story.call(0, 0)];
-    assert!(both.iter().all(|&h| story.went(h) == [0]), "quick answers have opened it again");
+    (0..40).for_each(|_| scenario.complete_call(0, 60.0));
+    let both = [scenario.call(0, 0), scenario.call(0, 0)];
+    assert!(both.iter().all(|&h| scenario.servers_tried(h) == [0]), "quick answers have opened it again");
 }
 
 #[rstest]
 #[case::one_of_few(5, 1)]
 #[case::one_of_hundreds(250, 0)]
-fn one_late_answer_rests_the_line_of_one_proxy_among_hundreds(#[case] proxies: u32, #[case] shots: usize) {
-    let mut story = Story::among(1, Terms { proxies, ..terms() });
+fn one_late_answer_cools_down_one_proxy_among_hundreds(#[case] proxies: u32, #[case] attempts: usize) {
+    let mut scenario = Scenario::with_terms(1, Terms { proxies, ..terms() });
     (0..6).for_each(|_| {
-        story.answer(0, 60.0);
-        story.pass(3000.0);
+        scenario.complete_call(0, 60.0);
+        scenario.advance(3000.0);
     });
-    story.answer(0, 1500.0);
+    scenario.complete_call(0, 1500.0);
     // One that has little traffic of its own sees a jam by one answer in seconds.
-    story.pass(1000.0);
-    let next = story.call(0, 0);
-    assert_eq!(story.went(next).len(), shots);
+    scenario.advance(1000.0);
+    let next = scenario.call(0, 0);
+    assert_eq!(scenario.servers_tried(next).len(), attempts);
 }
 
 #[test]
-fn a_resting_line_is_open_to_high_earners_first_but_not_to_be_tried_by_them() {
-    let waits = |grade, latest| {
-        let mut story = Story::among(1, Terms { proxies: 250, ..terms() });
-        story.answer(0, latest);
-        let since = story.now;
-        while story.shots_at(0) == 1 {
-            story.call(grade, 0);
-            story.pass(250.0);
+fn a_cooling_server_opens_to_high_earnings_first_unless_its_latest_answer_was_late() {
+    let wait_until_sent = |grade, latest_delay| {
+        let mut scenario = Scenario::with_terms(1, Terms { proxies: 250, ..terms() });
+        scenario.complete_call(0, latest_delay);
+        let since = scenario.now;
+        while scenario.attempts_at(0) == 1 {
+            scenario.call(grade, 0);
+            scenario.advance(250.0);
         }
-        story.now - since
+        scenario.now - since
     };
-    let part = |latest| waits(1, latest) / waits(0, latest);
-    assert!(part(60.0) <= 0.2, "a line that answers well is for the high earners");
-    assert!(part(1500.0) > 0.2, "one whose latest answer was late is not for them to try");
+    let wait_ratio = |latest_delay| wait_until_sent(1, latest_delay) / wait_until_sent(0, latest_delay);
+    assert!(wait_ratio(60.0) <= 0.2, "a line that answers well is for the high earners");
+    assert!(wait_ratio(1500.0) > 0.2, "one whose latest answer was late is not for them to try");
 }
 
 #[test]
-fn a_cut_does_not_narrow_a_line() {
-    let mut story = Story::with(1);
+fn a_reset_does_not_lower_the_limit() {
+    let mut scenario = Scenario::with_servers(1);
     for _ in 0..4 {
-        let handle = story.call(0, 0);
-        story.pass(20.0);
-        story.ended(handle, Ending::Reset);
-        story.pass(400.0);
-        story.stood(handle);
-        story.ended(handle, Ending::Ok);
+        let handle = scenario.call(0, 0);
+        scenario.advance(20.0);
+        scenario.end_attempt(handle, Ending::Reset);
+        scenario.advance(400.0);
+        scenario.establish(handle);
+        scenario.end_attempt(handle, Ending::Ok);
     }
-    let both = [story.call(0, 0), story.call(0, 0)];
-    assert!(both.iter().all(|&h| story.went(h) == [0]));
+    let both = [scenario.call(0, 0), scenario.call(0, 0)];
+    assert!(both.iter().all(|&h| scenario.servers_tried(h) == [0]));
 }
 
 #[test]
-fn a_refused_connection_closes_its_line_but_for_single_shots() {
-    let mut story = Story::with(2);
-    let first = story.call(0, 0);
-    story.ended(first, Ending::NoConnection);
+fn a_refused_connection_closes_the_server_except_for_single_attempts() {
+    let mut scenario = Scenario::with_servers(2);
+    let first = scenario.call(0, 0);
+    scenario.end_attempt(first, Ending::NoConnection);
     for _ in 0..6 {
-        story.call(0, 0);
+        scenario.call(0, 0);
     }
-    assert_eq!(story.shots_at(0), 1, "the others found it resting, though a line takes more at first");
+    assert_eq!(scenario.attempts_at(0), 1, "the others found it resting, though a line takes more at first");
 }
 
 #[test]
-fn after_a_refused_connection_one_of_hundreds_comes_back_within_two_windows() {
-    let mut story = Story::among(2, Terms { proxies: 286, may_probe: false, ..terms() });
-    let answer = |story: &mut Story| {
-        let handle = story.call(1, 0);
-        story.pass(20.0);
-        if story.went(handle).is_empty() {
-            return handle.caller_gone(&mut story.proxy);
+fn after_a_refused_connection_one_proxy_of_hundreds_returns_within_two_windows() {
+    let mut scenario = Scenario::with_terms(2, Terms { proxies: 286, may_probe: false, ..terms() });
+    let complete_if_sent = |scenario: &mut Scenario| {
+        let handle = scenario.call(1, 0);
+        scenario.advance(20.0);
+        if scenario.servers_tried(handle).is_empty() {
+            return handle.caller_gone(&mut scenario.proxy);
         }
-        story.stood(handle);
-        story.ended(handle, Ending::Ok);
+        scenario.establish(handle);
+        scenario.end_attempt(handle, Ending::Ok);
     };
-    answer(&mut story);
-    let handle = story.call(1, 0);
-    story.ended(handle, Ending::NoConnection);
-    handle.caller_gone(&mut story.proxy);
-    story.pass(2000.0);
-    answer(&mut story);
-    assert_eq!(story.shots_at(0), 2, "not at once");
-    story.pass(6000.0);
-    answer(&mut story);
-    assert_eq!(story.shots_at(0), 3);
-    story.pass(1000.0);
-    answer(&mut story);
-    assert_eq!(story.shots_at(0), 4, "and is soon as open as a new one");
+    complete_if_sent(&mut scenario);
+    let handle = scenario.call(1, 0);
+    scenario.end_attempt(handle, Ending::NoConnection);
+    handle.caller_gone(&mut scenario.proxy);
+    scenario.advance(2000.0);
+    complete_if_sent(&mut scenario);
+    assert_eq!(scenario.attempts_at(0), 2, "not at once");
+    scenario.advance(6000.0);
+    complete_if_sent(&mut scenario);
+    assert_eq!(scenario.attempts_at(0), 3);
+    scenario.advance(1000.0);
+    complete_if_sent(&mut scenario);
+    assert_eq!(scenario.attempts_at(0), 4, "and is soon as open as a new one");
 }
 
 #[test]
-fn a_line_that_rests_for_long_is_probed_and_opened_by_a_told_rate_near_the_best() {
-    let mut story = Story::among(2, Terms { proxies: 250, ..terms() });
-    let say = |story: &mut Story, rate| {
-        story.proxy.reported(Server(0), Report { rate: Some(rate), ..Report::default() });
+fn a_long_cool_down_is_probed_and_ended_by_a_reported_rate_near_the_best() {
+    let mut scenario = Scenario::with_terms(2, Terms { proxies: 250, ..terms() });
+    let report = |scenario: &mut Scenario, rate| {
+        scenario.proxy.reported(Server(0), Report { rate: Some(rate), ..Report::default() });
     };
-    say(&mut story, 100.0);
-    story.answer(0, 1500.0);
-    say(&mut story, 100.0);
-    story.answer(0, 20.0);
-    assert_eq!(story.shots_at(0), 1, "such word may be older than the jam");
+    report(&mut scenario, 100.0);
+    scenario.complete_call(0, 1500.0);
+    report(&mut scenario, 100.0);
+    scenario.complete_call(0, 20.0);
+    assert_eq!(scenario.attempts_at(0), 1, "such word may be older than the jam");
     for _ in 0..250 {
-        story.answer(1, 20.0);
-        story.pass(80.0);
+        scenario.complete_call(1, 20.0);
+        scenario.advance(80.0);
     }
-    assert!(story.host.probes.contains(&0));
-    assert_eq!(story.shots_at(0), 1, "still at rest");
-    say(&mut story, 100.0);
-    story.answer(0, 20.0);
-    assert_eq!(story.shots_at(0), 2);
+    assert!(scenario.host.probes.contains(&0));
+    assert_eq!(scenario.attempts_at(0), 1, "still at rest");
+    report(&mut scenario, 100.0);
+    scenario.complete_call(0, 20.0);
+    assert_eq!(scenario.attempts_at(0), 2);
 }
 
 #[test]
-fn a_wait_over_any_time_limit_is_not_believed() {
-    let mut story = Story::among(1, Terms { respect_retry_after: true, ..terms() });
-    story.proxy.reported(Server(0), Report { retry_after: Some(9001.0), ..Report::default() });
-    story.answer(0, 20.0);
-    assert_eq!(story.shots_at(0), 1);
+fn a_retry_time_over_any_time_limit_is_ignored() {
+    let mut scenario = Scenario::with_terms(1, Terms { respect_retry_after: true, ..terms() });
+    scenario.proxy.reported(Server(0), Report { retry_after: Some(9001.0), ..Report::default() });
+    scenario.complete_call(0, 20.0);
+    assert_eq!(scenario.attempts_at(0), 1);
 }
 
 #[test]
-fn a_server_that_turned_a_shot_back_is_left_alone_for_as_long_as_it_asked() {
-    let mut story = Story::among(2, Terms { respect_retry_after: true, ..terms() });
-    let handle = story.call(0, 0);
-    let stay_away = Some(800.0);
-    story.proxy.reported(Server(0), Report { retry_after: stay_away, ..Report::default() });
-    story.ended(handle, Ending::Rejected);
-    assert_eq!(story.went(handle), [0, 1], "the other is sound");
-    story.answer(0, 20.0);
-    assert_eq!(story.shots_at(0), 1);
-    story.pass(800.0);
-    story.answer(0, 20.0);
-    assert_eq!(story.shots_at(0), 2);
+fn a_server_that_rejected_an_attempt_gets_none_for_as_long_as_it_requested() {
+    let mut scenario = Scenario::with_terms(2, Terms { respect_retry_after: true, ..terms() });
+    let handle = scenario.call(0, 0);
+    let retry_after = Some(800.0);
+    scenario.proxy.reported(Server(0), Report { retry_after, ..Report::default() });
+    scenario.end_attempt(handle, Ending::Rejected);
+    assert_eq!(scenario.servers_tried(handle), [0, 1], "the other is sound");
+    scenario.complete_call(0, 20.0);
+    assert_eq!(scenario.attempts_at(0), 1);
+    scenario.advance(800.0);
+    scenario.complete_call(0, 20.0);
+    assert_eq!(scenario.attempts_at(0), 2);
 }
 
 #[test]
-fn a_nack_for_want_of_lines_fails_the_server_until_lines_are_told() {
-    let mut story = Story::with(2);
-    let handle = story.call(0, 0);
-    story.ended(handle, Ending::NoFreeLine);
-    assert_eq!(story.went(handle), [0, 1]);
-    let next = story.call(0, 0);
-    assert_eq!(story.went(next), [1]);
-    story.proxy.reported(Server(0), Report { free: Some(3.0), ..Report::default() });
-    let both = [story.call(0, 0), story.call(0, 0)];
-    assert!(both.iter().all(|&h| story.went(h) == [0]), "its line was not narrowed");
+fn a_rejection_without_free_lines_closes_the_server_until_lines_are_reported() {
+    let mut scenario = Scenario::with_servers(2);
+    let handle = scenario.call(0, 0);
+    scenario.end_attempt(handle, Ending::NoFreeLine);
+    assert_eq!(scenario.servers_tried(handle), [0, 1]);
+    let next = scenario.call(0, 0);
+    assert_eq!(scenario.servers_tried(next), [1]);
+    scenario.proxy.reported(Server(0), Report { free: Some(3.0), ..Report::default() });
+    let both = [scenario.call(0, 0), scenario.call(0, 0)];
+    assert!(both.iter().all(|&h| scenario.servers_tried(h) == [0]), "its line was not narrowed");
 }
 
 #[test]
-fn a_shot_of_more_than_twice_the_standing_delay_shrinks_its_line() {
-    let mut story = Story::with(1);
-    (0..60).for_each(|_| story.answer(0, 40.0));
-    let first = story.call(0, 0);
-    story.pass(2500.0);
-    let next = story.call(0, 0);
-    assert!(story.went(next).is_empty(), "the line had room for two, but its oldest tells of a jam");
-    story.stood(first);
-    story.pass(2000.0);
-    assert!(story.went(next).len() <= 1);
+fn an_attempt_older_than_twice_the_target_delay_lowers_the_limit() {
+    let mut scenario = Scenario::with_servers(1);
+    (0..60).for_each(|_| scenario.complete_call(0, 40.0));
+    let first = scenario.call(0, 0);
+    scenario.advance(2500.0);
+    let next = scenario.call(0, 0);
+    assert!(
+        scenario.servers_tried(next).is_empty(),
+        "the line had room for two, but its oldest tells of a jam"
+    );
+    scenario.establish(first);
+    scenario.advance(2000.0);
+    assert!(scenario.servers_tried(next).len() <= 1);
 }
 
 #[test]
-fn calls_that_no_server_can_use_close_none_and_are_not_sent_on_and_on() {
-    let mut story = Story::with(2);
-    (0..60).for_each(|_| story.answer(0, 40.0));
-    (0..60).for_each(|_| story.answer(1, 40.0));
+fn calls_that_no_server_can_set_up_close_none_and_are_not_retried_forever() {
+    let mut scenario = Scenario::with_servers(2);
+    (0..60).for_each(|_| scenario.complete_call(0, 40.0));
+    (0..60).for_each(|_| scenario.complete_call(1, 40.0));
     for _ in 0..20 {
-        let senseless = story.call(0, 0);
-        story.ended(senseless, Ending::Error);
-        story.pass(1.0);
-        story.ended(senseless, Ending::Error);
-        assert_eq!(story.went(senseless), [0, 1], "two have said so");
-        story.answer(0, 40.0);
-        story.answer(1, 40.0);
+        let faulty = scenario.call(0, 0);
+        scenario.end_attempt(faulty, Ending::Error);
+        scenario.advance(1.0);
+        scenario.end_attempt(faulty, Ending::Error);
+        assert_eq!(scenario.servers_tried(faulty), [0, 1], "two have said so");
+        scenario.complete_call(0, 40.0);
+        scenario.complete_call(1, 40.0);
     }
-    let sound = story.call(0, 0);
-    assert_eq!(story.went(sound), [0]);
+    let valid = scenario.call(0, 0);
+    assert_eq!(scenario.servers_tried(valid), [0]);
 }
 
 #[test]
 fn a_server_that_fails_what_others_can_set_up_is_closed() {
-    let mut story = Story::with(2);
-    (0..60).for_each(|_| story.answer(0, 40.0));
-    let mut met = 0;
+    let mut scenario = Scenario::with_servers(2);
+    (0..60).for_each(|_| scenario.complete_call(0, 40.0));
+    let mut faults = 0;
     for _ in 0..20 {
-        let handle = story.call(0, 0);
-        if story.went(handle) == [0] {
-            met += 1;
-            story.ended(handle, Ending::Error);
-            story.pass(1.0);
+        let handle = scenario.call(0, 0);
+        if scenario.servers_tried(handle) == [0] {
+            faults += 1;
+            scenario.end_attempt(handle, Ending::Error);
+            scenario.advance(1.0);
         }
-        story.stood(handle);
-        story.ended(handle, Ending::Ok);
+        scenario.establish(handle);
+        scenario.end_attempt(handle, Ending::Ok);
     }
-    assert!((1..10).contains(&met), "{met}");
-    let next = story.call(0, 0);
-    assert_eq!(story.went(next), [1]);
+    assert!((1..10).contains(&faults), "{faults}");
+    let next = scenario.call(0, 0);
+    assert_eq!(scenario.servers_tried(next), [1]);
 }
