--- a/src/choice/called_number.rs
+++ b/src/choice/called_number.rs
@@ -1,15 +1,17 @@
-//! Called numbers whose lines are busy, or that were lately given up.
+//! Called numbers with busy lines or with recently refused calls.
 
 use super::*;
 
-/// A called number that was lately given up, or whose lines were all busy.
+/// A called number with a recently refused call, or whose lines were all busy.
 #[derive(Clone)]
 pub(super) struct CalledNumber {
-    /// When its caller's first try was taken, and when that was last given up.
+    /// When its caller's first try was accepted.
     pub(super) first_accepted_at: f64,
+    /// When a call to it was last refused, found it busy, or was established during a backoff.
     pub(super) last_seen_at: f64,
-    /// No shot for it before this; the gap between shots, which grows while its lines stay busy.
+    /// No attempt to it before this time.
     pub(super) not_before: f64,
+    /// Pause between attempts, which grows while its lines stay busy.
     pub(super) backoff: f64,
 }
 
@@ -25,14 +27,14 @@
 }
 
 impl Proxy {
-    /// Departure: a number whose lines were all busy gets no shot until its gap is over, since each would
-    /// cost every central server work for nothing.
+    /// Departure from the design: a number whose lines were all busy gets no attempt until its backoff is
+    /// over, since each attempt would cost any central server work without result.
     pub(super) fn is_backing_off(&self, number: u64) -> bool {
         self.called_numbers.get(&number).is_some_and(|n| self.now < n.not_before)
     }
 
-    /// Widens a number's gap when its lines are all busy, and narrows it when a conversation stands. True
-    /// when the gap reaches its full width.
+    /// Doubles a number's backoff when its lines are all busy, and halves it when a conversation is
+    /// established. Returns whether the backoff has just reached its maximum, the window.
     pub(super) fn update_backoff(&mut self, number: u64, busy: bool) -> bool {
         let now = self.now;
         if busy {
--- a/src/choice/central.rs
+++ b/src/choice/central.rs
@@ -1,68 +1,75 @@
-//! All that is known of one central server.
+//! What this proxy knows about one central server.
 
 use super::*;
 
-/// A shot on its line to a central server, still out.
+/// An attempt that was sent to a central server and has not ended.
 #[derive(Clone)]
 pub(super) struct InFlight {
     pub(super) handle: Handle,
     pub(super) sent_at: f64,
-    /// A later one stands. Lines are served in turn, so this one is lost, not late.
+    /// A later attempt was answered first. Set-ups are served in order, so this one is lost, not late.
     pub(super) superseded: bool,
     pub(super) cancelled: bool,
 }
 
+/// State of one central server.
 #[derive(Clone, Default)]
 pub(super) struct Central {
     pub(super) state: State,
     pub(super) pool: u16,
     pub(super) started_at: f64,
-    /// No shot before this while it is cold, and the span that it was drawn from.
+    /// No attempt before this time while the server is cold, and the duration that it was drawn from.
     pub(super) cold_entry: (f64, f64),
-    /// No probe before this; not set until one is first thought of.
+    /// No probe before this time; negative infinity until the first probe is scheduled.
     pub(super) next_probe_at: f64,
+    /// Time and ratio of each sample in the window.
     pub(super) samples: VecDeque<(f64, f64)>,
     pub(super) histogram: Histogram,
-    /// When set-ups were sent, over the window.
+    /// When set-ups were sent, within the window.
     pub(super) sent_times: VecDeque<f64>,
     pub(super) in_flight: Vec<InFlight>,
-    /// How many shots may be out at once; under one, the share of the time that one may.
+    /// How many attempts may be in flight; below 1, the share of the time in which one may be.
     pub(super) concurrency_limit: f64,
-    /// Spreads the part of an allowance over whole shots.
+    /// Random value that turns the fractional part of the limit into whole attempts.
     pub(super) dither: f64,
     pub(super) limit_cut_at: f64,
-    /// Under one shot at once the line rests after an answer: since when, and how long for mean earnings.
+    /// With a limit below 1 the server gets no attempt for a while after an answer: since when.
     pub(super) cool_down_since: f64,
+    /// How long that pause is for a call with mean earnings.
     pub(super) cool_down: f64,
-    /// Its standing in the draw, and when that was last moved.
+    /// Its weight in the random choice, and when that was last updated.
     pub(super) weight: f64,
     pub(super) weight_updated_at: f64,
-    /// The delay that its answers have lately had.
+    /// Moving average of the delay of its answers.
     pub(super) mean_delay: f64,
     /// The delay of its latest answer.
     pub(super) latest_delay: f64,
-    /// Free lines when that was last told, and how many there are.
+    /// Free lines of its pool when last reported.
     pub(super) free_lines: f64,
+    /// All lines of its pool.
     pub(super) lines: f64,
-    /// When a shot last came back for want of one.
+    /// When an attempt was last rejected because no line was free.
     pub(super) no_free_line_at: f64,
-    /// How long it usually is from one word of free lines to the next.
+    /// Moving average of the interval between reports of free lines.
     pub(super) lines_report_interval: f64,
     pub(super) free_lines_reported_at: f64,
-    /// Set-ups a second that it can take as it last said, when, and the most that it has said.
+    /// Set-ups per second that it last reported it can handle, when it did, and the highest such report.
     pub(super) reported_rate: f64,
     pub(super) rate_reported_at: f64,
     pub(super) best_reported_rate: f64,
-    /// Whether it has ever said how long a set-up waits there.
+    /// Whether it has ever reported how long a set-up waits there.
     pub(super) reports_wait: bool,
-    /// No shot before this: so it asked when it turned one back.
+    /// No attempt before this time, as the server requested when it rejected one.
     pub(super) retry_at: f64,
-    /// Others' word that it is silent, when it was last heard from here, and no shot before this meanwhile.
+    /// Reports of other proxies that it is silent.
     pub(super) suspicion: Option<Suspicion>,
+    /// When this proxy last received an answer from it.
     pub(super) last_heard_at: f64,
+    /// While it is suspected, no half-open attempt before this time.
     pub(super) next_half_open_at: f64,
-    /// How many shots the whole fleet's limit leaves here now, and conversations that it alone kept away.
+    /// How many attempts the fleet-wide limit still allows this proxy now.
     pub(super) fleet_limit: Option<u32>,
+    /// How many conversations that limit alone has withheld.
     pub(super) withheld_by_limit: u32,
 }
 
@@ -98,13 +105,15 @@
         }
     }
 
-    /// All proxies are to have entered within this span, if that is shorter: each draw is drawn closer alike,
-    /// since the sooner of two draws would let in as many as both spans together.
+    /// Makes all proxies send their first attempt within `duration`, if that is shorter than before. The time
+    /// that was drawn is scaled, since the earlier of two draws would admit as many as both durations
+    /// together.
     pub(super) fn shorten_cold_entry(&mut self, now: f64, duration: f64) {
         let duration = duration.min(self.cold_entry.1);
         self.cold_entry = (now + (self.cold_entry.0 - now).max(0.0) * duration / self.cold_entry.1, duration);
     }
 
+    /// Removes samples and send times from before `cutoff`.
     pub(super) fn forget_before(&mut self, cutoff: f64) {
         while self.samples.front().is_some_and(|sample| sample.0 < cutoff) {
             let (_, ratio) = self.samples.pop_front().expect("just seen");
@@ -120,12 +129,12 @@
         self.histogram.record(ratio);
     }
 
-    /// Whether it has ever said how many set-ups it can take.
+    /// Whether it has ever reported how many set-ups it can handle.
     pub(super) fn reports_rate(&self) -> bool {
         self.rate_reported_at > f64::NEG_INFINITY
     }
 
-    /// The shots that stand in line there.
+    /// The attempts that are still expected to be answered.
     pub(super) fn queued(&self) -> impl Iterator<Item = &InFlight> {
         self.in_flight.iter().filter(|attempt| !attempt.superseded)
     }
--- a/src/choice/cold.rs
+++ b/src/choice/cold.rs
@@ -1,28 +1,30 @@
-//! Central servers that have just started: guarded by each proxy alone, and probed.
+//! Protection and probing of central servers that have just started.
 
 use super::*;
 
-/// A cold central server is probed about once in such a part of the time that it takes to be warm, one whose
-/// line rests for long about once in so many windows.
+/// Mean interval between probes of a cold central server, as a share of the cold duration.
 const PROBE_INTERVAL_IN_COLD_DURATIONS: f64 = 0.25;
+/// Mean interval between probes of a central server in a long cool-down, in windows.
 const PROBE_INTERVAL_IN_WINDOWS: f64 = 2.0;
-/// An answer of a cold central server is quick under this share of the work that would push it over.
+/// An answer of a cold central server is quick up to this share of the work, in milliseconds, that would
+/// overload the server.
 const QUICK_COLD_ANSWER_SHARE: f64 = 0.25;
-/// How much more than its part of the told rate a proxy sends to a cold one that is quick.
+/// Factor on the share of the reported rate that a proxy sends to a cold server with quick answers.
 const QUICK_COLD_RATE_FACTOR: f64 = 1.5;
-/// Set-ups that any central server is taken to do in the span of a fall, however cold, and the part of what
-/// its lines turn over that its processor is taken to serve: speeds differ widely.
+/// Set-ups that any central server is assumed to handle in the overload duration, however cold.
 const MIN_COLD_SETUPS: f64 = 1.0;
+/// Share of the turnover of its lines that its processor is assumed to handle, since speeds differ widely.
 const COLD_TURNOVER_SHARE: f64 = 0.25;
 
 impl Proxy {
-    /// Guards a central server that has just started, by this proxy alone. Where it tells its rate it gets
-    /// this proxy's part of that, and somewhat more while it answers quickly. Else it gets this proxy's part
-    /// of what it could bear, entered at a time drawn by chance, and beyond that single shots while it
-    /// answers quickly. What others carry tells nothing: their speeds differ widely.
+    /// Whether a central server that has just started gets no attempt from this proxy now. If the server
+    /// reports its rate, it gets this proxy's share of that, and somewhat more while it answers quickly.
+    /// Otherwise it gets this proxy's share of the load that it can tolerate, from a random start time on,
+    /// and more than that only as single attempts while it answers quickly. The load of other servers is no
+    /// guide, since their speeds differ widely.
     pub(super) fn is_too_cold(&self, central: &Central) -> bool {
-        // Departure: under a limit of the whole fleet no proxy need keep to an equal part, which starves busy
-        // ones.
+        // Departure from the design: under a fleet-wide limit no proxy has to keep to an equal share, which
+        // would starve busy proxies.
         let has_fleet_limit = central.fleet_limit.is_some() && central.reports_rate();
         if self.now - central.started_at >= self.terms.cold_duration || has_fleet_limit {
             return false;
@@ -51,11 +53,12 @@
         self.now < next_send_at.max(central.cold_entry.0)
     }
 
-    /// A proxy's part of what a cold central server may get, as the gap between its shots. Departure: where
-    /// its lines are told, what turns over on them is the guide, times the share of its capacity that it
-    /// starts with. Guards against starving a new one for all its cold time where it can't be probed and its
-    /// rate comes only with a conversation's end; holds for any start. Hurts one with far more lines than its
-    /// processor can serve, and of that `COLD_TURNOVER_SHARE` takes account.
+    /// The interval between this proxy's attempts at a cold central server, in milliseconds. Departure from
+    /// the design: if the server reports its lines, the limit is the turnover of those lines times the share
+    /// of its capacity that it starts with. This guards against starving a new server for its whole cold
+    /// duration where it cannot be probed and reports its rate only at the end of a conversation. It applies
+    /// to any start. It hurts a server with far more lines than its processor can serve;
+    /// `COLD_TURNOVER_SHARE` allows for that.
     pub(super) fn cold_interval(&self, lines: f64) -> f64 {
         let (terms, overload_duration) = (&self.terms, self.terms.overload_duration);
         let setups =
@@ -63,9 +66,10 @@
         overload_duration * f64::from(terms.proxies) / (terms.overload_factor * setups.max(MIN_COLD_SETUPS))
     }
 
-    /// Departure: where rates are told, a cold central server is probed now and then, and one whose line has
-    /// rested for over a window, since hundreds of proxies with few shots each would leave it idle for long
-    /// after a jam. Costs the probes' work; a rate told too high ends rests too soon.
+    /// Departure from the design: where rates are reported, this proxy occasionally probes cold central
+    /// servers and those in a cool-down of more than a window. Otherwise hundreds of proxies with few
+    /// attempts each would leave a server idle for long after an overload. It costs the work for the probes,
+    /// and a reported rate that is too high ends cool-downs too early.
     pub(super) fn probe(&mut self, host: &mut impl Host) {
         if !self.terms.may_probe || !self.centrals.iter().flatten().any(Central::reports_rate) {
             return;
@@ -83,11 +87,11 @@
                 continue;
             };
             if central.state == State::Running && now >= central.next_probe_at {
-                // The first wait is drawn from the start on, so that the proxies do not all ask at once.
+                // The first interval is random from 0 on, so that not all proxies probe at the same time.
                 let first = central.next_probe_at == f64::NEG_INFINITY;
                 central.next_probe_at =
                     now + interval * (self.rng.random::<f64>() + if first { 0.0 } else { 0.5 });
-                // Answers that came meanwhile have told what a probe would ask for.
+                // Recent answers have already reported what a probe would request.
                 if !first && now - central.rate_reported_at >= interval {
                     host.probe(Server(i as u32));
                 }
--- a/src/choice/intake.rs
+++ b/src/choice/intake.rs
@@ -1,18 +1,18 @@
-//! A conversation comes: how long its caller has waited, and what it is worth.
+//! Accepts conversations: how long the caller has waited already, and the expected earnings.
 
 use super::*;
 
-/// Two callers' patience is the same within this share of the time limit.
+/// Two caller timeouts are equal if they differ by less than this share of the time limit.
 const SAME_TIMEOUT_SHARE: f64 = 0.002;
 
 impl Proxy {
-    /// Takes a conversation; it is placed with [`Handle::enqueue`].
+    /// Accepts a conversation. It takes part in decisions after [`Handle::enqueue`].
     pub fn accept(&mut self, call: &Call) -> Handle {
         let expected_share = call.tenant.map_or(1.0, |tenant| self.expected_share(tenant));
         let waited = self.waited_before_turn(call);
         let grade = &self.grades[call.grade];
         let mut expected_earnings = grade.earnings * expected_share;
-        // The quoted time runs from the caller's first try.
+        // The quoted time starts with the caller's first try.
         let earlier_try = call.number.and_then(|number| self.called_numbers.get(&number));
         let earlier_try =
             earlier_try.filter(|n| n.backoff == 0.0 && self.now - n.first_accepted_at < grade.limit);
@@ -35,9 +35,10 @@
         Handle(self.conversations.insert(conversation) as u32)
     }
 
-    /// Departure: how long the caller had waited before this proxy had a turn, by what is left of the time
-    /// that most callers give a try. After a stall of its own a proxy so knows who still can stand in time.
-    /// No longer than the proxy itself had no turn: some callers come with little patience.
+    /// Departure from the design: how long the caller had waited before this proxy had a turn, in
+    /// milliseconds, estimated from the remaining part of the timeout that most callers use. So after a stall
+    /// of its own a proxy knows which calls can still be answered in time. The result is at most the time for
+    /// which the proxy had no turn, since some callers have short timeouts.
     pub(super) fn waited_before_turn(&mut self, call: &Call) -> f64 {
         let limit = self.grades[call.grade].limit;
         let (usual_timeout, confidence) = &mut self.caller_timeout;
@@ -53,9 +54,10 @@
         if missing_share > SAME_TIMEOUT_SHARE { (missing_share * limit).min(self.stall.0) } else { 0.0 }
     }
 
-    /// The part of its earnings that the tenant's next conversation may expect to keep, taking this proxy's
-    /// traffic for a fair sample of everyone's. Departure: where the fleet counts, what it says stands
-    /// instead, since traffic is uneven: busy proxies took their own for everyone's.
+    /// The part of its earnings that the tenant's next conversation is expected to keep, assuming that this
+    /// proxy's traffic is a fair sample of all proxies' traffic. Departure from the design: where the fleet
+    /// counts the tenant's traffic, its result replaces this estimate, since traffic is uneven and busy
+    /// proxies took their own traffic for everyone's.
     pub(super) fn expected_share(&mut self, tenant: usize) -> f64 {
         let (now, window) = (self.now, self.window);
         let recent = &mut self.tenant_arrivals[tenant];
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -1,11 +1,12 @@
-//! The decisions: which central server a conversation is shot at, and when it is held or given up.
+//! The decisions: which central server gets an attempt of a conversation, and when a conversation is held or
+//! given up.
 //!
-//! How to call it: make one [`Proxy`] for each border proxy and hand it the list with [`Proxy::update_server_list`].
-//! [`Proxy::accept`] gives a [`Handle`] for a conversation; everything later is a call on that handle:
-//! [`Handle::enqueue`] once, then [`Handle::established`],
-//! [`Handle::attempt_ended`], [`Handle::caller_gone`]. Say the time with
-//! [`Proxy::advance_clock`] before whatever comes at that time, and [`Proxy::run_pending`] after it. What the decisions ask
-//! for in return is the trait [`Host`] in `host.rs`. `docs/design.md` says why each step is taken.
+//! Create one [`Proxy`] for each border proxy and pass it the server list with [`Proxy::update_server_list`].
+//! [`Proxy::accept`] returns a [`Handle`] for a conversation, and later events are methods of that handle:
+//! [`Handle::enqueue`] once, then [`Handle::established`], [`Handle::attempt_ended`] and
+//! [`Handle::caller_gone`]. Call [`Proxy::advance_clock`] before the events of one point in time and
+//! [`Proxy::run_pending`] after them. The decisions request actions through the trait [`Host`] in `host.rs`.
+//! `docs/design.md` gives the reason for each step.
 
 mod called_number;
 mod central;
@@ -32,30 +33,31 @@
     Call, Ending, GradeTerms, Handle, Host, Report, Server, ServerEntry, ServerView, State, Suspicion, Terms,
 };
 
-/// The histogram's window, in longest time limits.
+/// Length of the window of samples, in units of the longest time limit.
 const WINDOW_IN_TIME_LIMITS: f64 = 5.0 / 9.0;
-/// Violation probability of a grade with mean earnings; a grade's own goes by its earnings.
+/// Violation probability of a grade with mean earnings; that of a grade is proportional to its earnings.
 const MEAN_VIOLATION_PROBABILITY: f64 = 0.05;
-/// With fewer samples than this a central server passes the quantile test.
+/// A central server with fewer samples than this passes the quantile test.
 const MIN_QUANTILE_SAMPLES: usize = 20;
-/// With fewer than this it has too little of its own to go by.
+/// With fewer samples than this the proxy has too few answers of its own to go by.
 const SCARCE_SAMPLES: usize = MIN_QUANTILE_SAMPLES / 4;
-/// Delay that a line may have, as a share of the span after which a waiting set-up is sent again.
+/// Target delay as a share of the time after which a waiting set-up is sent again.
 const TARGET_DELAY_PER_RESEND: f64 = 0.8;
-/// The same where set-ups are not sent again: a share of the shortest quoted time.
+/// Upper bound of the target delay, as a share of the shortest quoted time.
 const TARGET_DELAY_PER_QUOTED_TIME: f64 = 0.5;
-/// Shots that all proxies together may have out at a central server of which nothing is known yet, and at the
-/// least; each proxy's line has its part.
+/// Attempts that all proxies together may have in flight at a central server without a history; each proxy
+/// has an equal part.
 const INITIAL_FLEET_IN_FLIGHT: f64 = 12.0;
+/// The least that the limits of all proxies for a central server may add up to.
 const MIN_FLEET_IN_FLIGHT: f64 = 0.6;
-/// A proxy with conversations held or shots out wants a turn in each such part of a standing delay.
+/// Longest time between turns while conversations are held or attempts are in flight, in target delays.
 const TURN_INTERVAL_IN_TARGET_DELAYS: f64 = 0.25;
-/// Let through in full while the reported rate is above the best one over this.
+/// A reported rate counts as full while it is above the best reported one divided by this.
 const RATE_TOLERANCE: f64 = 1.25;
-/// Age in standing delays past which a shot still out shrinks its line.
+/// Age in target delays from which on an attempt in flight lowers the concurrency limit.
 const OVERLOAD_AGE_IN_TARGET_DELAYS: f64 = 2.0;
 
-/// What the module reads of a service grade.
+/// The figures of a service grade that the decisions use.
 #[derive(Clone)]
 struct Grade {
     quoted: f64,
@@ -67,36 +69,41 @@
     pools: Vec<u16>,
 }
 
+/// The current attempt of a conversation.
 #[derive(Clone)]
 struct Attempt {
+    /// Index of the central server.
     server: usize,
     sent_at: f64,
 }
 
+/// State of one conversation.
 #[derive(Clone, Default)]
 struct Conversation {
     grade: usize,
     preferred_pool: u16,
     number: Option<u64>,
-    /// When its caller's first try was taken.
+    /// When its caller's first try was accepted.
     accepted_at: f64,
-    /// Drawn once: what is shared out by chance goes to the lowest.
+    /// Drawn once, from 0 to 1: what is shared at random goes to the lowest draws.
     random_draw: f64,
-    /// When the caller gives up.
+    /// When the caller will hang up.
     caller_deadline: f64,
     expected_earnings: f64,
+    /// Number of attempts so far.
     attempts: u32,
+    /// The attempt in flight, or the one that established the conversation.
     attempt: Option<Attempt>,
-    /// Where its latest shot found nobody, no answer or a fault.
+    /// The server where its latest attempt found no connection, no answer or a fault.
     failed_server: Option<usize>,
-    /// Where it met a fault that is not yet counted.
+    /// The server where it had a fault that is not yet counted.
     fault_server: Option<usize>,
     established: bool,
-    /// Answered for good; kept only until its shot's end is told.
+    /// No more answer to the caller is due; kept only until the end of its attempt is reported.
     closed: bool,
-    /// Not sent again before this.
+    /// No attempt before this time.
     release_until: f64,
-    /// Was kept away from a central server by the fleet's limit alone, and counted.
+    /// The fleet-wide limit alone withheld it from a central server, which has been counted.
     counted_as_withheld: bool,
 }
 
@@ -116,20 +123,23 @@
     centrals: Vec<Option<Central>>,
     conversations: Slab<Conversation>,
     held: Vec<Handle>,
+    /// Time of the next requested turn; infinity for none.
     wake_at: f64,
-    /// The share of shots that were lately overtaken by a later one's answer.
+    /// Moving average of the share of attempts that were superseded by the answer to a later one.
     lost_answer_share: f64,
-    /// How long it last had no turn, and until when what it takes may have waited for that.
+    /// How long it last had no turn, and until when accepted calls may have waited because of that.
     stall: (f64, f64),
-    /// How long a caller waits for a try, as a share of the time limit: what most ask for, and how firmly.
+    /// How long most callers wait for a try, as a share of the time limit, and the confidence in that.
     caller_timeout: (f64, u32),
     called_numbers: HashMap<u64, CalledNumber>,
-    /// When conversations were last taken, by tenant, and whether the next is in its share, if known.
+    /// When conversations of each tenant were accepted, within the window.
     tenant_arrivals: Vec<VecDeque<f64>>,
+    /// Whether the next conversation of each tenant is within its share, if known.
     tenants_within_share: Vec<Option<bool>>,
 }
 
-/// The delay that a line may have: past it set-ups are sent again, or stand late.
+/// The delay that answers of a central server should not exceed, in milliseconds: later ones lead to set-ups
+/// that are sent again, or to late answers.
 fn target_delay(terms: &Terms, min_quoted_time: f64) -> f64 {
     let quoted_bound = TARGET_DELAY_PER_QUOTED_TIME * min_quoted_time;
     if terms.resend_after > 0.0 {
@@ -140,6 +150,7 @@
 }
 
 impl Proxy {
+    /// Creates the decisions of one border proxy; the same seed and calls give the same decisions.
     pub fn new(terms: Terms, seed: u64, now: f64) -> Self {
         let mean_earnings =
             terms.grades.iter().map(|g| g.earnings).sum::<f64>() / terms.grades.len().max(1) as f64;
@@ -182,15 +193,15 @@
         }
     }
 
-    /// This proxy as it is now, but under other terms with the same grades and tenants: what would it do?
+    /// A copy of this proxy under other terms with the same grades and tenants, to see what it would decide.
     pub fn with_terms(&self, terms: Terms) -> Self {
         Self { target_delay: target_delay(&terms, self.min_quoted_time), terms, ..self.clone() }
     }
 
-    /// The time of what follows.
+    /// Sets the time of the events that follow. An earlier time than the current one changes nothing.
     pub fn advance_clock(&mut self, now: f64) {
         if now > self.now {
-            // The host's clock may round a time to just below the one asked for.
+            // The host's clock may round a time to just below the requested one.
             if now + 1.0 >= self.wake_at {
                 self.wake_at = f64::INFINITY;
             }
@@ -201,7 +212,7 @@
         }
     }
 
-    /// What this proxy makes of a central server, for operators to look at.
+    /// This proxy's current view of a central server, for operators.
     pub fn view(&self, server: Server) -> Option<ServerView> {
         let central = self.centrals.get(server.0 as usize)?.as_ref()?;
         Some(ServerView {
@@ -217,7 +228,7 @@
         })
     }
 
-    /// Whether the handle is still of use.
+    /// Whether the handle still identifies a conversation.
     pub fn contains(&self, handle: Handle) -> bool {
         self.conversations.contains(handle.key())
     }
--- a/src/choice/outcome.rs
+++ b/src/choice/outcome.rs
@@ -1,30 +1,36 @@
-//! What becomes of shots, and what is learnt from it.
+//! The events of a conversation and its attempts, and how they change the state of central servers.
 
 use super::*;
 
-/// The most of a line's lately used room that its allowance may be: this, and more where few share a central
-/// server, so that each must be able to fill what another leaves; the most that one answer adds or cuts.
+/// The concurrency limit is at most this multiple of the recently used concurrency, plus a part that grows
+/// with the proxy's share of the fleet.
 const LIMIT_HEADROOM: f64 = 2.0;
+/// That part for a single proxy. Where few proxies share a central server, each must be able to use what
+/// another one leaves.
 const LIMIT_HEADROOM_OF_ONE_PROXY: f64 = 16.0;
+/// One answer raises the concurrency limit by at most this factor.
 const MAX_GROWTH_FACTOR: f64 = 2.0;
+/// One answer lowers the concurrency limit by no more than this factor.
 const MIN_CUT_FACTOR: f64 = 0.5;
-/// How fast an allowance grows: shots for each window's worth of good answers.
+/// How fast a concurrency limit grows: attempts for each window of good answers.
 const GROWTH_PER_WINDOW: f64 = 0.25;
 
 impl Proxy {
-    /// Departure: a fault counts as 1 in its server's histogram, else one that fails everything quickly would
-    /// look best and draw all traffic; but once for a conversation, when it stands or is given up, and not
-    /// where it met another elsewhere, for then it is the conversation's own. Guards against callers whose
-    /// calls no server can use, which would close all of them; holds whatever is wrong with the call. Hurts
-    /// where several servers fail much at once: what fails at two of them is not counted.
+    /// Departure from the design: a fault counts as 1 in its server's histogram. Otherwise a server that
+    /// quickly fails everything would look best and attract all traffic. A fault counts once for a
+    /// conversation, when it is established or given up, and not if the conversation had a fault at another
+    /// server too, since then the fault is in the call. This guards against calls that no server can set up,
+    /// whatever is wrong with them, which would close all servers. It hurts where several servers fail often
+    /// at the same time: a call that fails at two of them is not counted.
     pub(super) fn record_fault(&mut self, fault_server: Option<usize>) {
         if let Some(central) = fault_server.and_then(|index| self.centrals[index].as_mut()) {
             central.add_sample(self.now, 1.0);
         }
     }
 
-    /// Takes a shot off its line and counts its delay, or nothing; an answer moves the line's allowance.
-    /// `least` is what its ratio counts for at the least.
+    /// Removes an attempt from those in flight, records its delay and adjusts the server's concurrency limit.
+    /// Without a `delay` the attempt counts as infinitely late. `min_ratio` is the least ratio recorded in
+    /// the histogram; `None` records nothing there. A superseded attempt changes nothing else.
     fn record_answer(
         &mut self,
         index: usize,
@@ -77,16 +83,18 @@
 }
 
 impl Handle {
+    /// Key in [`Proxy::conversations`].
     pub(super) fn key(self) -> usize {
         self.0 as usize
     }
 
-    /// Lets the conversation in: [`Proxy::run_pending`] finds its first way, or holds it, or gives it up.
+    /// Queues the conversation for its first decision: [`Proxy::run_pending`] sends it, holds it or gives it
+    /// up.
     pub fn enqueue(self, proxy: &mut Proxy) {
         proxy.held.push(self);
     }
 
-    /// The conversation stands.
+    /// The conversation was established.
     pub fn established(self, proxy: &mut Proxy) {
         let Some(conversation) = proxy.conversations.get_mut(self.key()) else { return };
         conversation.established = true;
@@ -111,7 +119,8 @@
         }
     }
 
-    /// The shot, or the conversation that stood by it, has ended; `finished` when no answer is owed.
+    /// The attempt, or the conversation that it established, has ended. With `finished` no final answer to
+    /// the caller is due.
     pub fn attempt_ended(self, proxy: &mut Proxy, ending: Ending, finished: bool, host: &mut impl Host) {
         let now = proxy.now;
         let Some(conversation) = proxy.conversations.get_mut(self.key()) else { return };
@@ -127,7 +136,7 @@
         }
         let may_have_run =
             !matches!(ending, Ending::Rejected | Ending::NoFreeLine | Ending::NoConnection | Ending::NotSent);
-        // Two servers say that it can't be set up: they are not asked again.
+        // After faults at two servers the call itself is taken to be faulty and is not tried again.
         let attempt_server = attempt.as_ref().map(|attempt| attempt.server);
         let earlier_fault = conversation.fault_server.filter(|_| ending == Ending::Error);
         let call_is_faulty = earlier_fault.is_some() && earlier_fault != attempt_server;
@@ -143,7 +152,7 @@
             if matches!(ending, Ending::TimedOut | Ending::NoConnection | Ending::Error) {
                 conversation.failed_server = Some(attempt.server);
             }
-            // What never left, or was called off, was not answered either.
+            // An attempt that was not sent or was cancelled had no answer either.
             let unanswered = [Ending::TimedOut, Ending::NoConnection, Ending::Cancelled, Ending::NotSent];
             if let Some(central) =
                 proxy.centrals[attempt.server].as_mut().filter(|_| !unanswered.contains(&ending))
@@ -164,16 +173,17 @@
                         }
                     }
                 }
-                // A cut or fault says nothing of the line but its age, though it counts as 1 in the
-                // histogram: a fault when it shows whose it is.
+                // A reset or fault tells no more about the server's load than the age of the attempt, though
+                // it counts as 1 in the histogram; a fault does so once it is known to be the server's.
                 Ending::Error => proxy.record_answer(attempt.server, self, Some(age), time_limit, None),
                 Ending::Reset => proxy.record_answer(attempt.server, self, Some(age), time_limit, Some(1.0)),
                 _ => proxy.record_answer(attempt.server, self, None, time_limit, Some(1.0)),
             }
-            // Departure: nobody listens there, which its network tells at once, not after a wait that would
-            // fill the line: closed but for single shots, about one a window, lest one conversation spends
-            // all in an instant. No longer, since it may be back without any word of it. Holds for any
-            // refusal before the processor; hurts where one is told for a server that is up.
+            // Departure from the design: nobody listens there. The network reports this at once, so there is
+            // no delay that would use up the concurrency limit. The server is closed except for single
+            // attempts, about one per window, so that one conversation does not spend all its attempts in an
+            // instant. It is closed no longer than that, since it may return without notice. This applies to
+            // any refusal before the processor, and hurts where one is reported for a server that is up.
             if ending == Ending::NoConnection {
                 let cool_down = proxy.window * (0.5 + proxy.rng.random::<f64>());
                 let initial_limit = INITIAL_FLEET_IN_FLIGHT / f64::from(proxy.terms.proxies);
@@ -188,7 +198,7 @@
         if let Some(number) = busy_number
             && proxy.update_backoff(number, true)
         {
-            host.log(&format!("number {number} is busy, gapped"));
+            host.log(&format!("number {number} is busy, backing off"));
         }
         if closed {
             let conversation = proxy.conversations.remove(self.key());
@@ -204,7 +214,7 @@
         }
     }
 
-    /// The caller has gone.
+    /// The caller has hung up.
     pub fn caller_gone(self, proxy: &mut Proxy) {
         let Some(conversation) = proxy.conversations.get_mut(self.key()) else { return };
         conversation.closed = true;
--- a/src/choice/pending.rs
+++ b/src/choice/pending.rs
@@ -1,15 +1,15 @@
-//! Held, shot, called off or given up: each turn.
+//! The work of each turn: held conversations are sent, held further or given up, and lost attempts cancelled.
 
 use super::*;
 
-/// Past this share of lost shots answers are taken to get lost; an answer is quick under this share of the
-/// standing delay.
+/// Above this share of lost answers, an attempt without an answer may have lost its answer too.
 const MAX_LOST_ANSWER_SHARE: f64 = 0.05;
+/// An answer is quick up to this share of the target delay.
 const QUICK_ANSWER_IN_TARGET_DELAYS: f64 = 0.25;
 
 impl Proxy {
-    /// To be called when all that has come at one time is told: shoots what can be shot, best earners first,
-    /// and gives up at once what can no longer stand in time.
+    /// Runs all pending decisions. Call it after all events of one point in time. It sends what can be sent,
+    /// in descending order of earnings, and gives up at once what can no longer be answered in time.
     pub fn run_pending(&mut self, host: &mut impl Host) {
         let window_start = self.now - self.window;
         for central in self.centrals.iter_mut().flatten() {
@@ -56,11 +56,12 @@
         }
     }
 
-    /// Departure: a shot that still has no answer after the standing delay is called off while there is time
-    /// to wait out the release and be answered by another, if it was overtaken, or if shots lately were and
-    /// its server's latest answer was quick. Guards against answers that get lost; catches silent servers.
-    /// Hurts where a server slows down all at once while answers get lost elsewhere. Lost, not late: it
-    /// narrows no line.
+    /// Departure from the design: an attempt without an answer after the target delay is cancelled while
+    /// there is time to wait for the release and get an answer to another attempt. This applies if it was
+    /// superseded, or if attempts were superseded recently and its server's latest answer was quick. It
+    /// guards against lost answers and also catches silent servers. It hurts where a server slows down
+    /// suddenly while answers get lost elsewhere. A cancelled attempt counts as lost, not as late: it lowers
+    /// no concurrency limit.
     pub(super) fn cancel_lost_attempts(&mut self, host: &mut impl Host) {
         for central in self.centrals.iter_mut().flatten().filter(|_| self.terms.may_cancel) {
             let quick = self.lost_answer_share > MAX_LOST_ANSWER_SHARE
@@ -83,12 +84,15 @@
         }
     }
 
-    /// How many conversations are worth holding: what the lines have lately taken in half a quoted time.
+    /// How many conversations are worth holding: as many as were recently sent in half the shortest quoted
+    /// time.
     pub(super) fn hold_capacity(&self) -> usize {
         let recent_attempts: usize = self.centrals.iter().flatten().map(|c| c.sent_times.len()).sum();
         2 + (recent_attempts as f64 * 0.5 * self.min_quoted_time / self.window) as usize
     }
 
+    /// Ends a conversation that has no attempt in flight: refuses it, or fails it if it may have been carried
+    /// out and must not be repeated.
     pub(super) fn give_up(&mut self, handle: Handle, host: &mut impl Host) {
         let conversation = self.conversations.remove(handle.key());
         self.record_fault(conversation.fault_server);
@@ -102,7 +106,8 @@
                 .or_insert_with(|| CalledNumber::new(conversation.accepted_at));
             record.last_seen_at = self.now;
         }
-        // Not before the first server takes shots again, where all have asked to be left alone.
+        // If all servers have requested a pause, the caller retries no earlier than the first one accepts
+        // attempts.
         let running = self.centrals.iter().flatten().filter(|c| c.state == State::Running);
         let shortest_wait = running.map(|c| self.remaining_retry_after(c)).fold(f64::INFINITY, f64::min);
         let shortest_wait = if shortest_wait.is_finite() { shortest_wait } else { 0.0 };
--- a/src/choice/updates.rs
+++ b/src/choice/updates.rs
@@ -1,9 +1,11 @@
-//! What is told of central servers: by the list, by their reports, by other proxies.
+//! Updates about central servers and tenants: from the server list, from reports of servers, and from the
+//! fleet.
 
 use super::*;
 
 impl Proxy {
-    /// News of the list. A whole list replaces the old one.
+    /// Applies entries of the server list. A complete list replaces the old one: servers that it does not
+    /// name are gone.
     pub fn update_server_list(&mut self, entries: &[ServerEntry], complete: bool, host: &mut impl Host) {
         if complete {
             let is_listed = |i: usize| entries.iter().any(|entry| entry.server.0 as usize == i);
@@ -31,20 +33,21 @@
                 host.log(&format!("central server {index} is {:?}", entry.state));
             }
             if started_at > central.started_at {
-                // A new processor: what the old one took so long for says nothing of it.
+                // A new process: the delays of the old one tell nothing about it.
                 *central = Central { in_flight: std::mem::take(&mut central.in_flight), ..fresh };
-                host.log(&format!("central server {index} has started anew"));
+                host.log(&format!("central server {index} has restarted"));
             }
             central.pool = entry.pool;
         }
     }
 
+    /// The lowest weight of any central server, which a new one starts with.
     pub(super) fn min_weight(&self) -> f64 {
         let weights = self.centrals.iter().flatten().map(|c| c.weight);
         weights.fold(f64::INFINITY, f64::min).min(BIN_COUNT as f64)
     }
 
-    /// A central server's report.
+    /// Applies the report of a central server.
     pub fn reported(&mut self, server: Server, report: Report) {
         let now = self.now;
         let cold_interval = self.cold_interval(report.lines.unwrap_or(0.0));
@@ -59,7 +62,7 @@
             central.lines = lines;
         }
         central.reports_wait |= report.wait.is_some();
-        // A wait over any time limit is not believed.
+        // A wait longer than every time limit is ignored.
         if let Some(wait) = report.retry_after.filter(|&wait| wait <= self.max_time_limit) {
             central.retry_at = now + wait;
         }
@@ -67,7 +70,7 @@
             central.shorten_cold_entry(now, f64::from(self.terms.proxies) * 1000.0 / rate.max(1.0));
             (central.reported_rate, central.rate_reported_at) = (rate, now);
             central.best_reported_rate = central.best_reported_rate.max(rate);
-            // What one proxy's line rests after can be long over: the server itself knows.
+            // The overload that caused a long cool-down may be over, which the server itself knows first.
             if RATE_TOLERANCE * rate >= central.best_reported_rate
                 && now - central.cool_down_since > self.window
             {
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Others' word on a central server, or that they have taken it back.
+    /// Sets the suspicion of other proxies against a central server; `None` withdraws it.
     pub fn set_suspicion(&mut self, server: Server, suspicion: Option<Suspicion>) {
         let half_open_interval = self.half_open_interval();
         let Some(Some(central)) = self.centrals.get_mut(server.0 as usize) else { return };
@@ -86,31 +89,34 @@
         central.suspicion = suspicion;
     }
 
+    /// Mean interval, in milliseconds, between half-open attempts of one proxy at a suspected server.
     pub(super) fn half_open_interval(&self) -> f64 {
         f64::from(self.terms.proxies) * self.target_delay
     }
 
-    /// Departure: while enough others say that a central server is silent, and nothing was heard from it here
-    /// since, it gets single trial shots, at times drawn by chance so that the fleet tries it about once a
-    /// standing delay. Guards against each proxy learning of a silent one by shots of its own; holds for any
-    /// cause that leaves shots unanswered. Hurts where their way to it is broken and this proxy's is not:
-    /// until one answer here, which ends it at once.
+    /// Whether a central server gets no attempt now because other proxies suspect that it is silent.
+    /// Departure from the design: while enough proxies report this and the server has sent no answer to this
+    /// proxy since then, it gets single half-open attempts at random times, so that the fleet tries it about
+    /// once per target delay. Otherwise each proxy would have to detect a silent server with attempts of its
+    /// own. This applies to any cause that leaves attempts unanswered. It hurts where the other proxies'
+    /// route to the server is broken and this proxy's is not, until one answer to this proxy, which ends it
+    /// at once.
     pub(super) fn is_suspected_silent(&self, central: &Central) -> bool {
         let silent = |s: Suspicion| s.strength >= 1.0 && central.last_heard_at <= s.since;
         central.suspicion.is_some_and(silent) && self.now < central.next_half_open_at
     }
 
-    /// How many shots may go to a central server now by a limit that holds for the whole fleet, or none where
-    /// there is no limit; to be told before each [`Proxy::run_pending`]. Gives how many conversations the former
-    /// word alone kept away.
+    /// Sets how many attempts this proxy may send to a central server now under the fleet-wide limit; `None`
+    /// for no limit. Call it before each [`Proxy::run_pending`]. Returns how many conversations were withheld
+    /// by the previous value alone.
     pub fn set_fleet_limit(&mut self, server: Server, attempts: Option<u32>) -> u32 {
         let Some(Some(central)) = self.centrals.get_mut(server.0 as usize) else { return 0 };
         central.fleet_limit = attempts;
         std::mem::take(&mut central.withheld_by_limit)
     }
 
-    /// Whether a tenant's next conversation is within its share of all proxies' traffic, or none where that
-    /// is not known; to be told before each [`Proxy::accept`].
+    /// Sets whether a tenant's next conversation is within its share of all proxies' traffic; `None` where
+    /// that is unknown. Call it before each [`Proxy::accept`].
     pub fn set_within_share(&mut self, tenant: usize, within: Option<bool>) {
         self.tenants_within_share[tenant] = within;
     }
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,79 +1,93 @@
-//! The interface between the decisions and the program around them: plain types and [`Host`].
-//! Times are milliseconds on the host's clock, which only goes forward.
+//! The interface between the decisions and the program around them: plain types and the trait [`Host`].
+//! Times and durations are in milliseconds. Points in time are on the host's clock, which never goes back.
 
 use std::fmt;
 
-/// A conversation that this proxy has taken. What can be done with it is in `choice/`.
+/// Identifies a conversation that this proxy has accepted. Its methods are in `choice/`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Handle(pub u32);
 
-/// A central server: a small index that the host gives out and keeps for as long as the proxy lives.
+/// Index of a central server. The host assigns it and keeps it for the lifetime of the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Server(pub u32);
 
-/// What is agreed for one deployment.
+/// The settings of one deployment.
 #[derive(Clone, Debug, Default)]
 pub struct Terms {
-    /// How many proxies there are.
+    /// Number of border proxies.
     pub proxies: u32,
     pub grades: Vec<GradeTerms>,
     pub tenants: Vec<TenantTerms>,
-    /// The part of its earnings that a conversation over its tenant's share keeps.
+    /// The part of its earnings that a conversation over its tenant's share keeps, from 0 to 1.
     pub over_share: f64,
+    /// The most attempts that one conversation may have.
     pub max_attempts: u32,
-    /// The longest wait that a refused caller can be told, where advice is allowed at all.
+    /// The longest wait that a refused caller can be given; `None` where callers get no retry time.
     pub max_retry_after: Option<f64>,
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
+    /// Whether central servers may be probed.
     pub may_probe: bool,
-    /// After a time-out, reset or cancel the conversation rests for this long.
+    /// After a timeout, reset or cancel the conversation must wait this long before its next attempt.
     pub release: f64,
-    /// A set-up that waits at a processor is sent again after this; 0 for never.
+    /// A set-up that waits at a processor is sent again after this time; 0 for never.
     pub resend_after: f64,
-    /// Whether the wait that a nack names is kept.
+    /// Whether the wait that a rejection names is respected.
     pub respect_retry_after: bool,
-    /// A central server is warm this long after its start.
+    /// How long a central server is cold after its start.
     pub cold_duration: f64,
-    /// It starts at this share of its capacity or more; 0 where that is not known.
+    /// The least share of its capacity that a central server has at its start; 0 where that is unknown.
     pub initial_capacity_share: f64,
-    /// A cold one falls over at this multiple of its present capacity, kept up for `overload_duration`.
+    /// A cold server fails under a load of this multiple of its present capacity that lasts for
+    /// `overload_duration`.
     pub overload_factor: f64,
+    /// See `overload_factor`.
     pub overload_duration: f64,
 }
 
+/// The settings of one service grade.
 #[derive(Clone, Debug, Default)]
 pub struct GradeTerms {
+    /// Quoted time: a set-up should be answered within it.
     pub quoted: f64,
+    /// Time limit of a set-up.
     pub limit: f64,
-    /// How long a conversation lasts on average.
+    /// Mean length of a conversation.
     pub hold: f64,
+    /// Earnings of a conversation that is answered within the quoted time.
     pub earnings: f64,
-    /// The part of the earnings that is left after the quoted time.
+    /// The part of the earnings that remains after the quoted time, from 0 to 1.
     pub late_share: f64,
-    /// Whether a shot that may have run can be followed by another.
+    /// Whether an attempt that may have been carried out can be followed by another one.
     pub repeatable: bool,
+    /// The pools that can serve this grade.
     pub pools: Vec<u16>,
 }
 
+/// The settings of one tenant.
 #[derive(Clone, Debug, Default)]
 pub struct TenantTerms {
-    /// Conversations a second, over all proxies, within the tenant's share.
+    /// The tenant's share: conversations per second over all proxies.
     pub quota: f64,
 }
 
-/// A conversation as its caller hands it over.
+/// A call as its caller requests it.
 #[derive(Clone, Debug)]
 pub struct Call {
+    /// Index into [`Terms::grades`].
     pub grade: usize,
+    /// Index into [`Terms::tenants`].
     pub tenant: Option<usize>,
-    /// The pool of first choice.
     pub preferred_pool: u16,
-    /// The number that is called; a caller that dials again calls the same.
+    /// The called number; a redial has the same one.
     pub number: Option<u64>,
-    /// How long the caller still waits.
+    /// How long the caller will still wait.
     pub remaining: f64,
+    /// Whether the call is a redial.
     pub redial: bool,
 }
 
+/// State of a central server. The names are written to the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
     Running,
@@ -82,49 +96,50 @@
     Gone,
 }
 
-/// A line of the list of central servers.
+/// An entry of the list of central servers.
 #[derive(Clone, Debug)]
 pub struct ServerEntry {
     pub server: Server,
     pub state: State,
     pub pool: u16,
-    /// When it last started, if that is known.
+    /// When it last started, if known.
     pub started_at: Option<f64>,
 }
 
-/// What a central server says of itself, as far as it is used.
+/// The figures that a central server reports about itself; `None` for a figure that it did not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Free lines of the pool, and how many it has.
+    /// Free lines of its pool.
     pub free: Option<f64>,
+    /// All lines of its pool.
     pub lines: Option<f64>,
-    /// Set-ups a second that its processor can take from all proxies.
+    /// Set-ups per second that its processor can handle from all proxies together.
     pub rate: Option<f64>,
-    /// How long a set-up waits at its processor before it is begun.
+    /// How long a set-up waits at its processor before the work on it starts.
     pub wait: Option<f64>,
-    /// How long it asks the sender of a shot that it turned back to wait.
+    /// How long it asks the sender of a rejected attempt to wait.
     pub retry_after: Option<f64>,
 }
 
-/// How a shot, or the conversation that it set up, came to its end.
+/// How an attempt, or the conversation that it established, ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
     Ok,
     Error,
-    /// All lines of the number that is called are busy.
+    /// All lines of the called number are busy.
     Busy,
     Rejected,
-    /// Turned back because the pool had no free line.
+    /// Rejected because the pool had no free line.
     NoFreeLine,
     TimedOut,
     NoConnection,
     Reset,
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
-/// These names are written to the log under the label `ending`; they stay when a variant is renamed.
+/// The log shows these names under the label `ending`; they stay when a variant is renamed.
 impl fmt::Debug for Ending {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
@@ -142,47 +157,52 @@
     }
 }
 
-/// Others' word that a central server answers nobody.
+/// Reports of other proxies that a central server does not answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Suspicion {
-    /// From 1 on enough of them say so.
+    /// At 1 or more, enough proxies report it.
     pub strength: f64,
-    /// Since when, by what they say.
+    /// Since when, according to their reports.
     pub since: f64,
 }
 
-/// What a proxy makes of a central server at present.
+/// A proxy's current view of a central server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerView {
     pub state: State,
     pub cold: bool,
-    /// Shots out and still waited for, and how many may be; under one, the share of the time that one may.
+    /// Unanswered attempts that are still expected to be answered.
     pub in_flight: usize,
+    /// How many attempts may be in flight; below 1, the share of the time in which one may be.
     pub concurrency_limit: f64,
-    /// No shot but of high earnings for now.
+    /// Only attempts with high earnings may go for now.
     pub cooling_down: bool,
-    /// Samples of set-up delay over time limit in the window, and their mean.
+    /// Number of samples of set-up delay / time limit in the window.
     pub samples: usize,
+    /// Mean of the samples.
     pub mean_ratio: f64,
-    /// Its answers' delay of late.
+    /// Moving average of the delay of its answers.
     pub delay: f64,
-    /// Set-ups a second that it last said it can take.
+    /// Set-ups per second that it last reported it can handle.
     pub rate: Option<f64>,
 }
 
-/// What the decisions ask of the program around them.
+/// Actions that the decisions request from the program around them.
 pub trait Host {
-    /// Send the conversation's set-up, to be given up after `timeout`.
+    /// Sends the conversation's set-up to a central server; it times out after `timeout`.
     fn send_attempt(&mut self, handle: Handle, server: Server, timeout: f64);
-    /// Refuse the conversation, with advice when to come back.
+    /// Refuses the conversation and tells the caller how long to wait before it tries again.
     fn refuse(&mut self, handle: Handle, retry_after: Option<f64>);
+    /// Ends the conversation with an error.
     fn fail(&mut self, handle: Handle);
+    /// Cancels an attempt; they are numbered from 0.
     fn cancel(&mut self, handle: Handle, attempt: u16);
-    /// Call [`crate::Proxy::advance_clock`] and [`crate::Proxy::run_pending`] at this time.
+    /// Asks to call [`crate::Proxy::advance_clock`] and [`crate::Proxy::run_pending`] at this time.
     fn wake(&mut self, at: f64);
+    /// Requests a report from a central server.
     fn probe(&mut self, server: Server);
-    /// Send a short message to every other proxy.
+    /// Sends a short message to every other proxy.
     fn broadcast(&mut self, message: &[u8]);
-    /// Write a line to the log.
+    /// Writes a line to the log.
     fn log(&mut self, line: &str);
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! Decides which call set-ups go to which central server, one [`Proxy`] for each border proxy.
 //!
-//! The decisions are in [`choice`]; what they ask of the program around them is in [`host`].
+//! The decisions are in [`choice`]; the interface to the program around them is in [`host`].
 
 #![forbid(unsafe_code)]
 
--- a/terms/src/lib.rs
+++ b/terms/src/lib.rs
@@ -1,6 +1,7 @@
-//! A deployment's settings as the platform gives them, turned into the module's terms. The simulator tells them as
-//! `path=value` lines, [`SettingsMap::from_lines`]; a border proxy on sockets finds the same ones nested in JSON,
-//! [`SettingsMap::from_json`]. [`SettingsMap::terms`] and [`SettingsMap::report_layout`] read both.
+//! A deployment's settings as the platform gives them, turned into the module's terms. The simulator tells
+//! them as `path=value` lines, [`SettingsMap::from_lines`]; a border proxy on sockets finds the same ones
+//! nested in JSON, [`SettingsMap::from_json`]. [`SettingsMap::terms`] and [`SettingsMap::report_layout`] read
+//! both.
 
 #![forbid(unsafe_code)]
 
@@ -29,8 +30,8 @@
         Ok(Self(pairs.map(|(key, value)| (key.to_owned(), value.to_owned())).collect()))
     }
 
-    /// Nested objects and lists. They are laid flat as the lines are: a list of plain values joined by commas,
-    /// any other list as its length and its items by number.
+    /// Nested objects and lists. They are laid flat as the lines are: a list of plain values joined by
+    /// commas, any other list as its length and its items by number.
     pub fn from_json(settings: &Value) -> Result<Self> {
         let mut flat = HashMap::new();
         ensure!(settings.is_object(), "field settings is no object");
