--- a/simhost/src/fleet.rs
+++ b/simhost/src/fleet.rs
@@ -1,4 +1,4 @@
-//! All instances of one process and the lists that they share by number.
+//! All instances of one process and the server lists that they share by number.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,8 +7,10 @@
 use crate::instance::{Entry, Instance};
 use crate::wire::{Batch, Fields, Reply, records};
 
+/// Number of server lists.
 const LIST_COUNT: usize = 16;
 
+/// The instances of one process.
 #[derive(Default)]
 pub struct Fleet {
     instances: HashMap<u32, Instance>,
@@ -16,7 +18,8 @@
 }
 
 impl Fleet {
-    /// Plays one batch and gives the reply to it.
+    /// Processes one batch and returns the reply to it. Each instance that has a record in the batch runs its
+    /// pending decisions once at the end.
     pub fn process(&mut self, batch: &Batch) -> Result<Reply> {
         let mut reply = Reply::default();
         let now = batch.clock * 1000.0;
@@ -76,7 +79,7 @@
                 let scope = fields.u8("scope")?;
                 fields.u32("stamp")?;
                 let list = usize::from(fields.u8("roster_id")?);
-                ensure!(scope <= 3, "membership: field scope has no use for {scope}");
+                ensure!(scope <= 3, "membership: field scope is {scope}, wanted is 0 to 3");
                 if scope == 3 {
                     return Ok(());
                 }
@@ -108,6 +111,7 @@
     }
 }
 
+/// The name of the record with the given code, as used in error texts.
 fn record_name(code: u8) -> Result<&'static str> {
     Ok(match code {
         1 => "launch",
--- a/simhost/src/instance.rs
+++ b/simhost/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: what the wire calls things on one side, the module's handles and indices on the other.
+//! One instance: translates the identifiers of the wire to the handles and indices of the decisions.
 
 use std::collections::HashMap;
 
@@ -9,7 +9,7 @@
 
 use crate::wire::{Address, Fields, Reply};
 
-/// A line of a list as it travels.
+/// An entry of a server list on the wire.
 #[derive(Clone, Debug)]
 pub struct Entry {
     server: Address,
@@ -19,8 +19,10 @@
 }
 
 impl Entry {
+    /// Size of an entry on the wire, in bytes.
     pub const BYTES: usize = 25;
 
+    /// Reads one entry.
     pub fn read(fields: &mut Fields) -> Result<Self> {
         fields.f32("heft")?;
         let server = fields.address("server")?;
@@ -30,7 +32,7 @@
             0 => State::Gone,
             1 => State::Running,
             2 => State::Draining,
-            other => bail!("inventory: field readiness has no use for {other}"),
+            other => bail!("inventory: field readiness is {other}, wanted is 0 to 2"),
         };
         let pool = fields.u16("point_code")?;
         let launched = fields.millis("launched")?;
@@ -38,7 +40,7 @@
     }
 }
 
-/// The names of one instance: requests by handle, central servers by index.
+/// The identifiers of one instance on both sides: requests and handles, server addresses and indices.
 #[derive(Default)]
 struct IdMap {
     handles: HashMap<u64, Handle>,
@@ -65,7 +67,7 @@
     }
 }
 
-/// Writes the module's answers straight into the reply.
+/// Writes the actions that the decisions request directly into the reply.
 struct ReplyHost<'a> {
     instance_id: u32,
     ids: &'a mut IdMap,
@@ -141,6 +143,7 @@
 }
 
 impl Instance {
+    /// Creates an instance from the fields of a `launch` record; `now` is in milliseconds.
     pub fn launch(instance_id: u32, now: f64, fields: &mut Fields) -> Result<Self> {
         let seed = fields.u64("salt")?;
         let length = fields.u32("setup")? as usize;
@@ -158,12 +161,12 @@
         })
     }
 
-    /// The time of what follows.
+    /// Sets the time of the records that follow, in milliseconds.
     pub fn advance_clock(&mut self, now: f64) {
         self.proxy.advance_clock(now);
     }
 
-    /// The list changed; `entries` is `None` where the news only tells that the list could not be had.
+    /// Applies a server list; a complete one (`whole`) replaces the old list.
     pub fn membership(&mut self, entries: &[Entry], whole: bool, reply: &mut Reply) {
         let to_entry = |entry: &Entry| ServerEntry {
             server: self.ids.server(entry.server),
@@ -175,12 +178,12 @@
         self.with_host(reply, |proxy, host| proxy.update_server_list(&server_entries, whole, host));
     }
 
-    /// All that came for the instance at this time is told.
+    /// Runs the pending decisions after all records of this time.
     pub fn run_pending(&mut self, reply: &mut Reply) {
         self.with_host(reply, |proxy, host| proxy.run_pending(host));
     }
 
-    /// Another proxy's message: the decisions send none, so none is owed attention.
+    /// Skips another proxy's message: the decisions send none, so none is used.
     pub fn datagram(&mut self, fields: &mut Fields) -> Result<()> {
         fields.u32("who")?;
         let length = fields.u16("contents")?;
@@ -188,6 +191,7 @@
         Ok(())
     }
 
+    /// A new call.
     pub fn job_in(&mut self, fields: &mut Fields) -> Result<()> {
         let req = fields.u64("req")?;
         let opts = fields.u8("opts")?;
@@ -208,6 +212,7 @@
         Ok(())
     }
 
+    /// A central server has answered an attempt.
     pub fn accepted(&mut self, fields: &mut Fields) -> Result<()> {
         let req = fields.u64("req")?;
         fields.u16("send_no")?;
@@ -219,6 +224,7 @@
         Ok(())
     }
 
+    /// An attempt or an established conversation has ended.
     pub fn reply(&mut self, fields: &mut Fields, reply: &mut Reply) -> Result<()> {
         let req = fields.u64("req")?;
         let code = fields.u32("clear_code")?;
@@ -242,6 +248,7 @@
         Ok(())
     }
 
+    /// The caller has hung up.
     pub fn withdrawn(&mut self, fields: &mut Fields) -> Result<()> {
         let req = fields.u64("req")?;
         if let Some(&handle) = self.ids.handles.get(&req) {
@@ -251,7 +258,7 @@
         Ok(())
     }
 
-    /// A central server's free lines, told unasked.
+    /// A report that a central server sent outside of an attempt.
     pub fn ping_result(&mut self, fields: &mut Fields) -> Result<()> {
         let server = self.ids.server(fields.address("server")?);
         fields.millis("time_taken")?;
@@ -282,6 +289,9 @@
         6 => Ending::Reset,
         7 => Ending::Cancelled,
         8 => Ending::NotSent,
-        other => return Err(anyhow::anyhow!("{other} is no outcome")).context(format!("{record}: field rc")),
+        other => {
+            return Err(anyhow::anyhow!("{other} is not an outcome, wanted is 1 to 8"))
+                .context(format!("{record}: field rc"));
+        }
     })
 }
--- a/simhost/src/lib.rs
+++ b/simhost/src/lib.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire, turned into calls on the decisions; see the binary for the loop.
+//! Translates the simulator's wire to calls on the decisions. The binary has the main loop.
 
 #![forbid(unsafe_code)]
 
--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts many frostthread instances on the simulator's wire, over standard input and output.
+//! Runs many frostthread instances on the simulator's wire, over standard input and output.
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -1,21 +1,24 @@
-//! Frames of the simulator's wire: a bounded reader of batches and a writer of replies.
+//! Frames of the simulator's wire: reads batches up to a size limit and writes replies.
 
 use std::io::{self, ErrorKind, Read};
 
 use anyhow::{Context, Result, bail, ensure};
 use bytes::{Buf, BufMut};
 
-/// A frame longer than this is taken for a corrupt length.
+/// Largest body of a frame; a longer one is treated as a corrupt length.
 const MAX_FRAME_BYTES: usize = 1 << 30;
 
-/// One batch as it was read: the clock in seconds, how many records, and their bytes.
+/// One batch as read from the wire.
 pub struct Batch {
+    /// Time of the batch, in seconds.
     pub clock: f64,
+    /// Number of records.
     pub records: u32,
+    /// The bytes of all records.
     pub body: Vec<u8>,
 }
 
-/// Reads the next batch; `None` at a clean end of input.
+/// Reads the next batch. Returns `None` if the input ends between two batches.
 pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>> {
     let mut header = [0; 16];
     let mut received = 0;
@@ -32,80 +35,94 @@
     let (records, length, clock) = (fields.get_u32_le(), fields.get_u32_le() as usize, fields.get_f64_le());
     ensure!(clock.is_finite(), "batch header: field clock is not a number");
     ensure!(length <= MAX_FRAME_BYTES, "batch header: field length is {length}, over {MAX_FRAME_BYTES}");
-    // Grows with what really arrives, so that a corrupt length costs no memory.
+    // The buffer grows with the received bytes, so that a corrupt length costs no memory.
     let mut body = Vec::new();
     let read = input.take(length as u64).read_to_end(&mut body).context("batch body")?;
     ensure!(read == length, "batch body: input ends after {read} of {length} bytes");
     Ok(Some(Batch { clock, records, body }))
 }
 
-/// The address of a central server as the wire spells it.
+/// Address of a central server on the wire.
 pub type Address = [u8; 6];
 
-/// Reads the fields of one record, by name, so that a misfit can be told plainly.
+/// Reads the fields of one record. Each field is read by name, so that errors can name it.
 pub struct Fields<'a> {
     record: &'static str,
     remaining: &'a [u8],
 }
 
 impl<'a> Fields<'a> {
+    /// Creates a reader of the record's bytes; `record` is its name in error texts.
     pub fn new(record: &'static str, remaining: &'a [u8]) -> Self {
         Self { record, remaining }
     }
 
+    /// Reads the next `length` bytes.
     pub fn bytes(&mut self, field: &str, length: usize) -> Result<&'a [u8]> {
         let record = self.record;
         let Some((value, remaining)) = self.remaining.split_at_checked(length) else {
-            bail!("{record}: field {field} wants {length} bytes, {} are left", self.remaining.len());
+            bail!("{record}: field {field} needs {length} bytes, but {} remain", self.remaining.len());
         };
         self.remaining = remaining;
         Ok(value)
     }
 
+    /// Reads an 8-bit integer.
     pub fn u8(&mut self, field: &str) -> Result<u8> {
         Ok(self.bytes(field, 1)?.get_u8())
     }
 
+    /// Reads a 16-bit little-endian integer.
     pub fn u16(&mut self, field: &str) -> Result<u16> {
         Ok(self.bytes(field, 2)?.get_u16_le())
     }
 
+    /// Reads a 32-bit little-endian integer.
     pub fn u32(&mut self, field: &str) -> Result<u32> {
         Ok(self.bytes(field, 4)?.get_u32_le())
     }
 
+    /// Reads a 64-bit little-endian integer.
     pub fn u64(&mut self, field: &str) -> Result<u64> {
         Ok(self.bytes(field, 8)?.get_u64_le())
     }
 
+    /// Reads a 32-bit little-endian float.
     pub fn f32(&mut self, field: &str) -> Result<f32> {
         Ok(self.bytes(field, 4)?.get_f32_le())
     }
 
-    /// A time, in seconds on the wire, as milliseconds.
+    /// Reads a time, which is in seconds on the wire, and returns it in milliseconds.
     pub fn millis(&mut self, field: &str) -> Result<f64> {
         let seconds = self.bytes(field, 8)?.get_f64_le();
         ensure!(seconds.is_finite(), "{}: field {field} is not a number", self.record);
         Ok(seconds * 1000.0)
     }
 
+    /// Reads the address of a central server.
     pub fn address(&mut self, field: &str) -> Result<Address> {
         Ok(self.bytes(field, 6)?.try_into()?)
     }
 
-    /// A report: its values in the order of the settings.
+    /// Reads the values of a report, in the order that the settings give.
     pub fn values(&mut self, field: &str) -> Result<Vec<f32>> {
         let count = self.u8(field)?;
         (0..count).map(|_| self.f32(field)).collect()
     }
 
+    /// Checks that all bytes were read.
     pub fn end(&self) -> Result<()> {
-        ensure!(self.remaining.is_empty(), "{}: {} bytes are left over", self.record, self.remaining.len());
+        ensure!(
+            self.remaining.is_empty(),
+            "{}: {} bytes after the last field",
+            self.record,
+            self.remaining.len()
+        );
         Ok(())
     }
 }
 
-/// Splits a batch's body into records: code and fields.
+/// Splits a batch's body into records, each with its code and the bytes of its fields.
 pub fn records(batch: &Batch) -> Result<Vec<(u8, &[u8])>> {
     let mut frame = Fields::new("batch", &batch.body);
     let mut found = Vec::new();
@@ -123,11 +140,12 @@
 #[derive(Default)]
 pub struct Reply {
     body: Vec<u8>,
+    /// The instance that was named last.
     current_instance: Option<u32>,
 }
 
 impl Reply {
-    /// Starts a record of `who`, naming the instance where it was not the last one named.
+    /// Appends a record of an instance. Names the instance first if the previous record was for another one.
     pub fn record(&mut self, instance_id: u32, code: u8, fields: &[&[u8]]) {
         if self.current_instance != Some(instance_id) {
             self.current_instance = Some(instance_id);
@@ -142,6 +160,7 @@
         fields.iter().for_each(|field| self.body.put_slice(field));
     }
 
+    /// Writes the reply with its length and flushes the output.
     pub fn send(&self, output: &mut impl io::Write) -> io::Result<()> {
         output.write_all(&(self.body.len() as u32).to_le_bytes())?;
         output.write_all(&self.body)?;
--- a/simhost/tests/wire.rs
+++ b/simhost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Frames in and out: the wire's worked shapes, and frames that do not fit.
+//! Frames of the wire in both directions: valid exchanges and malformed frames.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -65,7 +65,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may rightly stop reading before all is written.
+    // The adapter may stop reading before all input is written.
     let _ = child.stdin.take().expect("piped").write_all(input);
     child.wait_with_output().expect("the adapter ends")
 }
@@ -94,7 +94,7 @@
 fn a_halt_and_a_launch_in_one_batch_start_a_new_instance() {
     let mut records = start();
     records.extend([job_in(77, 0), (9, vec![]), launch(SETUP), membership(2)]);
-    // What is told of a conversation of the former life is passed over.
+    // A record about a conversation of the previous instance is ignored.
     records.push((2, 77u64.to_le_bytes().to_vec()));
     assert!(run_adapter(&frame(&records)).status.success());
 }
@@ -106,7 +106,7 @@
     let output = run_adapter(&frame(&records));
     assert!(output.status.success());
     let switches = output.stdout[4..].windows(9).filter(|w| w[0] == 1 && w[1] == 4 && w[2..5] == [0; 3]);
-    assert_eq!(switches.count(), 2, "each has an answer of its own");
+    assert_eq!(switches.count(), 2, "each instance has its own answer");
 }
 
 fn without(key: &str) -> (u8, Vec<u8>) {
--- a/terms/src/lib.rs
+++ b/terms/src/lib.rs
@@ -1,7 +1,6 @@
-//! A deployment's settings as the platform gives them, turned into the module's terms. The simulator tells
-//! them as `path=value` lines, [`SettingsMap::from_lines`]; a border proxy on sockets finds the same ones
-//! nested in JSON, [`SettingsMap::from_json`]. [`SettingsMap::terms`] and [`SettingsMap::report_layout`] read
-//! both.
+//! Reads a deployment's settings into the terms of the decisions. The simulator sends the settings as
+//! `path=value` lines, [`SettingsMap::from_lines`]; a border proxy on sockets gets the same ones nested in
+//! JSON, [`SettingsMap::from_json`]. [`SettingsMap::terms`] and [`SettingsMap::report_layout`] read both.
 
 #![forbid(unsafe_code)]
 
@@ -13,28 +12,28 @@
 use frostthread::host::{GradeTerms, Report, TenantTerms, Terms};
 use serde_json::Value;
 
-/// No list in the settings is longer than this.
+/// Longest list in the settings.
 const MAX_LIST_LEN: usize = 10_000;
 
-/// Objects within objects in the settings go no deeper than this.
+/// Deepest nesting of objects and lists in the settings.
 const MAX_DEPTH: usize = 16;
 
-/// The settings as they came; keys that are not asked for are ignored.
+/// The settings as flat paths and values. Unknown keys are ignored.
 pub struct SettingsMap(HashMap<String, String>);
 
 impl SettingsMap {
-    /// One `path=value` a line.
+    /// Reads settings with one `path=value` per line.
     pub fn from_lines(text: &[u8]) -> Result<Self> {
-        let text = std::str::from_utf8(text).context("field setup is no text")?;
+        let text = std::str::from_utf8(text).context("field setup is not UTF-8 text")?;
         let pairs = text.lines().filter_map(|line| line.split_once('='));
         Ok(Self(pairs.map(|(key, value)| (key.to_owned(), value.to_owned())).collect()))
     }
 
-    /// Nested objects and lists. They are laid flat as the lines are: a list of plain values joined by
-    /// commas, any other list as its length and its items by number.
+    /// Reads settings from nested objects and lists, which are flattened to the form of the lines: a list of
+    /// scalars is joined by commas, any other list becomes its length and its items by number.
     pub fn from_json(settings: &Value) -> Result<Self> {
         let mut flat = HashMap::new();
-        ensure!(settings.is_object(), "field settings is no object");
+        ensure!(settings.is_object(), "field settings is not an object");
         flatten(settings, &mut String::new(), 0, &mut flat)?;
         Ok(Self(flat))
     }
@@ -63,19 +62,19 @@
         Ok(number)
     }
 
-    /// A time, in seconds there, as milliseconds.
+    /// Reads a time, which is in seconds in the settings, and returns it in milliseconds.
     fn millis(&self, key: &str) -> Result<f64> {
         Ok(self.non_negative(key)? * 1000.0)
     }
 
-    /// A time without which nothing can be reckoned.
+    /// Reads a time that must be over 0, and returns it in milliseconds.
     fn positive_millis(&self, key: &str) -> Result<f64> {
         let millis = self.millis(key)?;
         ensure!(millis > 0.0, "setting {key} is {millis}, wanted is a time over 0");
         Ok(millis)
     }
 
-    /// How many there are of something that there must be one of.
+    /// Reads a count that must be 1 or more.
     fn positive_count(&self, key: &str) -> Result<u32> {
         let count = self.integer(key)?;
         ensure!(count > 0, "setting {key} is 0, wanted is 1 or more");
@@ -90,6 +89,7 @@
         parts.map(parse).collect()
     }
 
+    /// Reads the length of a list, up to [`MAX_LIST_LEN`].
     fn count(&self, key: &str) -> Result<usize> {
         let count = self.integer(key)?;
         ensure!(count <= MAX_LIST_LEN, "setting {key} is {count}, over {MAX_LIST_LEN}");
@@ -97,7 +97,7 @@
     }
 }
 
-/// The place of each figure in a report.
+/// The position of each figure in a report.
 #[derive(Clone, Debug, Default)]
 pub struct ReportLayout {
     free: Option<usize>,
@@ -108,7 +108,7 @@
 }
 
 impl ReportLayout {
-    /// The figures of a report that names each, as in `idle:12;circuits:40`.
+    /// Reads a report that names each figure, as in `idle:12;circuits:40`.
     pub fn read_named(&self, text: &str) -> Report {
         let mut values = vec![-1.0; self.names.len()];
         for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
@@ -119,7 +119,7 @@
         self.read(&values)
     }
 
-    /// The figures that a report holds; one below zero was not told.
+    /// Reads a report from its values in order; a value below zero means that the figure was not reported.
     pub fn read(&self, values: &[f32]) -> Report {
         let figure = |position: Option<usize>| {
             let value = values.get(position?).copied().map(f64::from);
@@ -136,7 +136,7 @@
 }
 
 impl SettingsMap {
-    /// What a report holds, in order.
+    /// Which figures a report has, in order.
     pub fn report_layout(&self) -> Result<ReportLayout> {
         let names: Vec<String> =
             if self.0.contains_key("feedback.names") { self.list("feedback.names")? } else { Vec::new() };
@@ -150,12 +150,12 @@
         })
     }
 
-    /// The names of the service grades, by their places in the terms.
+    /// The names of the service grades, in the order of [`Terms::grades`].
     pub fn grade_names(&self) -> Result<Vec<String>> {
         self.names("profiles")
     }
 
-    /// The names of the tenants, likewise.
+    /// The names of the tenants, in the order of [`Terms::tenants`].
     pub fn tenant_names(&self) -> Result<Vec<String>> {
         self.names("tenants")
     }
@@ -166,6 +166,7 @@
         (0..count).map(|i| Ok(self.text(&format!("{list}.{i}.name"))?.to_owned())).collect()
     }
 
+    /// The terms of the deployment.
     pub fn terms(&self) -> Result<Terms> {
         let form = self.text("domain.network_form")?;
         ensure!(form == "skills", "setting domain.network_form is {form:?}, wanted is 'skills'");
@@ -198,18 +199,18 @@
         })
     }
 
-    /// How long a connection to a central server may take to come up.
+    /// The longest time to establish a connection to a central server, in milliseconds.
     pub fn connect_timeout(&self) -> Result<f64> {
         self.positive_millis("bounds.connect_timeout")
     }
 
-    /// How many conversations a proxy may have open.
+    /// The most conversations that a proxy may have open.
     pub fn max_open_calls(&self) -> Result<usize> {
         self.integer("bounds.open_cap")
     }
 }
 
-/// Lays a JSON value out as `path=value`; `path` is as it was when done.
+/// Flattens a JSON value to `path=value` entries in `flat`. Restores `path` before it returns.
 fn flatten(value: &Value, path: &mut String, depth: usize, flat: &mut HashMap<String, String>) -> Result<()> {
     ensure!(depth <= MAX_DEPTH, "setting {path}: nested more than {MAX_DEPTH} deep");
     let length = path.len();
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Stories of the attempts of one call: when one ends, when the next goes, and where.
+//! Attempts of one call: when an attempt ends, when the next one is sent, and where to.
 
 mod fake;
 
@@ -16,9 +16,9 @@
     scenario.advance(100.0);
     scenario.end_attempt(handle, ending);
     scenario.advance(299.0);
-    assert_eq!(scenario.servers_tried(handle).len(), 1, "nothing is sent within the release");
+    assert_eq!(scenario.servers_tried(handle).len(), 1, "no attempt is sent before the release is over");
     scenario.advance(100.0);
-    assert_eq!(scenario.servers_tried(handle).len(), 2, "then it is sent again");
+    assert_eq!(scenario.servers_tried(handle).len(), 2, "the next attempt follows the release");
 }
 
 #[test]
@@ -29,8 +29,12 @@
     assert_eq!(scenario.servers_tried(handle).len(), 1);
     let other = scenario.call(0, 1);
     scenario.end_attempt(other, Ending::Rejected);
-    assert_eq!(scenario.servers_tried(other).len(), 2, "at once");
-    assert_eq!(scenario.servers_tried(handle).len(), 1, "the one still out is left alone");
+    assert_eq!(scenario.servers_tried(other).len(), 2, "the rejected call is retried at once");
+    assert_eq!(
+        scenario.servers_tried(handle).len(),
+        1,
+        "the call with an attempt in flight gets no second one"
+    );
 }
 
 #[test]
@@ -84,15 +88,18 @@
     scenario.advance(10.0);
     (0..3).for_each(|_| scenario.complete_call(0, 50.0));
     let both = [scenario.call(0, 0), scenario.call(0, 0)];
-    assert!(both.iter().all(|&h| scenario.servers_tried(h) == [0]), "the lost shot holds no line");
-    assert!(scenario.host.cancelled.is_empty(), "it may only be a little late");
+    assert!(
+        both.iter().all(|&h| scenario.servers_tried(h) == [0]),
+        "the superseded attempt uses no capacity"
+    );
+    assert!(scenario.host.cancelled.is_empty(), "its answer may only be a little late");
     scenario.advance(500.0);
     scenario.establish(both[0]);
-    assert_eq!(scenario.host.cancelled, [(lost, 0)], "called off, and once");
+    assert_eq!(scenario.host.cancelled, [(lost, 0)], "cancelled exactly once");
     scenario.establish(both[1]);
     scenario.end_attempt(lost, Ending::Cancelled);
     scenario.advance(310.0);
-    assert_eq!(scenario.servers_tried(lost), [0, 0], "sent again after the release");
+    assert_eq!(scenario.servers_tried(lost), [0, 0], "retried after the release");
 }
 
 #[rstest]
@@ -113,13 +120,13 @@
     }
     let handle = scenario.call(0, 0);
     scenario.advance(390.0);
-    assert!(scenario.host.cancelled.is_empty(), "it may still be answered");
+    assert!(scenario.host.cancelled.is_empty(), "its answer may still arrive");
     scenario.advance(110.0);
     assert_eq!(scenario.host.cancelled.len(), cancelled);
     if cancelled > 0 {
         scenario.end_attempt(handle, Ending::Cancelled);
         scenario.advance(310.0);
-        assert_eq!(scenario.servers_tried(handle), [0, 0], "again, once the release is over");
+        assert_eq!(scenario.servers_tried(handle), [0, 0], "retried after the release");
     }
 }
 
@@ -132,6 +139,6 @@
     scenario.end_attempt(faulty, Ending::Error);
     scenario.advance(600.0);
     scenario.call(0, 0);
-    assert!(scenario.host.cancelled.is_empty(), "it may still stand in line");
+    assert!(scenario.host.cancelled.is_empty(), "the earlier attempt may still be queued");
     assert_eq!(scenario.servers_tried(early), [0]);
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,6 +1,6 @@
-//! The sum of all border proxies at a central server that has just started: modules beside each other under
-//! one clock, with uneven traffic and restarts. In no span of a fall may it get more than what the settings
-//! allow it then, and the chance of that number beside it.
+//! The load of all border proxies together at a central server that has just started. The proxies share a
+//! simulated clock, have uneven traffic, and some restart. In no overload duration may the server get more
+//! attempts than the settings allow at that time, plus a margin for the random variation of that number.
 
 mod fake;
 
@@ -13,29 +13,30 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 
+/// Step of the simulated clock.
 const TICK_MS: f64 = 10.0;
-/// One way to the central server.
+/// Network delay between a proxy and the central server.
 const ONE_WAY_DELAY_MS: f64 = 20.0;
-/// Calls are offered so many times as many as it could take when warm.
+/// Offered load as a multiple of the capacity of the warm server.
 const OFFERED_LOAD_FACTOR: f64 = 4.0;
-/// Each proxy hears of the start at a time of its own within this.
-const MAX_LIST_DELAY_MS: f64 = 300.0;
-/// Lines turn over so many times as fast as the processor can set up, as on the operators' bench.
+/// Mean delay until a proxy learns of the start of the server; each proxy has its own.
+const MEAN_LIST_DELAY_MS: f64 = 300.0;
+/// Turnover of the lines as a multiple of the processor's rate, as in the operators' test setup.
 const LINE_TURNOVER_FACTOR: f64 = 2.0;
 
-/// What its answers tell, and what it says when it is first connected to.
+/// The figures that the server reports with its answers and when a proxy first connects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ReportedFigures {
     Nothing,
     Lines,
-    /// Lines at once, its rate with each answer, with noise.
+    /// Its lines at once, and its rate with each answer, with random noise.
     Rates,
 }
 
 struct SimulatedProxy {
     proxy: Proxy,
     host: FakeHost,
-    /// Calls a second.
+    /// Offered calls per second.
     calls_per_second: f64,
     attempts_seen: usize,
     knows_server: bool,
@@ -49,8 +50,9 @@
     rng: Pcg64Mcg,
     members: Vec<SimulatedProxy>,
     now: f64,
-    /// When its processor is next free, and what it will answer: when, to whom, in which life of theirs.
+    /// When the server's processor is next free.
     processor_free_at: f64,
+    /// Its answers to come: time, index and generation of the proxy, and handle.
     answers: Vec<(f64, usize, usize, Handle)>,
     generations: Vec<usize>,
     arrivals: VecDeque<f64>,
@@ -81,7 +83,7 @@
 
     fn start(&mut self) -> SimulatedProxy {
         let proxy = Proxy::new(self.terms.clone(), self.rng.random(), self.now);
-        // Some get several times what others get.
+        // Exponential distribution: some proxies get several times the load of others.
         let calls_per_second = -self.rng.random::<f64>().ln() * OFFERED_LOAD_FACTOR * self.warm_rate
             / f64::from(self.terms.proxies);
         SimulatedProxy {
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Set-ups a second that it can do.
+    /// Set-ups per second that the server can handle now.
     fn rate(&self) -> f64 {
         let warmth = (self.now / self.terms.cold_duration).min(1.0);
         self.warm_rate
@@ -119,7 +121,7 @@
         for index in 0..self.members.len() {
             let report = self.report(true);
             let first_report = self.report(false);
-            let learns_list = self.rng.random::<f64>() < TICK_MS / MAX_LIST_DELAY_MS;
+            let learns_list = self.rng.random::<f64>() < TICK_MS / MEAN_LIST_DELAY_MS;
             let call_count = self.members[index].calls_per_second * TICK_MS / 1000.0;
             let call_count = call_count as usize + usize::from(self.rng.random::<f64>() < call_count.fract());
             let generation = self.generations[index];
@@ -165,7 +167,7 @@
         }
     }
 
-    /// A part of all proxies is killed and starts again, knowing nothing.
+    /// Restarts a random share of all proxies without their state.
     fn restart(&mut self, share: f64) {
         for index in 0..self.members.len() {
             if self.rng.random::<f64>() < share {
@@ -175,11 +177,11 @@
         }
     }
 
-    /// The worst span of a fall while it is cold: what came in it over what may.
+    /// The largest ratio of attempts to allowed attempts in any overload duration while the server is cold.
     fn worst_ratio(&mut self, restart_at: Option<f64>) -> f64 {
         let overload_duration = self.terms.overload_duration;
         let mut worst_ratio = 0.0;
-        // What comes as the cold time ends comes to a warm one.
+        // Attempts in the last tick of the cold duration arrive at a warm server.
         while self.now < self.terms.cold_duration - TICK_MS {
             self.tick();
             if restart_at.is_some_and(|at| (self.now - at).abs() < TICK_MS / 2.0) {
@@ -197,7 +199,7 @@
     }
 }
 
-/// Seeds that are played of each case.
+/// Number of seeds for each case; large fleets run a fifth of them.
 const SEEDS_PER_CASE: u64 = 20;
 
 #[rstest]
--- a/tests/lines.rs
+++ b/tests/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! Stories of how much is sent to a central server: its line narrowed, rested, closed and opened again.
+//! How many attempts a central server gets: the concurrency limit falls, cools down, closes and recovers.
 
 mod fake;
 
@@ -17,8 +17,8 @@
             scenario.end_attempt(handle, Ending::Ok);
         }
     }
-    assert!(scenario.attempts_at(0) <= 3, "shots still out fill its line: {:?}", scenario.host);
-    assert!(scenario.attempts_at(1) >= 9, "the rest goes elsewhere");
+    assert!(scenario.attempts_at(0) <= 3, "attempts in flight use up its limit: {:?}", scenario.host);
+    assert!(scenario.attempts_at(1) >= 9, "the other attempts go to the other server");
 }
 
 #[test]
@@ -28,7 +28,7 @@
     let both = [scenario.call(0, 0), scenario.call(0, 0)];
     assert!(
         both.iter().any(|&h| scenario.servers_tried(h).is_empty()),
-        "late answers have narrowed the line"
+        "late answers have lowered the limit"
     );
     scenario.advance(2900.0);
     for handle in both {
@@ -36,7 +36,10 @@
     }
     (0..40).for_each(|_| scenario.complete_call(0, 60.0));
     let both = [scenario.call(0, 0), scenario.call(0, 0)];
-    assert!(both.iter().all(|&h| scenario.servers_tried(h) == [0]), "quick answers have opened it again");
+    assert!(
+        both.iter().all(|&h| scenario.servers_tried(h) == [0]),
+        "quick answers have raised the limit again"
+    );
 }
 
 #[rstest]
@@ -49,7 +52,7 @@
         scenario.advance(3000.0);
     });
     scenario.complete_call(0, 1500.0);
-    // One that has little traffic of its own sees a jam by one answer in seconds.
+    // A proxy with little traffic of its own sees an overload by a single answer in seconds.
     scenario.advance(1000.0);
     let next = scenario.call(0, 0);
     assert_eq!(scenario.servers_tried(next).len(), attempts);
@@ -68,8 +71,8 @@
         scenario.now - since
     };
     let wait_ratio = |latest_delay| wait_until_sent(1, latest_delay) / wait_until_sent(0, latest_delay);
-    assert!(wait_ratio(60.0) <= 0.2, "a line that answers well is for the high earners");
-    assert!(wait_ratio(1500.0) > 0.2, "one whose latest answer was late is not for them to try");
+    assert!(wait_ratio(60.0) <= 0.2, "a server with quick answers opens to high earnings first");
+    assert!(wait_ratio(1500.0) > 0.2, "after a late answer high earnings go no sooner");
 }
 
 #[test]
@@ -95,7 +98,11 @@
     for _ in 0..6 {
         scenario.call(0, 0);
     }
-    assert_eq!(scenario.attempts_at(0), 1, "the others found it resting, though a line takes more at first");
+    assert_eq!(
+        scenario.attempts_at(0),
+        1,
+        "the other calls found it cooling down, though the initial limit is higher"
+    );
 }
 
 #[test]
@@ -116,13 +123,13 @@
     handle.caller_gone(&mut scenario.proxy);
     scenario.advance(2000.0);
     complete_if_sent(&mut scenario);
-    assert_eq!(scenario.attempts_at(0), 2, "not at once");
+    assert_eq!(scenario.attempts_at(0), 2, "no attempt before the cool-down is over");
     scenario.advance(6000.0);
     complete_if_sent(&mut scenario);
     assert_eq!(scenario.attempts_at(0), 3);
     scenario.advance(1000.0);
     complete_if_sent(&mut scenario);
-    assert_eq!(scenario.attempts_at(0), 4, "and is soon as open as a new one");
+    assert_eq!(scenario.attempts_at(0), 4, "soon as open as a new server");
 }
 
 #[test]
@@ -135,13 +142,13 @@
     scenario.complete_call(0, 1500.0);
     report(&mut scenario, 100.0);
     scenario.complete_call(0, 20.0);
-    assert_eq!(scenario.attempts_at(0), 1, "such word may be older than the jam");
+    assert_eq!(scenario.attempts_at(0), 1, "such a report may be older than the overload");
     for _ in 0..250 {
         scenario.complete_call(1, 20.0);
         scenario.advance(80.0);
     }
     assert!(scenario.host.probes.contains(&0));
-    assert_eq!(scenario.attempts_at(0), 1, "still at rest");
+    assert_eq!(scenario.attempts_at(0), 1, "still cooling down");
     report(&mut scenario, 100.0);
     scenario.complete_call(0, 20.0);
     assert_eq!(scenario.attempts_at(0), 2);
@@ -162,7 +169,7 @@
     let retry_after = Some(800.0);
     scenario.proxy.reported(Server(0), Report { retry_after, ..Report::default() });
     scenario.end_attempt(handle, Ending::Rejected);
-    assert_eq!(scenario.servers_tried(handle), [0, 1], "the other is sound");
+    assert_eq!(scenario.servers_tried(handle), [0, 1], "the other server accepts attempts");
     scenario.complete_call(0, 20.0);
     assert_eq!(scenario.attempts_at(0), 1);
     scenario.advance(800.0);
@@ -180,7 +187,7 @@
     assert_eq!(scenario.servers_tried(next), [1]);
     scenario.proxy.reported(Server(0), Report { free: Some(3.0), ..Report::default() });
     let both = [scenario.call(0, 0), scenario.call(0, 0)];
-    assert!(both.iter().all(|&h| scenario.servers_tried(h) == [0]), "its line was not narrowed");
+    assert!(both.iter().all(|&h| scenario.servers_tried(h) == [0]), "the limit was not lowered");
 }
 
 #[test]
@@ -192,7 +199,7 @@
     let next = scenario.call(0, 0);
     assert!(
         scenario.servers_tried(next).is_empty(),
-        "the line had room for two, but its oldest tells of a jam"
+        "the limit allowed two, but the age of the oldest attempt lowers it"
     );
     scenario.establish(first);
     scenario.advance(2000.0);
@@ -209,7 +216,7 @@
         scenario.end_attempt(faulty, Ending::Error);
         scenario.advance(1.0);
         scenario.end_attempt(faulty, Ending::Error);
-        assert_eq!(scenario.servers_tried(faulty), [0, 1], "two have said so");
+        assert_eq!(scenario.servers_tried(faulty), [0, 1], "not retried after faults at two servers");
         scenario.complete_call(0, 40.0);
         scenario.complete_call(1, 40.0);
     }
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -1,6 +1,7 @@
-//! The one fake host of all stories: it writes down what the decisions ask for.
+//! A fake host that records the actions which the decisions request, and a border proxy with a simulated
+//! clock.
 
-#![allow(dead_code)] // each file of stories uses some of it
+#![allow(dead_code)] // each test file uses a part of it
 
 use std::collections::HashMap;
 
@@ -43,12 +44,12 @@
     }
 }
 
-/// A border proxy on its own clock, with the fake host beside it.
+/// A border proxy with a simulated clock and the fake host.
 pub struct Scenario {
     pub proxy: Proxy,
     pub host: FakeHost,
     pub now: f64,
-    /// How many shots there were when the handle was given out; handles come again.
+    /// Number of attempts when the handle was given out, since handles are reused.
     attempts_before: HashMap<Handle, usize>,
 }
 
@@ -86,7 +87,7 @@
 }
 
 impl Scenario {
-    /// A proxy that knows so many running central servers, warm since long ago.
+    /// A proxy with the given number of running, warm central servers.
     pub fn with_servers(servers: u32) -> Self {
         Self::with_terms(servers, terms())
     }
@@ -106,7 +107,7 @@
         self.proxy.run_pending(&mut self.host);
     }
 
-    /// Time goes on; the wakes that fall due are called.
+    /// Advances the clock by `duration` milliseconds and runs each requested turn on the way.
     pub fn advance(&mut self, duration: f64) {
         let end = self.now + duration;
         while let Some(wake_at) =
@@ -148,7 +149,7 @@
         })
     }
 
-    /// A call that its caller gives up after `remaining`.
+    /// A call whose caller hangs up after `remaining` milliseconds.
     pub fn call_with_remaining(&mut self, remaining: f64) -> Handle {
         self.accept(&Call {
             grade: 0,
@@ -178,7 +179,8 @@
         self.proxy.run_pending(&mut self.host);
     }
 
-    /// One conversation, answered `delay` after its shot, unless it is given up before it has one.
+    /// A complete call: answered `delay` milliseconds after its attempt, unless it is given up before it has
+    /// one.
     pub fn complete_call(&mut self, preferred_pool: u16, delay: f64) {
         let handle = self.call(0, preferred_pool);
         while self.servers_tried(handle).is_empty() && self.proxy.contains(handle) {
@@ -191,13 +193,13 @@
         }
     }
 
-    /// Where the conversation's shots went.
+    /// The central servers of the conversation's attempts, in order.
     pub fn servers_tried(&self, handle: Handle) -> Vec<u32> {
         let attempts = &self.host.attempts[self.attempts_before[&handle]..];
         attempts.iter().filter(|attempt| attempt.0 == handle).map(|attempt| attempt.1).collect()
     }
 
-    /// How many shots the central server has had.
+    /// Number of attempts that the central server has had.
     pub fn attempts_at(&self, server: u32) -> usize {
         self.host.attempts.iter().filter(|attempt| attempt.1 == server).count()
     }
--- a/tests/fleet_evidence.rs
+++ b/tests/fleet_evidence.rs
@@ -1,4 +1,4 @@
-//! Stories of what the rest of the fleet brings: suspicions, limits and allotments.
+//! Effects of the rest of the fleet: suspicions and fleet-wide limits.
 
 mod fake;
 
@@ -23,7 +23,7 @@
             scenario.end_attempt(handle, Ending::Ok);
         }
     }
-    // Five proxies at a standing delay of 400 ms: each tries about once in 2 s.
+    // Five proxies at a target delay of 400 ms: each one tries about once in 2 s.
     assert!((1..=4).contains(&scenario.attempts_at(0)), "{}", scenario.attempts_at(0));
     assert!(scenario.attempts_at(1) > 30);
 }
@@ -72,7 +72,7 @@
         scenario.establish(handle);
         scenario.end_attempt(handle, Ending::Ok);
     }
-    scenario.end_attempt(half_open.expect("a trial shot"), Ending::NotSent);
+    scenario.end_attempt(half_open.expect("a half-open attempt"), Ending::NotSent);
     let handle = scenario.call(0, 0);
     assert_eq!(scenario.servers_tried(handle), [1]);
 }
@@ -85,7 +85,11 @@
     let (first, second) = (scenario.call(0, 0), scenario.call(0, 0));
     assert_eq!((scenario.servers_tried(first), scenario.servers_tried(second)), (vec![0], vec![]));
     scenario.advance(200.0);
-    assert_eq!(scenario.proxy.set_fleet_limit(Server(0), Some(0)), 1, "though it was tried in each beat");
+    assert_eq!(
+        scenario.proxy.set_fleet_limit(Server(0), Some(0)),
+        1,
+        "counted once, though it was tried in each turn"
+    );
     assert_eq!(scenario.proxy.set_fleet_limit(Server(0), Some(1)), 0);
     scenario.end_attempt(first, Ending::Ok);
     assert_eq!(scenario.servers_tried(second), [0]);
@@ -129,7 +133,7 @@
     assert_eq!(
         scenario.proxy.set_fleet_limit(Server(0), Some(100)),
         0,
-        "the limit is not what keeps it away"
+        "another rule than the limit closes the server"
     );
 }
 
--- a/tests/holding.rs
+++ b/tests/held_calls.rs
@@ -1,4 +1,4 @@
-//! Stories of calls that are held, refused, advised or given up, by earnings, tenant and patience.
+//! Calls that are held, refused or given up, by earnings, tenant and the caller's timeout.
 
 mod fake;
 
@@ -23,7 +23,7 @@
 fn held_calls_are_sent_by_descending_earnings(#[case] low: (usize, usize), #[case] high: (usize, usize)) {
     let mut scenario = Scenario::with_servers(1);
     let in_flight: Vec<_> = (0..2).map(|_| scenario.call(1, 0)).collect();
-    // The tenant's quota is far under what this conversation brings it to.
+    // This conversation brings the tenant far over its quota.
     let low_call = scenario.call_for_tenant(low.0, 0, low.1);
     let high_call = scenario.call_for_tenant(high.0, 0, high.1);
     scenario.advance(50.0);
@@ -36,7 +36,7 @@
     assert!(sent_position(high_call) < sent_position(low_call), "{:?}", scenario.host);
 }
 
-/// The tenant's quota is tiny, so that a guess by this proxy's traffic has it far over.
+/// The tenant's quota is tiny, so that by the estimate from this proxy's traffic it is far over.
 #[rstest]
 #[case::within(Some(true), true)]
 #[case::over(Some(false), false)]
@@ -77,18 +77,18 @@
     let handle = scenario.call_to_number(5);
     scenario.advance(50.0);
     scenario.end_attempt(handle, Ending::Busy);
-    assert_eq!(scenario.host.refused.len(), 1, "no other central server has lines for it");
+    assert_eq!(scenario.host.refused.len(), 1, "no other central server can reach a busy number");
     scenario.call_to_number(5);
     assert_eq!(
         (scenario.host.refused.len(), scenario.host.attempts.len()),
         (2, 1),
-        "nor is it tried in its gap"
+        "the number is not tried during its backoff"
     );
     let other = scenario.call_to_number(6);
     assert_eq!(scenario.servers_tried(other), [0], "other numbers are not held back");
     scenario.advance(400.0);
     let again = scenario.call_to_number(5);
-    assert_eq!(scenario.servers_tried(again).len(), 1, "after the gap it is tried again");
+    assert_eq!(scenario.servers_tried(again).len(), 1, "the number is tried again after its backoff");
 }
 
 #[test]
@@ -101,7 +101,11 @@
     scenario.update_server_list(&[server_entry(0, State::Running, None)]);
     let in_flight = [scenario.call(0, 0), scenario.call(0, 0)];
     scenario.call_to_number(5);
-    assert_eq!(scenario.host.refused.len(), 2, "it can no longer stand in time, so it is not held");
+    assert_eq!(
+        scenario.host.refused.len(),
+        2,
+        "the redial can no longer be answered in time, so it is not held"
+    );
     let new_call = scenario.call_to_number(6);
     scenario.establish(in_flight[0]);
     assert_eq!(scenario.servers_tried(new_call), [0]);
@@ -115,14 +119,18 @@
     scenario.call_with_remaining(900.0);
     assert!(
         scenario.host.refused.is_empty(),
-        "one with little patience has not waited: the proxy had its turns"
+        "a call with a short timeout is held, since the proxy had its turns and the call did not wait"
     );
     scenario.now += 2500.0;
     scenario.proxy.advance_clock(scenario.now);
     scenario.call_with_remaining(3000.0);
-    assert_eq!(scenario.host.refused.len(), 1, "the first is over, a new one is held");
+    assert_eq!(scenario.host.refused.len(), 1, "the first call is refused, the new one is held");
     scenario.call_with_remaining(900.0);
-    assert_eq!(scenario.host.refused.len(), 2, "one that has waited for 2.1 s can no longer stand in time");
+    assert_eq!(
+        scenario.host.refused.len(),
+        2,
+        "a call that has waited for 2.1 s can no longer be answered in time"
+    );
 }
 
 #[rstest]
@@ -138,7 +146,7 @@
     let retry_after = Some(wait);
     scenario.proxy.reported(Server(0), Report { retry_after, ..Report::default() });
     scenario.end_attempt(handle, Ending::Rejected);
-    // No answer could reach it any more, so it is given up at once.
+    // No answer can reach this call in time, so it is given up at once.
     let late = scenario.call_with_remaining(10.0);
     let retry_after_sent =
         scenario.host.refused.iter().find(|(refused, _)| *refused == late).expect("refused").1;
--- a/tests/first_choice.rs
+++ b/tests/server_selection.rs
@@ -1,4 +1,4 @@
-//! Stories of which central server a call goes to: the first choice, the draw, and scarce lines.
+//! Which central server a call goes to: the preferred pool, the random choice, and scarce lines.
 
 mod fake;
 
@@ -16,8 +16,8 @@
 
 #[test]
 fn the_expected_quantile_matches_a_case_computed_by_hand() {
-    // 38 samples in the first bin and 2 in the eleventh, of 50. At 0.95 the old quantile is the first
-    // bin's edge, 0.02. With one sample spread over all bins the total is 41, of which 38.95 are wanted;
+    // 38 samples in the first bin and 2 in the eleventh, of 50. At 0.95 the present quantile is the first
+    // bin's edge, 0.02. With one sample spread over all bins the total is 41, and the quantile is at 38.95;
     // 38.02 lie in the first bin and 0.02 more in each that follows, until the eleventh: 0.22.
     let mut histogram = Histogram::default();
     (0..38).for_each(|_| histogram.record(0.01));
@@ -31,7 +31,7 @@
     let mut histogram = Histogram::default();
     (0..38).for_each(|_| histogram.record(0.01));
     (0..2).for_each(|_| histogram.record(0.21));
-    // At 0.02 fewer than 50 samples are too few: the old quantile alone decides.
+    // At 0.02 fewer than 50 samples are too few: the present quantile alone decides.
     assert!((quantile_after(&histogram, 0.02, 1.0) - 0.22).abs() < 1e-9);
 }
 
@@ -43,7 +43,7 @@
     #[case] server: u32,
 ) {
     let mut scenario = Scenario::with_servers(2);
-    // Two set-ups are cut, which counts as 1 each; the rest is answered quickly.
+    // Two set-ups are reset, which counts as 1 each; the others are answered quickly.
     for _ in 0..2 {
         let handle = scenario.call(0, 0);
         scenario.end_attempt(handle, Ending::Reset);
@@ -52,7 +52,7 @@
         scenario.end_attempt(handle, Ending::Ok);
     }
     (4..samples).for_each(|_| scenario.complete_call(0, 50.0));
-    assert_eq!(scenario.attempts_at(0), samples, "all went to the first choice so far");
+    assert_eq!(scenario.attempts_at(0), samples, "all attempts went to the preferred server so far");
     let next = scenario.call(0, 0);
     assert_eq!(scenario.servers_tried(next), [server]);
 }
@@ -67,17 +67,17 @@
     };
     (0..20).for_each(|_| report(&mut scenario, 10.0));
     (0..10).for_each(|_| scenario.complete_call(0, 1.0));
-    assert_eq!(scenario.attempts_at(0), 10, "few are enough while none comes back");
+    assert_eq!(scenario.attempts_at(0), 10, "few free lines are enough while no attempt is rejected");
     let handle = scenario.call(0, 0);
     scenario.end_attempt(handle, Ending::NoFreeLine);
     let before = scenario.attempts_at(0);
-    // Some 50 lines change hands from one word to the next, and 10 are free.
+    // About 50 lines are released and taken again between two reports, and 10 are free.
     (0..8).for_each(|_| {
         report(&mut scenario, 10.0);
         (0..10).for_each(|_| scenario.complete_call(0, 1.0));
     });
     let sent = scenario.attempts_at(0) - before;
-    assert!((4..=40).contains(&sent), "about a fifth: {sent} of 80");
+    assert!((4..=40).contains(&sent), "expected about a fifth: {sent} of 80");
 }
 
 #[test]
@@ -132,7 +132,11 @@
     scenario.complete_call(0, 300.0);
     scenario.complete_call(1, 20.0);
     let short_timeout = scenario.call_with_remaining(400.0);
-    assert_eq!(scenario.servers_tried(short_timeout), [1], "its first choice would answer too late for it");
+    assert_eq!(
+        scenario.servers_tried(short_timeout),
+        [1],
+        "its preferred server would answer too late for it"
+    );
     let long_timeout = scenario.call_with_remaining(3000.0);
     assert_eq!(scenario.servers_tried(long_timeout), [0]);
 }
@@ -149,18 +153,22 @@
     };
     report(&mut scenario, 100.0);
     (0..20).for_each(|_| call_after(&mut scenario, 3000.0));
-    assert_eq!(scenario.attempts_at(0), 20, "a server at its best rate is left to the rest");
+    assert_eq!(scenario.attempts_at(0), 20, "a server at its best rate gets all attempts");
     for _ in 0..40 {
         report(&mut scenario, 20.0);
         call_after(&mut scenario, 3000.0);
     }
     let sent = scenario.attempts_at(0) - 20;
-    assert!((3..=20).contains(&sent), "about a quarter: {sent} of 40");
+    assert!((3..=20).contains(&sent), "expected about a quarter: {sent} of 40");
     scenario.advance(5100.0);
     (0..5).for_each(|_| call_after(&mut scenario, 3000.0));
-    assert_eq!(scenario.attempts_at(0), 25 + sent, "an old word says nothing");
+    assert_eq!(scenario.attempts_at(0), 25 + sent, "an old report has no effect");
     (0..5).for_each(|_| call_after(&mut scenario, 600.0));
     report(&mut scenario, 20.0);
     (0..5).for_each(|_| call_after(&mut scenario, 600.0));
-    assert_eq!(scenario.attempts_at(0), 35 + sent, "nor does a word where own answers tell more");
+    assert_eq!(
+        scenario.attempts_at(0),
+        35 + sent,
+        "a report has no effect where the proxy has enough answers of its own"
+    );
 }
--- a/tests/server_states.rs
+++ b/tests/server_states.rs
@@ -1,4 +1,4 @@
-//! Stories of central servers that drain, are gone, or have just started.
+//! Central servers that are draining, gone, or just started.
 
 mod fake;
 
@@ -18,7 +18,10 @@
     scenario.advance(2500.0);
     assert_eq!(scenario.attempts_at(0), 0);
     assert!(handles.iter().any(|&h| scenario.servers_tried(h) == [1]));
-    assert!(scenario.host.log_lines.iter().any(|note| note.contains("central server 0 is")), "it is logged");
+    assert!(
+        scenario.host.log_lines.iter().any(|line| line.contains("central server 0 is")),
+        "the state change is logged"
+    );
 }
 
 #[test]
@@ -33,18 +36,19 @@
 fn a_cold_server_gets_a_small_share_until_it_answers_quickly() {
     let mut scenario = Scenario::with_servers(1);
     scenario.advance(20_000.0);
-    // One that came back under its own id is as cold as a new one.
+    // A server that returns under its former id is as cold as a new one.
     scenario.update_server_list(&[server_entry(0, State::Running, Some(19_900.0))]);
     let mut calls = Vec::new();
     for _ in 0..50 {
         calls.push(scenario.call(1, 0));
         scenario.advance(100.0);
     }
-    // Five proxies; twice what one doing two set-ups a second bears: one in 1.25 s from each at most.
-    assert!(scenario.attempts_at(0) <= 5, "{} shots in 5 s", scenario.attempts_at(0));
+    // Five proxies, and twice the load of a server that handles two set-ups per second: at most one in 1.25 s
+    // from each.
+    assert!(scenario.attempts_at(0) <= 5, "{} attempts in 5 s", scenario.attempts_at(0));
     let sent =
         calls.iter().copied().find(|&h| !scenario.servers_tried(h).is_empty() && scenario.proxy.contains(h));
-    assert!(sent.is_some(), "but it is entered");
+    assert!(sent.is_some(), "the cold server gets some attempts");
 }
 
 #[rstest]
@@ -61,14 +65,14 @@
     let lines = Some(800.0);
     scenario.proxy.reported(Server(0), Report { free: lines, lines, ..Report::default() });
     while scenario.now < 30_000.0 {
-        // Too slow for single shots beyond the part.
+        // Too slow for single attempts beyond the share.
         scenario.complete_call(0, 300.0);
     }
-    // 800 lines turn over 100 times a second; a tenth of that, doubled, among 25 is one in 1.25 s from each.
-    // One doing two a second would get one in 6.25 s.
+    // 800 lines turn over 100 times per second; a tenth of that, doubled and divided among 25 proxies, is one
+    // in 1.25 s from each. A server that handles two set-ups per second would get one in 6.25 s.
     assert!(
         expected_attempts.contains(&scenario.attempts_at(0)),
-        "{} shots in 10 s",
+        "{} attempts in 10 s",
         scenario.attempts_at(0)
     );
 }
@@ -87,14 +91,17 @@
         scenario.advance(80.0);
     }
     let probes = &scenario.host.probes;
-    assert!(!probes.is_empty() && probes.iter().all(|&s| s == 1), "the warm one is not asked: {probes:?}");
+    assert!(
+        !probes.is_empty() && probes.iter().all(|&s| s == 1),
+        "the warm server is not probed: {probes:?}"
+    );
     report(&mut scenario, 1, 10.0);
     let before = scenario.attempts_at(1);
     for _ in 0..100 {
         scenario.complete_call(1, 20.0);
         scenario.advance(30.0);
     }
-    // Five proxies: two a second for each, and half as much again while it is quick.
+    // Five proxies: two per second from each, and half as many again while the server answers quickly.
     let sent = scenario.attempts_at(1) - before;
     assert!((1..=16).contains(&sent), "{sent} in 5 s");
 }
@@ -111,7 +118,7 @@
     }
     assert!(
         scenario.host.probes.is_empty(),
-        "hundreds of proxies would ask for what they know: {:?}",
+        "probes from hundreds of proxies would request what they know already: {:?}",
         scenario.host.probes
     );
 }
