--- a/simhost/src/fleet.rs
+++ b/simhost/src/fleet.rs
@@ -5,7 +5,26 @@
 use anyhow::{Context, Result, bail, ensure};
 
 use crate::instance::{Entry, Instance};
-use crate::wire::{Batch, Fields, Reply, records};
+use crate::wire::{Batch, Fields, MS_PER_SECOND, Reply, records};
+
+/// Codes of the records that the simulator sends.
+const LAUNCH: u8 = 1;
+const WITHDRAWN: u8 = 2;
+const MEMBERSHIP: u8 = 3;
+const INVENTORY: u8 = 4;
+const ACCEPTED: u8 = 5;
+const SWITCH_TO: u8 = 6;
+const TIMEOUT_FIRED: u8 = 7;
+const JOB_IN: u8 = 8;
+const HALT: u8 = 9;
+const DATAGRAM: u8 = 10;
+const REPLY: u8 = 11;
+const PING_RESULT: u8 = 12;
+
+/// Scope of a `membership` record that changes only the entries that it names.
+const SCOPE_CHANGES: u8 = 0;
+/// Scope of a `membership` record which only reports that the list could not be fetched.
+const SCOPE_UNAVAILABLE: u8 = 3;
 
 /// Number of server lists.
 const LIST_COUNT: usize = 16;
@@ -22,15 +41,15 @@
     /// pending decisions once at the end.
     pub fn process(&mut self, batch: &Batch) -> Result<Reply> {
         let mut reply = Reply::default();
-        let now = batch.clock * 1000.0;
+        let now = batch.clock * MS_PER_SECOND;
         let mut current_instance = None;
         let mut touched = Vec::new();
         for (code, bytes) in records(batch)? {
             let record = record_name(code)?;
             let fields = &mut Fields::new(record, bytes);
             match code {
-                4 => self.inventory(fields)?,
-                6 => current_instance = Some(fields.u32("who")?),
+                INVENTORY => self.inventory(fields)?,
+                SWITCH_TO => current_instance = Some(fields.u32("who")?),
                 _ => {
                     let instance_id = current_instance
                         .with_context(|| format!("{record}: no switch_to names an instance"))?;
@@ -60,11 +79,11 @@
         fields: &mut Fields,
         reply: &mut Reply,
     ) -> Result<()> {
-        if code == 1 {
+        if code == LAUNCH {
             self.instances.insert(instance_id, Instance::launch(instance_id, now, fields)?);
             return Ok(());
         }
-        if code == 9 {
+        if code == HALT {
             self.instances.remove(&instance_id);
             return Ok(());
         }
@@ -74,28 +93,31 @@
             .with_context(|| format!("{record}: instance {instance_id} is not running"))?;
         instance.advance_clock(now);
         match code {
-            2 => instance.withdrawn(fields),
-            3 => {
+            WITHDRAWN => instance.withdrawn(fields),
+            MEMBERSHIP => {
                 let scope = fields.u8("scope")?;
                 fields.u32("stamp")?;
                 let list = usize::from(fields.u8("roster_id")?);
-                ensure!(scope <= 3, "membership: field scope is {scope}, wanted is 0 to 3");
-                if scope == 3 {
+                ensure!(
+                    scope <= SCOPE_UNAVAILABLE,
+                    "membership: field scope is {scope}, wanted is 0 to {SCOPE_UNAVAILABLE}"
+                );
+                if scope == SCOPE_UNAVAILABLE {
                     return Ok(());
                 }
                 let entries = self.lists.get(list);
                 let entries = entries.with_context(|| format!("membership: field roster_id is {list}"))?;
-                instance.membership(entries, scope != 0, reply);
+                instance.membership(entries, scope != SCOPE_CHANGES, reply);
                 Ok(())
             }
-            5 => instance.accepted(fields),
-            7 => {
+            ACCEPTED => instance.accepted(fields),
+            TIMEOUT_FIRED => {
                 fields.u64("key_back")?;
                 Ok(())
             }
-            8 => instance.job_in(fields),
-            10 => instance.datagram(fields),
-            11 => instance.reply(fields, reply),
+            JOB_IN => instance.job_in(fields),
+            DATAGRAM => instance.datagram(fields),
+            REPLY => instance.reply(fields, reply),
             _ => instance.ping_result(fields),
         }
     }
@@ -114,18 +136,18 @@
 /// The name of the record with the given code, as used in error texts.
 fn record_name(code: u8) -> Result<&'static str> {
     Ok(match code {
-        1 => "launch",
-        2 => "withdrawn",
-        3 => "membership",
-        4 => "inventory",
-        5 => "accepted",
-        6 => "switch_to",
-        7 => "timeout_fired",
-        8 => "job_in",
-        9 => "halt",
-        10 => "datagram",
-        11 => "reply",
-        12 => "ping_result",
+        LAUNCH => "launch",
+        WITHDRAWN => "withdrawn",
+        MEMBERSHIP => "membership",
+        INVENTORY => "inventory",
+        ACCEPTED => "accepted",
+        SWITCH_TO => "switch_to",
+        TIMEOUT_FIRED => "timeout_fired",
+        JOB_IN => "job_in",
+        HALT => "halt",
+        DATAGRAM => "datagram",
+        REPLY => "reply",
+        PING_RESULT => "ping_result",
         other => bail!("batch: no record has code {other}"),
     })
 }
--- a/simhost/src/instance.rs
+++ b/simhost/src/instance.rs
@@ -7,7 +7,28 @@
 use frostthread::{Handle, Proxy};
 use terms::{ReportLayout, SettingsMap};
 
-use crate::wire::{Address, Fields, Reply};
+use crate::wire::{Address, Fields, MS_PER_SECOND, Reply};
+
+/// Codes of the records in a reply.
+const SEND_MESSAGE: u8 = 2;
+const LOG_LINE: u8 = 3;
+const SEND_ATTEMPT: u8 = 5;
+const PROBE_SERVER: u8 = 6;
+const SET_TIMER: u8 = 8;
+const REFUSE_CALL: u8 = 11;
+const FAIL_CALL: u8 = 12;
+const CANCEL_ATTEMPT: u8 = 13;
+
+/// Flag in the field `opts` of a redial.
+const REDIAL_FLAG: u8 = 2;
+/// Mask of the cause in the field `clear_code`.
+const CAUSE_MASK: u32 = 15;
+/// Position in `clear_code` of the wait that a rejection requests, in milliseconds.
+const WAIT_SHIFT: u32 = 4;
+/// Cause of a rejection because the pool has no free line.
+const CAUSE_NO_FREE_LINE: u32 = 1;
+/// Cause of an error because all lines of the called number are busy.
+const CAUSE_BUSY: u32 = 4;
 
 /// An entry of a server list on the wire.
 #[derive(Clone, Debug)]
@@ -90,45 +111,48 @@
 }
 
 fn seconds(millis: f64) -> [u8; 8] {
-    (millis / 1000.0).to_le_bytes()
+    (millis / MS_PER_SECOND).to_le_bytes()
 }
 
 impl Host for ReplyHost<'_> {
     fn send_attempt(&mut self, handle: Handle, server: Server, timeout: f64) {
         let address = self.ids.addresses[server.0 as usize];
-        self.write_record(5, &[&self.req(handle), &address, &seconds(timeout)]);
+        self.write_record(SEND_ATTEMPT, &[&self.req(handle), &address, &seconds(timeout)]);
     }
 
     fn refuse(&mut self, handle: Handle, retry_after: Option<f64>) {
-        self.write_record(11, &[&self.req(handle), &seconds(retry_after.unwrap_or(0.0))]);
+        self.write_record(REFUSE_CALL, &[&self.req(handle), &seconds(retry_after.unwrap_or(0.0))]);
         self.forget(handle);
     }
 
     fn fail(&mut self, handle: Handle) {
-        self.write_record(12, &[&self.req(handle)]);
+        self.write_record(FAIL_CALL, &[&self.req(handle)]);
         self.forget(handle);
     }
 
     fn cancel(&mut self, handle: Handle, attempt: u16) {
-        self.write_record(13, &[&self.req(handle), &attempt.to_le_bytes()]);
+        self.write_record(CANCEL_ATTEMPT, &[&self.req(handle), &attempt.to_le_bytes()]);
     }
 
     fn wake(&mut self, at: f64) {
-        self.write_record(8, &[&0u64.to_le_bytes(), &seconds(at)]);
+        self.write_record(SET_TIMER, &[&0u64.to_le_bytes(), &seconds(at)]);
     }
 
     fn probe(&mut self, server: Server) {
         let address = self.ids.addresses[server.0 as usize];
-        self.write_record(6, &[&address]);
+        self.write_record(PROBE_SERVER, &[&address]);
     }
 
     fn broadcast(&mut self, message: &[u8]) {
-        self.write_record(2, &[&u16::MAX.to_le_bytes(), &(message.len() as u16).to_le_bytes(), message]);
+        self.write_record(
+            SEND_MESSAGE,
+            &[&u16::MAX.to_le_bytes(), &(message.len() as u16).to_le_bytes(), message],
+        );
     }
 
     fn log(&mut self, line: &str) {
         let line = &line.as_bytes()[..line.len().min(usize::from(u16::MAX))];
-        self.write_record(3, &[&(line.len() as u16).to_le_bytes(), line]);
+        self.write_record(LOG_LINE, &[&(line.len() as u16).to_le_bytes(), line]);
     }
 }
 
@@ -205,7 +229,7 @@
         let preferred_pool = fields.f32("far_end")? as u16;
         fields.f32("width")?;
         let tenant = Some(tenant).filter(|&t| t < self.tenants);
-        let call = Call { grade, tenant, preferred_pool, number, remaining, redial: opts & 2 != 0 };
+        let call = Call { grade, tenant, preferred_pool, number, remaining, redial: opts & REDIAL_FLAG != 0 };
         let handle = self.proxy.accept(&call);
         self.ids.insert(req, handle);
         handle.enqueue(&mut self.proxy);
@@ -228,10 +252,10 @@
     pub fn reply(&mut self, fields: &mut Fields, reply: &mut Reply) -> Result<()> {
         let req = fields.u64("req")?;
         let code = fields.u32("clear_code")?;
-        let (cause, wait) = (code & 15, code >> 4);
+        let (cause, wait) = (code & CAUSE_MASK, code >> WAIT_SHIFT);
         let ending = match (ending("reply", fields.u8("rc")?)?, cause) {
-            (Ending::Error, 4) => Ending::Busy,
-            (Ending::Rejected, 1) => Ending::NoFreeLine,
+            (Ending::Error, CAUSE_BUSY) => Ending::Busy,
+            (Ending::Rejected, CAUSE_NO_FREE_LINE) => Ending::NoFreeLine,
             (ending, _) => ending,
         };
         fields.millis("time_taken")?;
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -5,6 +5,9 @@
 use anyhow::{Context, Result, bail, ensure};
 use bytes::{Buf, BufMut};
 
+/// Times are in seconds on the wire and in milliseconds elsewhere.
+pub const MS_PER_SECOND: f64 = 1000.0;
+
 /// Largest body of a frame; a longer one is treated as a corrupt length.
 const MAX_FRAME_BYTES: usize = 1 << 30;
 
@@ -96,7 +99,7 @@
     pub fn millis(&mut self, field: &str) -> Result<f64> {
         let seconds = self.bytes(field, 8)?.get_f64_le();
         ensure!(seconds.is_finite(), "{}: field {field} is not a number", self.record);
-        Ok(seconds * 1000.0)
+        Ok(seconds * MS_PER_SECOND)
     }
 
     /// Reads the address of a central server.
@@ -136,6 +139,9 @@
     Ok(found)
 }
 
+/// Code of the reply record that names the instance of the records after it.
+const SWITCH_TO: u8 = 1;
+
 /// The reply to one batch.
 #[derive(Default)]
 pub struct Reply {
@@ -149,7 +155,7 @@
     pub fn record(&mut self, instance_id: u32, code: u8, fields: &[&[u8]]) {
         if self.current_instance != Some(instance_id) {
             self.current_instance = Some(instance_id);
-            self.put(1, &[&instance_id.to_le_bytes()]);
+            self.put(SWITCH_TO, &[&instance_id.to_le_bytes()]);
         }
         self.put(code, fields);
     }
--- a/src/choice/cold.rs
+++ b/src/choice/cold.rs
@@ -41,7 +41,7 @@
                 < central
                     .sent_times
                     .back()
-                    .map_or(central.cold_entry.0, |&sent_at| sent_at + 1000.0 / attempts_per_second);
+                    .map_or(central.cold_entry.0, |&sent_at| sent_at + MS_PER_SECOND / attempts_per_second);
         }
         if quick {
             return false;
--- a/src/choice/intake.rs
+++ b/src/choice/intake.rs
@@ -65,7 +65,7 @@
         while recent.front().is_some_and(|&accepted_at| accepted_at < now - window) {
             recent.pop_front();
         }
-        let rate = recent.len() as f64 / window * 1000.0 * f64::from(self.terms.proxies);
+        let rate = recent.len() as f64 / window * MS_PER_SECOND * f64::from(self.terms.proxies);
         let estimated_share = (self.terms.tenants[tenant].quota / rate).min(1.0);
         let within_share = self.tenants_within_share[tenant].map_or(estimated_share, f64::from);
         within_share + (1.0 - within_share) * self.terms.over_share
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -52,6 +52,10 @@
 const MIN_FLEET_IN_FLIGHT: f64 = 0.6;
 /// Longest time between turns while conversations are held or attempts are in flight, in target delays.
 const TURN_INTERVAL_IN_TARGET_DELAYS: f64 = 0.25;
+/// Weight of a new value in a moving average.
+const NEW_VALUE_WEIGHT: f64 = 0.25;
+/// Rates are per second, times in milliseconds.
+const MS_PER_SECOND: f64 = 1000.0;
 /// A reported rate counts as full while it is above the best reported one divided by this.
 const RATE_TOLERANCE: f64 = 1.25;
 /// Age in target delays from which on an attempt in flight lowers the concurrency limit.
--- a/src/choice/outcome.rs
+++ b/src/choice/outcome.rs
@@ -73,7 +73,7 @@
             );
         }
         if delay.is_some() {
-            central.mean_delay += 0.25 * (effective_delay - central.mean_delay);
+            central.mean_delay += NEW_VALUE_WEIGHT * (effective_delay - central.mean_delay);
         }
         let base_cool_down = effective_delay.min(2.0 * target_delay);
         (central.cool_down_since, central.cool_down) =
--- a/src/choice/updates.rs
+++ b/src/choice/updates.rs
@@ -54,7 +54,7 @@
         let Some(Some(central)) = self.centrals.get_mut(server.0 as usize) else { return };
         if let Some(free_lines) = report.free {
             central.lines_report_interval +=
-                0.25 * (now - central.free_lines_reported_at - central.lines_report_interval);
+                NEW_VALUE_WEIGHT * (now - central.free_lines_reported_at - central.lines_report_interval);
             (central.free_lines, central.free_lines_reported_at) = (free_lines, now);
         }
         if let Some(lines) = report.lines {
@@ -67,7 +67,7 @@
             central.retry_at = now + wait;
         }
         if let Some(rate) = report.rate {
-            central.shorten_cold_entry(now, f64::from(self.terms.proxies) * 1000.0 / rate.max(1.0));
+            central.shorten_cold_entry(now, f64::from(self.terms.proxies) * MS_PER_SECOND / rate.max(1.0));
             (central.reported_rate, central.rate_reported_at) = (rate, now);
             central.best_reported_rate = central.best_reported_rate.max(rate);
             // The overload that caused a long cool-down may be over, which the server itself knows first.
--- a/terms/src/lib.rs
+++ b/terms/src/lib.rs
@@ -12,6 +12,9 @@
 use frostthread::host::{GradeTerms, Report, TenantTerms, Terms};
 use serde_json::Value;
 
+/// Times are in seconds in the settings and in milliseconds in the terms.
+const MS_PER_SECOND: f64 = 1000.0;
+
 /// Longest list in the settings.
 const MAX_LIST_LEN: usize = 10_000;
 
@@ -64,7 +67,7 @@
 
     /// Reads a time, which is in seconds in the settings, and returns it in milliseconds.
     fn millis(&self, key: &str) -> Result<f64> {
-        Ok(self.non_negative(key)? * 1000.0)
+        Ok(self.non_negative(key)? * MS_PER_SECOND)
     }
 
     /// Reads a time that must be over 0, and returns it in milliseconds.
@@ -262,7 +265,7 @@
         quoted: settings.positive_millis(&key("objective"))?,
         limit: settings.positive_millis(&key("deadline"))?,
         hold: mean_hold.with_context(|| format!("setting domain.mean_hold: none for grade {index}"))?
-            * 1000.0,
+            * MS_PER_SECOND,
         earnings: settings.non_negative(&key("worth"))?,
         late_share: settings.non_negative(&key("late_worth"))?,
         repeatable,
