--- a/src/host.rs
+++ b/src/host.rs
@@ -90,8 +90,11 @@
 /// State of a central server. The names are written to the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
+    /// Accepts attempts.
     Running,
+    /// Gets no new attempts.
     Draining,
+    /// Out of service.
     #[default]
     Gone,
 }
@@ -124,16 +127,23 @@
 /// How an attempt, or the conversation that it established, ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
+    /// The attempt was accepted, and the conversation has ended normally.
     Ok,
+    /// The set-up or the conversation failed with a fault.
     Error,
     /// All lines of the called number are busy.
     Busy,
+    /// Rejected before any work on it.
     Rejected,
     /// Rejected because the pool had no free line.
     NoFreeLine,
+    /// No answer within the timeout.
     TimedOut,
+    /// The connection was refused.
     NoConnection,
+    /// Cut off after it was sent.
     Reset,
+    /// Cancelled by this proxy.
     Cancelled,
     /// The attempt was never sent.
     NotSent,
