--- a/sip/fuzz/fuzz_targets/streams.rs
+++ b/sip/fuzz/fuzz_targets/streams.rs
@@ -1,5 +1,5 @@
-//! Feeds a reader whatever the fuzzer makes of a stream, in pieces; a panic fails, and so does a message longer than
-//! any may be. Run with `cargo fuzz run streams` in `sip/`.
+//! Feeds a reader arbitrary streams in chunks. Fails on a panic and on a message longer than the maximum. Run with
+//! `cargo fuzz run streams` in `sip/`.
 
 #![no_main]
 
@@ -8,12 +8,12 @@
 
 fuzz_target!(|data: &[u8]| {
     let mut reader = Reader::default();
-    // A length byte, and so many bytes of the stream.
-    let mut rest = data;
-    while let [length, after @ ..] = rest {
-        let (piece, more) = after.split_at(usize::from(*length).min(after.len()));
-        rest = more;
-        reader.feed(piece);
+    // Each chunk is a length byte followed by that many bytes of the stream.
+    let mut remaining = data;
+    while let [length, after @ ..] = remaining {
+        let (chunk, after_chunk) = after.split_at(usize::from(*length).min(after.len()));
+        remaining = after_chunk;
+        reader.feed(chunk);
         while let Ok(Some(message)) = reader.message() {
             assert!(message.body.len() <= MAX_MESSAGE_BYTES);
         }
--- a/sip/src/lib.rs
+++ b/sip/src/lib.rs
@@ -1,8 +1,8 @@
-//! SIP (RFC 3261) over TCP, as far as setting calls up takes it, without I/O.
+//! The part of SIP (RFC 3261) over TCP that call set-up needs, without I/O.
 //!
-//! [`Reader::feed`] takes a connection's bytes as they come, [`Reader::message`] gives whole messages or says why
-//! there will be no more. [`Request`] and [`Response`] write messages. Which call a message is of, and what that
-//! means, is for the caller to say.
+//! [`Reader::feed`] takes the bytes received on a connection, and [`Reader::message`] returns whole messages or the
+//! error that ends the stream. [`Request`] and [`Response`] write messages. Matching messages to calls is left to the
+//! user of this crate.
 
 #![forbid(unsafe_code)]
 
--- a/sip/src/read.rs
+++ b/sip/src/read.rs
@@ -1,50 +1,63 @@
-//! From bytes to messages. Nothing beyond [`MAX_MESSAGE_BYTES`] is kept, whatever a peer says of its length.
+//! Decodes messages. Never buffers a message longer than [`MAX_MESSAGE_BYTES`], whatever length a peer announces.
 
 use bytes::{Buf, Bytes, BytesMut};
 use thiserror::Error;
 
-/// Bytes of the longest message that is read, head and body together.
+/// Maximum length of a message, head and body together.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
-/// Header fields in the largest head that is read.
-const MOST_HEADERS: usize = 64;
+/// Maximum number of header fields of a message.
+const MAX_HEADERS: usize = 64;
 
-/// Why a connection's bytes can't be read on.
+/// Why the data of a connection cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
+    /// A message is longer than [`MAX_MESSAGE_BYTES`].
     #[error("a message is longer than {MAX_MESSAGE_BYTES} bytes")]
     TooLong,
-    #[error("the first line is no SIP/2.0 request or answer")]
+    /// The start line is invalid.
+    #[error("the first line is not a SIP/2.0 request or response")]
     StartLine,
-    #[error("the header fields can't be read")]
+    /// The header fields are malformed, too many, or not UTF-8.
+    #[error("the header fields are malformed, more than {MAX_HEADERS}, or not UTF-8")]
     Headers,
+    /// A required header field is missing.
     #[error("header field {0} is missing")]
     Missing(&'static str),
-    #[error("header field {0} stands twice")]
-    Twice(&'static str),
-    #[error("header field {0} has no use for its value")]
-    Value(&'static str),
+    /// A header field that may appear once is repeated.
+    #[error("header field {0} appears twice, wanted once")]
+    Duplicate(&'static str),
+    /// A header field has an invalid value.
+    #[error("header field {0} has an invalid value")]
+    InvalidValue(&'static str),
 }
 
+/// The first line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartLine {
+    /// Of a request.
     Request { method: String, uri: String },
+    /// Of a response, with its status code.
     Response { code: u16 },
 }
 
-/// One whole message.
+/// A complete message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
+    /// The start line.
     pub start: StartLine,
+    /// The value of Call-ID.
     pub call_id: String,
-    /// The number and the method in CSeq.
+    /// The number in CSeq, or 0 for a request without one.
     pub number: u32,
+    /// The method in CSeq, or that of a request without one.
     pub method: String,
     headers: Vec<(String, String)>,
+    /// The body, of Content-Length bytes.
     pub body: Bytes,
 }
 
 impl Message {
-    /// The first header field of that name.
+    /// The value of the first header field with this name, in any case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
     }
@@ -59,85 +72,89 @@
     }
 }
 
-/// The bytes of one connection that are not yet a message.
+/// Decodes the messages of one connection.
 #[derive(Debug, Default)]
 pub struct Reader {
     buffer: BytesMut,
-    /// No end of a head before this.
-    seen: usize,
-    broken: Option<DecodeError>,
+    /// Bytes of the buffer in which no head ends.
+    scanned: usize,
+    error: Option<DecodeError>,
 }
 
 impl Reader {
-    /// More bytes of the connection; drain [`Reader::message`] after each call.
+    /// Adds bytes received on the connection. Drain [`Reader::message`] after each call.
     pub fn feed(&mut self, bytes: &[u8]) {
-        if self.broken.is_none() {
+        if self.error.is_none() {
             self.buffer.extend_from_slice(bytes);
         }
     }
 
-    /// Whether part of a message is waiting for the rest.
-    pub fn is_midway(&self) -> bool {
+    /// Whether an incomplete message is waiting for the rest.
+    pub fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The next message that is whole. After an error there are no more: the stream has lost its frames.
+    /// The next complete message, if any.
+    ///
+    /// # Errors
+    ///
+    /// Fails on invalid data, and from then on with the same error, as message boundaries are lost.
     pub fn message(&mut self) -> Result<Option<Message>, DecodeError> {
-        if let Some(unfit) = &self.broken {
-            return Err(unfit.clone());
+        if let Some(error) = &self.error {
+            return Err(error.clone());
         }
-        let read = self.read();
-        if let Err(unfit) = &read {
-            self.broken = Some(unfit.clone());
+        let parsed = self.parse_next();
+        if let Err(error) = &parsed {
+            self.error = Some(error.clone());
             self.buffer = BytesMut::new();
         }
-        read
+        parsed
     }
 
-    fn read(&mut self) -> Result<Option<Message>, DecodeError> {
-        // Empty lines between messages keep a connection alive (RFC 5626, 4.4.1).
-        while self.seen == 0 && self.buffer.starts_with(b"\r\n") {
+    fn parse_next(&mut self) -> Result<Option<Message>, DecodeError> {
+        // Skip empty lines between messages, which keep a connection alive (RFC 5626, 4.4.1).
+        while self.scanned == 0 && self.buffer.starts_with(b"\r\n") {
             self.buffer.advance(2);
         }
-        let Some(end) = self.buffer[self.seen..].windows(4).position(|w| w == b"\r\n\r\n") else {
-            // A head that does not begin as one is not waited for.
+        let Some(end) = self.buffer[self.scanned..].windows(4).position(|w| w == b"\r\n\r\n") else {
+            // Check the start line now rather than wait for the rest of an invalid head.
             if self.buffer.len() > MAX_MESSAGE_BYTES {
                 return Err(DecodeError::TooLong);
             }
             if let Some(line) = self.buffer.windows(2).position(|w| w == b"\r\n") {
-                start_line(&self.buffer[..line])?;
+                parse_start_line(&self.buffer[..line])?;
             }
-            self.seen = self.buffer.len().saturating_sub(3);
+            self.scanned = self.buffer.len().saturating_sub(3);
             return Ok(None);
         };
-        let head = self.seen + end + 4;
-        // Kept, so that the head is not looked for again while its body comes in.
-        self.seen = head - 4;
-        if head > MAX_MESSAGE_BYTES {
+        let head_bytes = self.scanned + end + 4;
+        // Remember the head's end, so that it is not searched again while the body arrives.
+        self.scanned = head_bytes - 4;
+        if head_bytes > MAX_MESSAGE_BYTES {
             return Err(DecodeError::TooLong);
         }
-        let (mut message, length) = read_head(&self.buffer[..head])?;
-        if length > MAX_MESSAGE_BYTES - head {
+        let (mut message, length) = parse_head(&self.buffer[..head_bytes])?;
+        if length > MAX_MESSAGE_BYTES - head_bytes {
             return Err(DecodeError::TooLong);
         }
-        if self.buffer.len() < head + length {
+        if self.buffer.len() < head_bytes + length {
             return Ok(None);
         }
-        self.buffer.advance(head);
+        self.buffer.advance(head_bytes);
         message.body = Bytes::copy_from_slice(&self.buffer.split_to(length));
-        self.seen = 0;
+        self.scanned = 0;
         if self.buffer.is_empty() {
-            // An idle connection holds no memory.
+            // Free the memory of an idle connection.
             self.buffer = BytesMut::new();
         }
         Ok(Some(message))
     }
 }
 
-fn start_line(line: &[u8]) -> Result<StartLine, DecodeError> {
+fn parse_start_line(line: &[u8]) -> Result<StartLine, DecodeError> {
     let line = std::str::from_utf8(line).map_err(|_| DecodeError::StartLine)?;
-    if let Some(rest) = line.strip_prefix("SIP/2.0 ") {
-        let code = rest.split(' ').next().and_then(|code| code.parse().ok());
+    if let Some(remaining) = line.strip_prefix("SIP/2.0 ") {
+        let code = remaining.split(' ').next().and_then(|code| code.parse().ok());
         let code = code.filter(|code| (100..700).contains(code));
         return Ok(StartLine::Response { code: code.ok_or(DecodeError::StartLine)? });
     }
@@ -150,15 +167,16 @@
     }
 }
 
+/// Whether the text is a token (RFC 3261, 25.1).
 fn is_token(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|b| b.is_ascii_alphanumeric() || b"-.!%*_+`'~".contains(&b))
 }
 
-/// The head of a message, and how long its body is.
-fn read_head(head: &[u8]) -> Result<(Message, usize), DecodeError> {
+/// Parses the head of a message. Returns the message without its body, and the length of the body.
+fn parse_head(head: &[u8]) -> Result<(Message, usize), DecodeError> {
     let line = head.windows(2).position(|w| w == b"\r\n").ok_or(DecodeError::StartLine)?;
-    let start = start_line(&head[..line])?;
-    let mut fields = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let start = parse_start_line(&head[..line])?;
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let parsed = httparse::parse_headers(&head[line + 2..], &mut fields);
     let Ok(httparse::Status::Complete((_, fields))) = parsed else { return Err(DecodeError::Headers) };
     let text = |field: &httparse::Header| {
@@ -166,27 +184,27 @@
         Ok((field.name.to_owned(), value.trim().to_owned()))
     };
     let headers: Vec<(String, String)> = fields.iter().map(text).collect::<Result<_, _>>()?;
-    // RFC 3261, 7.3.3: some names have a short form.
-    let only = |name: &'static str, short: &str| {
-        let of_name =
+    // Some names have a short form (RFC 3261, 7.3.3).
+    let single_header = |name: &'static str, short: &str| {
+        let has_name =
             |(n, _): &&(String, String)| n.eq_ignore_ascii_case(name) || n.eq_ignore_ascii_case(short);
-        let mut found = headers.iter().filter(of_name);
+        let mut found = headers.iter().filter(has_name);
         let (_, value) = found.next().ok_or(DecodeError::Missing(name))?;
-        if found.next().is_some() { Err(DecodeError::Twice(name)) } else { Ok(value.as_str()) }
+        if found.next().is_some() { Err(DecodeError::Duplicate(name)) } else { Ok(value.as_str()) }
     };
-    let length = only("Content-Length", "l")?;
+    let length = single_header("Content-Length", "l")?;
     if length.is_empty() || !length.bytes().all(|b| b.is_ascii_digit()) {
-        return Err(DecodeError::Value("Content-Length"));
+        return Err(DecodeError::InvalidValue("Content-Length"));
     }
-    // More digits than fit are too long, not senseless.
+    // A length that does not fit into a number is too long, not malformed.
     let length = length.parse::<usize>().map_err(|_| DecodeError::TooLong)?;
-    let call_id = only("Call-ID", "i")?.to_owned();
-    let (number, method) = match (&start, only("CSeq", "CSeq")) {
-        // What wants no answer may leave it out.
+    let call_id = single_header("Call-ID", "i")?.to_owned();
+    let (number, method) = match (&start, single_header("CSeq", "CSeq")) {
+        // Requests that need no response may omit it.
         (StartLine::Request { method, .. }, Err(DecodeError::Missing(_))) => (0, method.clone()),
         (_, sequence) => {
-            let (number, method) = sequence?.split_once(' ').ok_or(DecodeError::Value("CSeq"))?;
-            (number.parse().map_err(|_| DecodeError::Value("CSeq"))?, method.trim().to_owned())
+            let (number, method) = sequence?.split_once(' ').ok_or(DecodeError::InvalidValue("CSeq"))?;
+            (number.parse().map_err(|_| DecodeError::InvalidValue("CSeq"))?, method.trim().to_owned())
         }
     };
     Ok((Message { start, call_id, number, method, headers, body: Bytes::new() }, length))
