--- a/records/src/rating.rs
+++ b/records/src/rating.rs
@@ -14,6 +14,7 @@
 
 /// The whole of an amount, in thousandths.
 const WHOLE_THOUSANDTHS: u64 = 1000;
+const MS_PER_MINUTE: u64 = 60_000;
 
 /// Why a plan cannot be used.
 #[derive(Debug, Error, PartialEq, Eq)]
@@ -137,7 +138,7 @@
             return not_billed;
         };
         let late = answered.saturating_sub(conversation.first_opened_at()) > price.quoted_ms;
-        let minutes = last.closed.saturating_sub(answered).div_ceil(60_000);
+        let minutes = last.closed.saturating_sub(answered).div_ceil(MS_PER_MINUTE);
         let call_price =
             if late { price.per_call * price.late_part / WHOLE_THOUSANDTHS } else { price.per_call };
         let full = call_price.saturating_add(price.per_minute.saturating_mul(minutes));
