--- a/records/tests/stories.rs
+++ b/records/tests/records.rs
@@ -1,4 +1,4 @@
-//! Stories of records: crashes at every byte, damage, redials through two proxies, plans that change, slow disks.
+//! Tests of records: crashes at every byte, damage, redials through two proxies, changes of plans, and slow disks.
 
 use proptest::prelude::*;
 use records::commit::{Admission, DiskHealth, Durability, GroupCommit};
@@ -6,11 +6,11 @@
 use records::join::{Conversation, join};
 use records::journal::{self, MAX_TEXT_BYTES};
 use records::ledger::Ledger;
-use records::rating::{Plan, Plans, Unfit};
+use records::rating::{InvalidPlan, Plan, Plans};
 use rstest::rstest;
 
-fn author(life: u64) -> Author {
-    Author { proxy: "p1".to_owned(), generation: life }
+fn author(generation: u64) -> Author {
+    Author { proxy: "p1".to_owned(), generation }
 }
 
 fn opened(serial: u64, at: u64) -> Entry {
@@ -29,18 +29,18 @@
     Entry::Closed { serial, unix_ms: at, outcome, over_share: false }
 }
 
-/// A run of two lives: the first dies with one conversation standing and one held.
-fn run() -> Vec<Entry> {
-    let shot = |serial, at| Entry::Attempt { serial, unix_ms: at, server: "a".to_owned() };
+/// The entries of two generations. The first ends with one call established and one waiting.
+fn entries_of_two_generations() -> Vec<Entry> {
+    let attempt = |serial, at| Entry::Attempt { serial, unix_ms: at, server: "a".to_owned() };
     vec![
         Entry::GenerationStarted(author(1)),
         opened(1, 100),
-        shot(1, 101),
+        attempt(1, 101),
         Entry::Answered { serial: 1, unix_ms: 150 },
         opened(2, 160),
         closed(1, 70_000, Outcome::Completed),
         opened(3, 70_100),
-        shot(3, 70_110),
+        attempt(3, 70_110),
         Entry::Answered { serial: 3, unix_ms: 70_150 },
         Entry::GenerationStarted(author(2)),
         opened(1, 80_000),
@@ -65,51 +65,55 @@
 }
 
 #[test]
-fn what_a_crash_left_open_is_lost_and_never_left_out() {
-    let all = tries(run());
-    let told: Vec<(u64, u64, Outcome, u64)> =
+fn tries_left_open_by_a_crash_are_recorded_as_lost() {
+    let all = tries(entries_of_two_generations());
+    let summary: Vec<(u64, u64, Outcome, u64)> =
         all.iter().map(|t| (t.id.author.generation, t.id.serial, t.outcome, t.closed)).collect();
     let lost = |serial| (1, serial, Outcome::Lost, 70_150);
     assert_eq!(
-        told,
+        summary,
         [(1, 1, Outcome::Completed, 70_000), lost(2), lost(3), (2, 1, Outcome::Refused, 80_010)]
     );
 }
 
 #[test]
-fn a_journal_cut_at_any_byte_gives_all_that_was_whole_and_nothing_else() {
-    let entries = run();
+fn a_journal_truncated_at_any_byte_gives_exactly_its_complete_entries() {
+    let entries = entries_of_two_generations();
     let (bytes, ends) = framed(&entries);
     for cut in 0..=bytes.len() {
         let found = journal::read(&bytes[..cut]);
         let whole = ends.iter().filter(|&&end| end <= cut).count();
         assert_eq!(found.entries, entries[..whole], "cut at {cut}");
         assert_eq!(found.valid_bytes, whole.checked_sub(1).map_or(0, |last| ends[last]));
-        let torn = cut > found.valid_bytes;
+        let truncated = cut > found.valid_bytes;
         assert_eq!(
             found.damage.iter().map(|d| (d.offset, d.torn)).collect::<Vec<_>>(),
-            Vec::from_iter(torn.then_some((found.valid_bytes, true)))
+            Vec::from_iter(truncated.then_some((found.valid_bytes, true)))
         );
-        // Twice in recovery: what the first one cut is read the same by the second.
+        // A crash during recovery: reading the recovered part again gives the same entries.
         assert_eq!(journal::read(&bytes[..found.valid_bytes]).entries, found.entries);
     }
 }
 
 #[test]
-fn a_flipped_byte_costs_the_entry_that_it_is_in_and_no_other() {
-    let entries = run();
+fn a_flipped_bit_loses_only_the_entry_that_contains_it() {
+    let entries = entries_of_two_generations();
     let (bytes, ends) = framed(&entries);
     for at in 0..bytes.len() {
         for bit in 0..8 {
             let mut damaged = bytes.clone();
             damaged[at] ^= 1 << bit;
             let found = journal::read(&damaged);
-            let hit = ends.iter().position(|&end| at < end).expect("inside");
-            let left: Vec<Entry> =
-                entries.iter().enumerate().filter(|(i, _)| *i != hit).map(|(_, e)| e.clone()).collect();
-            assert_eq!(found.entries, left, "byte {at} bit {bit}");
+            let damaged_entry = ends.iter().position(|&end| at < end).expect("inside");
+            let remaining: Vec<Entry> = entries
+                .iter()
+                .enumerate()
+                .filter(|(i, _)| *i != damaged_entry)
+                .map(|(_, e)| e.clone())
+                .collect();
+            assert_eq!(found.entries, remaining, "byte {at} bit {bit}");
             assert_eq!(found.damage.len(), 1);
-            // Without the life's own entry there may be orphans, but nobody is billed for them.
+            // Without the entry of the generation there may be orphans, but they are not billed.
             let billed = tries(found.entries).iter().filter(|t| t.outcome == Outcome::Completed).count();
             assert!(billed <= 1);
         }
@@ -117,9 +121,9 @@
 }
 
 #[test]
-fn an_entry_with_endless_texts_is_cut_to_fit() {
-    let long = "é".repeat(10_000);
-    let entry = Entry::Attempt { serial: 1, unix_ms: 1, server: long };
+fn an_entry_with_a_too_long_text_is_truncated() {
+    let long_text = "é".repeat(10_000);
+    let entry = Entry::Attempt { serial: 1, unix_ms: 1, server: long_text };
     let mut bytes = Vec::new();
     journal::write(&mut bytes, &entry);
     let Entry::Attempt { server, .. } = &journal::read(&bytes).entries[0] else { panic!() };
@@ -127,7 +131,7 @@
 }
 
 #[test]
-fn a_clock_set_back_ends_no_conversation_before_it_began() {
+fn a_clock_set_back_ends_no_call_before_its_answer() {
     let all = tries([
         Entry::GenerationStarted(author(1)),
         opened(1, 7_200_000),
@@ -138,28 +142,28 @@
 }
 
 #[test]
-fn an_end_whose_beginning_was_damaged_is_counted_and_no_record() {
+fn an_end_without_its_opening_entry_is_counted_and_gives_no_record() {
     let mut ledger = Ledger::default();
-    let lives = [
+    let entries = [
         Entry::GenerationStarted(author(1)),
         opened(1, 1),
         closed(1, 9, Outcome::Refused),
         Entry::GenerationStarted(author(2)),
     ];
-    lives.into_iter().for_each(|entry| ledger.apply(entry));
-    // The former life had a try of that number; this one's opening is gone.
+    entries.into_iter().for_each(|entry| ledger.apply(entry));
+    // The earlier generation had a try with that serial; the opening entry of this generation's is missing.
     ledger.apply(closed(1, 20, Outcome::Completed));
     let (tries, orphans) = ledger.tries();
     assert_eq!((tries.len(), orphans), (1, 1));
 }
 
 #[test]
-fn an_end_without_its_answer_on_record_is_not_billed() {
+fn a_completed_call_without_a_recorded_answer_is_not_billed() {
     let all = tries([Entry::GenerationStarted(author(1)), opened(1, 1), closed(1, 9, Outcome::Completed)]);
     assert_eq!(all[0].outcome, Outcome::Lost);
 }
 
-fn one(proxy: &str, opened: u64, answered: Option<u64>, closed: u64, outcome: Outcome) -> Try {
+fn record(proxy: &str, opened: u64, answered: Option<u64>, closed: u64, outcome: Outcome) -> Try {
     Try {
         id: TryId { author: Author { proxy: proxy.to_owned(), generation: 1 }, serial: opened },
         calling: "9".to_owned(),
@@ -178,18 +182,18 @@
 
 #[rstest]
 #[case::redial_through_another_proxy("p2", 1_500, Outcome::Refused, 1)]
-#[case::after_the_gap("p2", 99_000, Outcome::Refused, 2)]
+#[case::after_the_redial_gap("p2", 99_000, Outcome::Refused, 2)]
 #[case::two_callers_at_once("p2", 900, Outcome::Refused, 2)]
-#[case::the_first_proxy_died_over_it("p2", 900, Outcome::Lost, 1)]
-fn tries_are_joined_as_one_conversation(
+#[case::the_first_proxy_ended_while_it_was_open("p2", 900, Outcome::Lost, 1)]
+fn a_redial_within_the_gap_joins_the_conversation(
     #[case] proxy: &str,
-    #[case] second: u64,
-    #[case] first: Outcome,
+    #[case] second_opened: u64,
+    #[case] first_outcome: Outcome,
     #[case] conversations: usize,
 ) {
     let tries = [
-        one("p1", 0, None, 1_000, first),
-        one(proxy, second, Some(second + 50), second + 60_000, Outcome::Completed),
+        record("p1", 0, None, 1_000, first_outcome),
+        record(proxy, second_opened, Some(second_opened + 50), second_opened + 60_000, Outcome::Completed),
     ];
     let joined = join(tries, 10_000);
     assert_eq!(joined.len(), conversations);
@@ -197,37 +201,37 @@
 }
 
 #[test]
-fn dialling_again_after_it_stood_is_a_new_conversation() {
-    let stood = one("p1", 0, Some(50), 1_000, Outcome::Completed);
-    let lost = one("p1", 5_000, Some(5_050), 6_000, Outcome::Lost);
-    let next = one("p2", 6_100, Some(6_150), 7_000, Outcome::Completed);
-    assert_eq!(join([stood, lost, next], 10_000).len(), 3);
+fn a_redial_after_an_established_call_is_a_new_conversation() {
+    let completed = record("p1", 0, Some(50), 1_000, Outcome::Completed);
+    let lost = record("p1", 5_000, Some(5_050), 6_000, Outcome::Lost);
+    let next = record("p2", 6_100, Some(6_150), 7_000, Outcome::Completed);
+    assert_eq!(join([completed, lost, next], 10_000).len(), 3);
 }
 
 proptest! {
     #[test]
-    fn the_join_does_not_depend_on_order_or_doubling(
+    fn joining_does_not_depend_on_order_or_duplicates(
         drawn in prop::collection::vec((0..3u8, 0..40u64, 0..20u64, 0..4u8), 1..12),
         seed in prop::collection::vec(0..1000usize, 24),
     ) {
-        let tries: Vec<Try> = drawn.iter().enumerate().map(|(i, &(proxy, at, took, outcome))| {
+        let tries: Vec<Try> = drawn.iter().enumerate().map(|(i, &(proxy, at, duration, outcome))| {
             let outcome = [Outcome::Refused, Outcome::Lost, Outcome::Completed, Outcome::CallerGone][usize::from(outcome)];
             let answered = (outcome == Outcome::Completed).then_some(at * 100);
-            let mut of = one(&format!("p{proxy}"), at * 100, answered, (at + took) * 100, outcome);
-            of.id.serial = i as u64;
-            of
+            let mut record = record(&format!("p{proxy}"), at * 100, answered, (at + duration) * 100, outcome);
+            record.id.serial = i as u64;
+            record
         }).collect();
         let joined = join(tries.clone(), 1_000);
-        let mut mixed: Vec<Try> = seed.iter().map(|&at| tries[at % tries.len()].clone()).collect();
-        mixed.extend(tries.iter().rev().cloned());
-        prop_assert_eq!(&join(mixed, 1_000), &joined);
-        let again: Vec<Try> = joined.iter().flat_map(|of| of.tries.clone()).collect();
+        let mut shuffled: Vec<Try> = seed.iter().map(|&at| tries[at % tries.len()].clone()).collect();
+        shuffled.extend(tries.iter().rev().cloned());
+        prop_assert_eq!(&join(shuffled, 1_000), &joined);
+        let again: Vec<Try> = joined.iter().flat_map(|conversation| conversation.tries.clone()).collect();
         prop_assert_eq!(again.len(), tries.len());
         prop_assert_eq!(&join(again, 1_000), &joined);
     }
 
     #[test]
-    fn any_bytes_are_read_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_read_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let found = journal::read(&bytes);
         prop_assert!(found.valid_bytes <= bytes.len());
     }
@@ -248,53 +252,54 @@
 south = 900
 "#;
 
-fn conversation(of: Try) -> Conversation {
-    Conversation { tries: vec![of] }
+fn conversation(record: Try) -> Conversation {
+    Conversation { tries: vec![record] }
 }
 
 #[rstest]
 #[case::in_time(1_000, 61_000, false, "north", 2_030)]
-#[case::a_second_minute_begun(1_000, 61_001, false, "north", 2_060)]
+#[case::a_second_minute_started(1_000, 61_001, false, "north", 2_060)]
 #[case::late(3_000, 4_000, false, "north", 530)]
 #[case::over_share(1_000, 2_000, true, "north", 406)]
 #[case::cheaper_tenant_rounded_down_once(3_000, 4_000, true, "south", 95)]
-fn a_conversation_costs_what_the_plan_says(
+fn a_conversation_is_priced_by_its_plan(
     #[case] answered: u64,
     #[case] closed: u64,
     #[case] over_share: bool,
     #[case] tenant: &str,
     #[case] amount: u64,
 ) {
-    let stood = one("p1", 0, Some(answered), closed, Outcome::Completed);
-    let rated = Plan::read(PLAN).expect("sound").rate(&conversation(Try {
+    let completed = record("p1", 0, Some(answered), closed, Outcome::Completed);
+    let rated = Plan::read(PLAN).expect("valid").rate(&conversation(Try {
         over_share,
         tenant: tenant.to_owned(),
-        ..stood
+        ..completed
     }));
     assert_eq!(rated.amount, amount);
 }
 
 #[test]
-fn nothing_but_what_stood_is_billed_and_an_unknown_grade_is_told() {
-    let plan = Plan::read(PLAN).expect("sound");
+fn only_completed_calls_are_billed_and_an_unknown_grade_is_reported() {
+    let plan = Plan::read(PLAN).expect("valid");
     for outcome in [Outcome::Refused, Outcome::Failed, Outcome::CallerGone, Outcome::Lost] {
-        assert_eq!(plan.rate(&conversation(one("p1", 0, Some(5), 9, outcome))).amount, 0);
+        assert_eq!(plan.rate(&conversation(record("p1", 0, Some(5), 9, outcome))).amount, 0);
     }
-    let other = Try { grade: "open".to_owned(), ..one("p1", 0, Some(5), 9, Outcome::Completed) };
+    let other = Try { grade: "open".to_owned(), ..record("p1", 0, Some(5), 9, Outcome::Completed) };
     assert!(!plan.rate(&conversation(other)).known);
 }
 
 #[test]
-fn the_plan_in_force_at_the_first_try_counts_whatever_changes_before_the_end() {
+fn the_plan_in_force_at_the_first_try_applies_even_if_another_follows() {
     let mut plans = Plans::default();
-    plans.add(Plan::read(PLAN).expect("sound")).expect("the first");
-    let dearer = PLAN.replace("version = 1", "version = 2").replace("stands = 2000", "stands = 9000");
-    let second = Plan::read(&dearer.replace("1970-01-01T00:00:00Z", "1970-01-01T00:01:00Z")).expect("sound");
+    plans.add(Plan::read(PLAN).expect("valid")).expect("the first");
+    let changed_price = PLAN.replace("version = 1", "version = 2").replace("stands = 2000", "stands = 9000");
+    let second =
+        Plan::read(&changed_price.replace("1970-01-01T00:00:00Z", "1970-01-01T00:01:00Z")).expect("valid");
     plans.add(second.clone()).expect("later");
-    let before = plans.rate(&conversation(one("p1", 59_999, Some(60_500), 90_000, Outcome::Completed)));
-    let after = plans.rate(&conversation(one("p1", 60_000, Some(60_500), 90_000, Outcome::Completed)));
+    let before = plans.rate(&conversation(record("p1", 59_999, Some(60_500), 90_000, Outcome::Completed)));
+    let after = plans.rate(&conversation(record("p1", 60_000, Some(60_500), 90_000, Outcome::Completed)));
     assert_eq!((before.plan, before.amount, after.plan, after.amount), (1, 2_030, 2, 9_030));
-    assert_eq!(plans.add(second), Err(Unfit::Twice(2)));
+    assert_eq!(plans.add(second), Err(InvalidPlan::DuplicateVersion(2)));
 }
 
 #[rstest]
@@ -305,13 +310,17 @@
 )]
 #[case("1970-01-01T00:00:00Z", "soon", "plan 1: effective: found \"soon\"")]
 #[case("minute = 30", "minutes = 30", "unknown field `minutes`")]
-fn a_plan_that_is_unfit_names_its_field(#[case] right: &str, #[case] wrong: &str, #[case] told: &str) {
-    let error = Plan::read(&PLAN.replace(right, wrong)).expect_err("unfit").to_string();
-    assert!(error.contains(told), "{error}");
+fn an_invalid_plan_is_rejected_with_the_name_of_the_field(
+    #[case] valid: &str,
+    #[case] invalid: &str,
+    #[case] expected: &str,
+) {
+    let error = Plan::read(&PLAN.replace(valid, invalid)).expect_err("invalid").to_string();
+    assert!(error.contains(expected), "{error}");
 }
 
 #[test]
-fn one_sync_serves_all_that_was_written_before_it_began() {
+fn one_sync_covers_everything_written_before_it_started() {
     let mut commit = GroupCommit::new(Durability::Synced, 5.0, 200.0);
     let first = commit.record_write(0.0, 100);
     let second = commit.record_write(3.0, 100);
@@ -330,21 +339,21 @@
 #[case(Durability::Synced, REFUSE, REFUSE)]
 #[case(Durability::Written, Admission::Accept, REFUSE)]
 #[case(Durability::Unconfirmed, Admission::Accept, Admission::Accept)]
-fn what_cannot_be_recorded_as_promised_is_not_taken(
-    #[case] promise: Durability,
+fn a_call_that_cannot_be_recorded_as_required_is_refused(
+    #[case] durability: Durability,
     #[case] slow: Admission,
     #[case] full: Admission,
 ) {
-    let mut commit = GroupCommit::new(promise, 5.0, 200.0);
+    let mut commit = GroupCommit::new(durability, 5.0, 200.0);
     assert_eq!(commit.admit(0.0), Admission::Accept);
     commit.record_write(0.0, 10);
     commit.sync_started(5.0);
     assert_eq!((commit.health(300.0), commit.admit(300.0)), (DiskHealth::Slow, slow));
-    // Who was taken before is answered all the same.
+    // Calls accepted before are answered nevertheless.
     assert!(commit.may_send(300.0, 10));
     commit.disk_failed();
     assert_eq!((commit.health(301.0), commit.admit(301.0)), (DiskHealth::WriteFailing, full));
-    // There is room again.
+    // The disk accepts writes again.
     commit.record_write(400.0, 10);
     assert_eq!(commit.admit(400.0), Admission::Accept);
 }
