--- a/fleet/src/fleet.rs
+++ b/fleet/src/fleet.rs
@@ -10,16 +10,16 @@
 use siphasher::sip::SipHasher13;
 
 use crate::ledger::{Id, Ledger, LedgerStatus, LoanTerms};
-use crate::wire::{self, LimitId, MOST_WORDS, Word};
+use crate::wire::{self, LimitId, MAX_MESSAGES, Message};
 
 /// Limits at most: a flood of names cannot grow the books.
-const MOST_LIMITS: usize = 512;
+const MAX_LIMITS: usize = 512;
 /// Lenders that are asked at once for one limit.
-const ASKED: usize = 3;
+const LENDERS_PER_REQUEST: usize = 3;
 /// Members that are told at once, in a beat, that this one has started.
-const TOLD: usize = 16;
+const START_NOTICES_PER_TICK: usize = 16;
 /// What is missed is asked for after this part of a beat at the latest, not only at the next one.
-const SOON: f64 = 0.1;
+const EARLY_TICK_FRACTION: f64 = 0.1;
 
 /// What is agreed for limits of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -72,20 +72,20 @@
     window: f64,
     ledger: Ledger,
     /// All members: the first of them have one permit more where the limit does not go up evenly.
-    ranks: Vec<Id>,
+    member_order: Vec<Id>,
     /// What lenders last said they could still lend, and when.
-    left: BTreeMap<Id, (usize, f64)>,
+    lendable: BTreeMap<Id, (usize, f64)>,
     /// Withdrawn then: forgotten when nothing of it can be lent any more.
-    withdrawn: Option<f64>,
+    removed_at: Option<f64>,
 }
 
 impl Limit {
-    fn part(&self, member: Id) -> usize {
-        self.ranks.iter().position(|&id| id == member).map_or(0, |rank| self.part_at(rank))
+    fn part_of(&self, member: Id) -> usize {
+        self.member_order.iter().position(|&id| id == member).map_or(0, |rank| self.part_of_rank(rank))
     }
 
-    fn part_at(&self, rank: usize) -> usize {
-        let members = self.ranks.len().max(1);
+    fn part_of_rank(&self, rank: usize) -> usize {
+        let members = self.member_order.len().max(1);
         self.permits / members + usize::from(rank < self.permits % members)
     }
 }
@@ -94,18 +94,18 @@
 pub struct Fleet {
     id: Id,
     /// This process, drawn by chance.
-    life: u64,
+    generation: u64,
     terms: FleetTerms,
     members: Vec<Id>,
     /// Who may still use what an earlier life of this member lent.
-    unclear: BTreeSet<Id>,
+    uncleared: BTreeSet<Id>,
     /// When all others had let go of that.
-    cleared: Option<f64>,
+    cleared_at: Option<f64>,
     limits: BTreeMap<LimitId, Limit>,
-    chance: Pcg64Mcg,
-    began: f64,
-    beat_at: f64,
-    out: VecDeque<Outgoing>,
+    rng: Pcg64Mcg,
+    started_at: f64,
+    next_tick_at: f64,
+    send_queue: VecDeque<Outgoing>,
     counts: Counts,
 }
 
@@ -129,21 +129,21 @@
         let mut members: Vec<Id> = members.into_iter().collect();
         members.sort_unstable();
         members.dedup();
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let beat_at = now + terms.tick_interval * chance.random::<f64>();
-        let unclear: BTreeSet<Id> = members.iter().copied().filter(|&member| member != id).collect();
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let next_tick_at = now + terms.tick_interval * rng.random::<f64>();
+        let uncleared: BTreeSet<Id> = members.iter().copied().filter(|&member| member != id).collect();
         Self {
             id,
-            life: chance.random(),
+            generation: rng.random(),
             terms,
-            cleared: unclear.is_empty().then_some(now),
-            unclear,
+            cleared_at: uncleared.is_empty().then_some(now),
+            uncleared,
             members,
             limits: BTreeMap::new(),
-            chance,
-            began: now,
-            beat_at,
-            out: VecDeque::new(),
+            rng,
+            started_at: now,
+            next_tick_at,
+            send_queue: VecDeque::new(),
             counts: Counts::default(),
         }
     }
@@ -158,12 +158,12 @@
         self.members.sort_unstable();
         self.members.dedup();
         // Who has come may hold what an earlier life of this one lent under another roster.
-        let come = self.members.iter().filter(|&member| former.binary_search(member).is_err());
-        self.unclear.extend(come.filter(|&&member| member != self.id));
+        let joined = self.members.iter().filter(|&member| former.binary_search(member).is_err());
+        self.uncleared.extend(joined.filter(|&&member| member != self.id));
         let members = self.members.clone();
         for (&id, limit) in &mut self.limits {
-            limit.ranks = ranks(&members, id);
-            limit.ledger.set_part(limit.part(self.id));
+            limit.member_order = member_order(&members, id);
+            limit.ledger.set_part(limit.part_of(self.id));
         }
     }
 
@@ -172,26 +172,26 @@
     pub fn set_limit(&mut self, name: &str, rate: f64, window: f64) -> bool {
         let id = limit_id(name);
         let permits = (rate.max(0.0) * window / 1000.0).min(f64::from(u16::MAX)) as usize;
-        if !self.limits.contains_key(&id) && self.limits.len() >= MOST_LIMITS {
+        if !self.limits.contains_key(&id) && self.limits.len() >= MAX_LIMITS {
             return false;
         }
-        let (loans, began, serial) = (self.terms.loans, self.began, self.chance.random::<u64>() >> 1);
+        let (loans, started_at, serial) = (self.terms.loans, self.started_at, self.rng.random::<u64>() >> 1);
         let limit = self.limits.entry(id).or_insert_with(|| Limit {
             name: name.to_owned(),
             permits,
             window,
-            ledger: Ledger::new(loans, window, began, serial),
-            ranks: ranks(&self.members, id),
-            left: BTreeMap::new(),
-            withdrawn: None,
+            ledger: Ledger::new(loans, window, started_at, serial),
+            member_order: member_order(&self.members, id),
+            lendable: BTreeMap::new(),
+            removed_at: None,
         });
-        limit.withdrawn = None;
-        if let Some(at) = self.cleared {
-            limit.ledger.cleared(at);
+        limit.removed_at = None;
+        if let Some(at) = self.cleared_at {
+            limit.ledger.earlier_loans_cleared(at);
         }
         if limit.permits != permits || limit.ledger.part() == 0 {
             limit.permits = permits;
-            limit.ledger.set_part(limit.part(self.id));
+            limit.ledger.set_part(limit.part_of(self.id));
         }
         true
     }
@@ -199,13 +199,13 @@
     /// The limit holds no more, as when its server has gone.
     pub fn remove_limit(&mut self, now: f64, name: &str) {
         if let Some(limit) = self.limits.get_mut(&limit_id(name)) {
-            limit.withdrawn.get_or_insert(now);
+            limit.removed_at.get_or_insert(now);
         }
     }
 
     /// How many set-ups may go now; none told where there is no such limit.
     pub fn free_permits(&mut self, now: f64, name: &str) -> Option<usize> {
-        let limit = self.limits.get_mut(&limit_id(name)).filter(|limit| limit.withdrawn.is_none())?;
+        let limit = self.limits.get_mut(&limit_id(name)).filter(|limit| limit.removed_at.is_none())?;
         Some(limit.ledger.free_permits(now))
     }
 
@@ -224,117 +224,130 @@
         let Some(limit) = self.limits.get_mut(&limit_id(name)).filter(|_| count > 0) else { return };
         limit.ledger.record_shortage(now, count);
         self.counts.without_permit += count as u64;
-        let soon = now + SOON * self.terms.tick_interval * self.chance.random::<f64>();
-        self.beat_at = self.beat_at.min(soon);
+        let early_tick = now + EARLY_TICK_FRACTION * self.terms.tick_interval * self.rng.random::<f64>();
+        self.next_tick_at = self.next_tick_at.min(early_tick);
     }
 
     /// When [`Fleet::turn`] is wanted, or more set-ups may go.
     pub fn due(&self, now: f64) -> f64 {
-        self.limits.values().map(|limit| limit.ledger.due(now)).fold(self.beat_at, f64::min)
+        self.limits.values().map(|limit| limit.ledger.due(now)).fold(self.next_tick_at, f64::min)
     }
 
     /// The next message to another member.
     pub fn outgoing(&mut self) -> Option<Outgoing> {
-        self.out.pop_front()
+        self.send_queue.pop_front()
     }
 
     /// Does what has fallen due: gives back what is not needed, asks for what is.
     pub fn turn(&mut self, now: f64) {
-        if now < self.beat_at {
+        if now < self.next_tick_at {
             return;
         }
-        self.beat_at = now + self.terms.tick_interval * (0.9 + 0.2 * self.chance.random::<f64>());
-        let known =
-            self.terms.loans.lease + self.limits.values().map(|l| l.ledger.rest()).fold(0.0, f64::max);
-        self.limits.retain(|_, limit| limit.withdrawn.is_none_or(|at| now - at < known));
-        let mut words: BTreeMap<Id, Vec<Word>> = BTreeMap::new();
+        self.next_tick_at = now + self.terms.tick_interval * (0.9 + 0.2 * self.rng.random::<f64>());
+        let removed_limit_lifetime =
+            self.terms.loans.lease + self.limits.values().map(|l| l.ledger.cool_down()).fold(0.0, f64::max);
+        self.limits.retain(|_, limit| limit.removed_at.is_none_or(|at| now - at < removed_limit_lifetime));
+        let mut messages: BTreeMap<Id, Vec<Message>> = BTreeMap::new();
         let lease = self.terms.loans.lease;
-        for (&id, limit) in self.limits.iter_mut().filter(|(_, limit)| limit.withdrawn.is_none()) {
-            for lender in limit.ledger.spare(now) {
+        for (&id, limit) in self.limits.iter_mut().filter(|(_, limit)| limit.removed_at.is_none()) {
+            for lender in limit.ledger.surplus_lenders(now) {
                 if let Some(serial) = limit.ledger.give_back(now, lender) {
-                    words.entry(lender).or_default().push(Word::Return { limit: id, serial });
+                    messages.entry(lender).or_default().push(Message::Return { limit: id, serial });
                 }
             }
-            for (lender, serial) in limit.ledger.ended(now) {
-                words.entry(lender).or_default().push(Word::Return { limit: id, serial });
+            for (lender, serial) in limit.ledger.take_ended_loans(now) {
+                messages.entry(lender).or_default().push(Message::Return { limit: id, serial });
             }
-            let need = limit.ledger.need(now);
-            let mut asks: Vec<(Id, usize)> = limit.ledger.ending(now);
-            asks.retain(|&(_, count)| need + count as isize > 0);
+            let need = limit.ledger.shortfall(now);
+            let mut requests: Vec<(Id, usize)> = limit.ledger.expiring_loans(now);
+            requests.retain(|&(_, count)| need + count as isize > 0);
             if need > 0 {
-                limit.left.retain(|_, (_, at)| now - *at < 0.5 * lease);
+                limit.lendable.retain(|_, (_, at)| now - *at < 0.5 * lease);
                 let mut lenders: Vec<(bool, u32, Id)> = Vec::new();
                 for (rank, &lender) in
-                    limit.ranks.iter().enumerate().filter(|(_, lender)| **lender != self.id)
+                    limit.member_order.iter().enumerate().filter(|(_, lender)| **lender != self.id)
                 {
                     // Those that said they can, then those of whom nothing is known, in an order drawn by
                     // chance.
-                    let left = limit.left.get(&lender).map(|&(left, _)| left);
-                    if limit.part_at(rank) > 0 && left != Some(0) && !limit.ledger.awaits(lender) {
-                        lenders.push((left.is_none(), self.chance.random(), lender));
+                    let left = limit.lendable.get(&lender).map(|&(left, _)| left);
+                    if limit.part_of_rank(rank) > 0 && left != Some(0) && !limit.ledger.awaits_answer(lender)
+                    {
+                        lenders.push((left.is_none(), self.rng.random(), lender));
                     }
                 }
                 lenders.sort_unstable();
-                lenders.truncate(ASKED);
+                lenders.truncate(LENDERS_PER_REQUEST);
                 let each = (need as usize).div_ceil(lenders.len().max(1));
                 // A later loan takes the place of an earlier one of the same lender, so that is asked for
                 // with it.
                 for (_, _, lender) in lenders {
-                    asks.retain(|(other, _)| *other != lender);
-                    asks.push((lender, limit.ledger.lent_by(lender, now) + each));
+                    requests.retain(|(other, _)| *other != lender);
+                    requests.push((lender, limit.ledger.borrowed_from(lender, now) + each));
                 }
             }
-            let bare = limit.ledger.is_bare(now);
-            let again = limit.ledger.unanswered(now, 0.9 * self.terms.tick_interval);
-            for (lender, serial, want) in again {
+            let no_permits = limit.ledger.has_no_permits(now);
+            let resends = limit.ledger.requests_to_resend(now, 0.9 * self.terms.tick_interval);
+            for (lender, serial, want) in resends {
                 let want = want as u16;
-                words.entry(lender).or_default().push(Word::Ask { limit: id, serial, want, bare });
+                messages.entry(lender).or_default().push(Message::Request {
+                    limit: id,
+                    serial,
+                    want,
+                    no_permits,
+                });
             }
-            for (lender, want) in asks {
-                let want = if limit.ledger.is_mute(lender) { 0 } else { want.min(limit.permits) };
-                let serial = limit.ledger.ask(now, lender, want);
+            for (lender, want) in requests {
+                let want = if limit.ledger.is_unresponsive(lender) { 0 } else { want.min(limit.permits) };
+                let serial = limit.ledger.request(now, lender, want);
                 self.counts.requested += 1;
                 let want = want as u16;
-                words.entry(lender).or_default().push(Word::Ask { limit: id, serial, want, bare });
+                messages.entry(lender).or_default().push(Message::Request {
+                    limit: id,
+                    serial,
+                    want,
+                    no_permits,
+                });
             }
         }
         // Once all that it may have lent has lapsed nobody need let go of it.
-        if self.cleared.is_none() && now < self.began + lease {
-            let mut unclear: Vec<Id> = self.unclear.iter().copied().collect();
-            let (told, _) = unclear.partial_shuffle(&mut self.chance, TOLD);
-            for &mut to in told {
-                words.entry(to).or_default().insert(0, Word::Started);
+        if self.cleared_at.is_none() && now < self.started_at + lease {
+            let mut uncleared: Vec<Id> = self.uncleared.iter().copied().collect();
+            let (notified, _) = uncleared.partial_shuffle(&mut self.rng, START_NOTICES_PER_TICK);
+            for &mut to in notified {
+                messages.entry(to).or_default().insert(0, Message::Started);
             }
         }
-        for (to, words) in words {
-            for words in words.chunks(MOST_WORDS) {
-                self.out.push_back(Outgoing { to, bytes: wire::write(self.life, words) });
+        for (to, messages) in messages {
+            for messages in messages.chunks(MAX_MESSAGES) {
+                self.send_queue.push_back(Outgoing { to, bytes: wire::encode(self.generation, messages) });
             }
         }
     }
 
     /// Another member's message. Anything may stand in it.
     pub fn receive(&mut self, now: f64, from: Id, bytes: &[u8]) {
-        let Ok((life, words)) = wire::read(bytes) else {
+        let Ok((generation, messages)) = wire::decode(bytes) else {
             self.counts.malformed += 1;
             return;
         };
         if self.members.binary_search(&from).is_err() {
-            self.counts.unknown += words.len() as u64;
+            self.counts.unknown += messages.len() as u64;
             return;
         }
-        let mut answers = Vec::new();
-        for word in words {
-            let id = match word {
-                Word::Ask { limit, .. } | Word::Grant { limit, .. } | Word::Return { limit, .. } => limit,
-                Word::Started => {
-                    self.limits.values_mut().for_each(|limit| limit.ledger.forsake(from));
-                    answers.push(Word::Cleared { life });
+        let mut replies = Vec::new();
+        for message in messages {
+            let id = match message {
+                Message::Request { limit, .. }
+                | Message::Grant { limit, .. }
+                | Message::Return { limit, .. } => limit,
+                Message::Started => {
+                    self.limits.values_mut().for_each(|limit| limit.ledger.drop_loans_from(from));
+                    replies.push(Message::Cleared { generation });
                     continue;
                 }
-                Word::Cleared { life } => {
-                    if life == self.life {
-                        self.let_go(now, from);
+                Message::Cleared { generation } => {
+                    if generation == self.generation {
+                        self.member_cleared(now, from);
                     }
                     continue;
                 }
@@ -343,64 +356,65 @@
                 self.counts.unknown += 1;
                 continue;
             };
-            match word {
-                Word::Ask { serial, want, bare, .. } => {
+            match message {
+                Message::Request { serial, want, no_permits, .. } => {
                     let want = usize::from(want).min(limit.permits);
-                    let (count, left) = limit.ledger.asked(now, (from, life), serial, want, bare);
+                    let (count, left) =
+                        limit.ledger.handle_request(now, (from, generation), serial, want, no_permits);
                     self.counts.lent += count as u64;
                     let (count, left) = (count as u16, left as u16);
                     let lease = self.terms.loans.lease as u32;
-                    answers.push(Word::Grant { limit: id, serial, count, left, lease });
+                    replies.push(Message::Grant { limit: id, serial, count, left, lease });
                 }
-                Word::Grant { serial, count, left, lease, .. } => {
+                Message::Grant { serial, count, left, lease, .. } => {
                     let count = usize::from(count);
-                    if count > limit.part(from) {
+                    if count > limit.part_of(from) {
                         self.counts.over_limit += 1;
-                    } else if limit.ledger.granted(now, from, serial, count, f64::from(lease)) {
+                    } else if limit.ledger.accept_grant(now, from, serial, count, f64::from(lease)) {
                         self.counts.borrowed += count as u64;
-                        limit.left.insert(from, (usize::from(left), now));
+                        limit.lendable.insert(from, (usize::from(left), now));
                     } else {
                         self.counts.unexpected += 1;
                     }
                 }
-                Word::Return { serial, .. } => limit.ledger.returned(now, (from, life), serial),
-                Word::Started | Word::Cleared { .. } => {}
+                Message::Return { serial, .. } => limit.ledger.accept_return(now, (from, generation), serial),
+                Message::Started | Message::Cleared { .. } => {}
             }
         }
-        if !answers.is_empty() {
-            self.out.push_back(Outgoing { to: from, bytes: wire::write(self.life, &answers) });
+        if !replies.is_empty() {
+            self.send_queue.push_back(Outgoing { to: from, bytes: wire::encode(self.generation, &replies) });
         }
     }
 
     /// A member uses nothing any more that an earlier life of this one lent.
-    fn let_go(&mut self, now: f64, member: Id) {
-        if self.unclear.remove(&member) && self.unclear.is_empty() {
-            self.cleared = Some(now);
-            self.limits.values_mut().for_each(|limit| limit.ledger.cleared(now));
+    fn member_cleared(&mut self, now: f64, member: Id) {
+        if self.uncleared.remove(&member) && self.uncleared.is_empty() {
+            self.cleared_at = Some(now);
+            self.limits.values_mut().for_each(|limit| limit.ledger.earlier_loans_cleared(now));
         }
     }
 
     pub fn limit_states(&mut self, now: f64) -> Vec<LimitState> {
-        let held = self.limits.values_mut().filter(|limit| limit.withdrawn.is_none());
+        let active = self.limits.values_mut().filter(|limit| limit.removed_at.is_none());
         let state = |limit: &mut Limit| LimitState {
             name: limit.name.clone(),
             permits: limit.permits,
             window: limit.window,
             ledger: limit.ledger.status(now),
         };
-        held.map(state).collect()
+        active.map(state).collect()
     }
 }
 
 /// The members in an order of their own for each limit, so that the odd permits of many limits do not all
 /// fall to the same ones.
-fn ranks(members: &[Id], limit: LimitId) -> Vec<Id> {
-    let drawn = |id: Id| {
+fn member_order(members: &[Id], limit: LimitId) -> Vec<Id> {
+    let hash = |id: Id| {
         let mut hasher = SipHasher13::new_with_keys(limit, id);
         hasher.write_u64(id);
         hasher.finish()
     };
-    let mut ranks = members.to_vec();
-    ranks.sort_unstable_by_key(|&id| (drawn(id), id));
-    ranks
+    let mut member_order = members.to_vec();
+    member_order.sort_unstable_by_key(|&id| (hash(id), id));
+    member_order
 }
--- a/fleet/src/wire.rs
+++ b/fleet/src/wire.rs
@@ -6,16 +6,16 @@
 
 /// The most words of one message, and its bytes: with the longest words and all the rumours that a packet
 /// takes along it stays under what is read as a packet.
-pub const MOST_WORDS: usize = 20;
-pub const LARGEST: usize = 800;
+pub const MAX_MESSAGES: usize = 20;
+pub const MAX_PAYLOAD_BYTES: usize = 800;
 
 /// A limit, by the hash of its name.
 pub type LimitId = u64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// Please lend so many permits; `bare` where the asker has none at all.
-    Ask { limit: LimitId, serial: u64, want: u16, bare: bool },
+    Request { limit: LimitId, serial: u64, want: u16, no_permits: bool },
     /// So many are lent, for so many milliseconds from when it was asked; `left` more could be.
     Grant { limit: LimitId, serial: u64, count: u16, left: u16, lease: u32 },
     /// All that was lent up to this serial is used no more.
@@ -23,33 +23,33 @@
     /// The speaker has started: let go of what an earlier life of it lent.
     Started,
     /// That is done, for this life of the one spoken to.
-    Cleared { life: u64 },
+    Cleared { generation: u64 },
 }
 
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Unfit {
+pub enum DecodeError {
     #[error("longer than any message")]
-    Oversized,
+    TooLong,
     #[error("not of its form")]
-    Form,
+    Malformed,
     #[error("more words than any message has")]
-    Words,
+    TooManyMessages,
 }
 
 /// `life` is the speaker's process: what was lent to an earlier one is not this one's. It is drawn at the
 /// start, and no incarnation of the gossip's, which a member raises whenever others doubt it.
-pub fn write(life: u64, words: &[Word]) -> Vec<u8> {
-    postcard::to_stdvec(&(life, words)).expect("plain data")
+pub fn encode(generation: u64, messages: &[Message]) -> Vec<u8> {
+    postcard::to_stdvec(&(generation, messages)).expect("plain data")
 }
 
-pub fn read(bytes: &[u8]) -> Result<(u64, Vec<Word>), Unfit> {
-    if bytes.len() > LARGEST {
-        return Err(Unfit::Oversized);
+pub fn decode(bytes: &[u8]) -> Result<(u64, Vec<Message>), DecodeError> {
+    if bytes.len() > MAX_PAYLOAD_BYTES {
+        return Err(DecodeError::TooLong);
     }
-    let ((life, words), rest) =
-        postcard::take_from_bytes::<(u64, Vec<Word>)>(bytes).map_err(|_| Unfit::Form)?;
-    if !rest.is_empty() {
-        return Err(Unfit::Form);
+    let ((generation, messages), remaining) =
+        postcard::take_from_bytes::<(u64, Vec<Message>)>(bytes).map_err(|_| DecodeError::Malformed)?;
+    if !remaining.is_empty() {
+        return Err(DecodeError::Malformed);
     }
-    if words.len() > MOST_WORDS { Err(Unfit::Words) } else { Ok((life, words)) }
+    if messages.len() > MAX_MESSAGES { Err(DecodeError::TooManyMessages) } else { Ok((generation, messages)) }
 }
--- a/fleet/tests/net/mod.rs
+++ b/fleet/tests/network/mod.rs
@@ -16,7 +16,7 @@
     FleetTerms { loans, tick_interval: 100.0 }
 }
 
-pub struct Net {
+pub struct Network {
     pub now: f64,
     pub members: Vec<Fleet>,
     clocks: Vec<f64>,
@@ -24,48 +24,48 @@
     pub stopped: Vec<bool>,
     pub links: Links<Vec<u8>>,
     pub rate: f64,
-    pub chance: Pcg64Mcg,
-    pub taken: Vec<f64>,
+    pub rng: Pcg64Mcg,
+    pub acquired_at: Vec<f64>,
     pub wanted: Vec<f64>,
 }
 
-impl Net {
+impl Network {
     /// So many members, which have run for long enough to know what is lent.
     pub fn new(members: usize, rate: f64, seed: u64) -> Self {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let clocks = (0..members).map(|_| 0.95 + 0.1 * chance.random::<f64>()).collect();
-        let mut net = Self {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let clocks = (0..members).map(|_| 0.95 + 0.1 * rng.random::<f64>()).collect();
+        let mut network = Self {
             now: 0.0,
             members: Vec::new(),
             clocks,
             stopped: vec![false; members],
             links: Links::new(10.0, seed ^ LINKS_SEED),
             rate,
-            chance,
-            taken: Vec::new(),
+            rng,
+            acquired_at: Vec::new(),
             wanted: vec![0.0; members],
         };
         for member in 0..members {
-            let fleet = net.fresh(member);
-            net.members.push(fleet);
+            let fleet = network.new_member(member);
+            network.members.push(fleet);
         }
-        net.pass(5000.0, &vec![0.0; members]);
-        net
+        network.run(5000.0, &vec![0.0; members]);
+        network
     }
 
-    fn fresh(&mut self, member: usize) -> Fleet {
+    fn new_member(&mut self, member: usize) -> Fleet {
         let all = 0..self.wanted.len() as Id;
-        let seed = self.chance.random();
+        let seed = self.rng.random();
         let mut fleet = Fleet::new(member as Id, all, terms(), seed, self.now * self.clocks[member]);
         assert!(fleet.set_limit(SERVER, self.rate, WINDOW));
         fleet
     }
 
     pub fn restart(&mut self, member: usize) {
-        self.members[member] = self.fresh(member);
+        self.members[member] = self.new_member(member);
     }
 
-    pub fn limit(&mut self, rate: f64) {
+    pub fn set_limit(&mut self, rate: f64) {
         self.rate = rate;
         for member in &mut self.members {
             member.set_limit(SERVER, rate, WINDOW);
@@ -79,8 +79,8 @@
     }
 
     /// Lets time pass, with so many set-ups a second wanted at each member.
-    pub fn pass(&mut self, span: f64, demand: &[f64]) {
-        let end = self.now + span;
+    pub fn run(&mut self, duration: f64, demand: &[f64]) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += 5.0;
             while let Some((from, to, bytes)) = self.links.next_arrival(self.now) {
@@ -92,12 +92,12 @@
             }
             for (member, &demand) in demand.iter().enumerate() {
                 // As many wait as come in a short while; the rest go elsewhere.
-                let most = (demand * 0.2).max(2.0);
-                let before = self.wanted[member];
-                let came = before + demand * 0.005;
-                let fresh = came as usize - before as usize;
+                let max = (demand * 0.2).max(2.0);
+                let wanted_before = self.wanted[member];
+                let wanted = wanted_before + demand * 0.005;
+                let arrived = wanted as usize - wanted_before as usize;
                 // Refused, and gone.
-                self.wanted[member] = if came > most { came - 1.0 } else { came };
+                self.wanted[member] = if wanted > max { wanted - 1.0 } else { wanted };
                 if self.stopped[member] {
                     continue;
                 }
@@ -106,10 +106,10 @@
                 while self.wanted[member] >= 1.0 && fleet.free_permits(clock, SERVER) > Some(0) {
                     assert!(fleet.try_acquire(clock, SERVER));
                     self.wanted[member] -= 1.0;
-                    self.taken.push(self.now);
+                    self.acquired_at.push(self.now);
                 }
                 if self.wanted[member] >= 1.0 {
-                    fleet.record_shortage(clock, SERVER, fresh);
+                    fleet.record_shortage(clock, SERVER, arrived);
                 }
                 fleet.turn(clock);
                 self.send(member);
@@ -117,22 +117,22 @@
         }
     }
 
-    pub fn taken_since(&self, then: f64) -> usize {
-        self.taken.iter().filter(|&&at| at > then).count()
+    pub fn acquired_since(&self, since: f64) -> usize {
+        self.acquired_at.iter().filter(|&&at| at > since).count()
     }
 
     /// The most set-ups in any window since then.
-    pub fn most(&self, since: f64) -> usize {
+    pub fn max_in_window(&self, since: f64) -> usize {
         let mut first = 0;
-        let mut most = 0;
-        for (i, &at) in self.taken.iter().enumerate() {
-            while self.taken[first] <= at - WINDOW {
+        let mut max = 0;
+        for (i, &at) in self.acquired_at.iter().enumerate() {
+            while self.acquired_at[first] <= at - WINDOW {
                 first += 1;
             }
             if at >= since {
-                most = most.max(i + 1 - first);
+                max = max.max(i + 1 - first);
             }
         }
-        most
+        max
     }
 }
--- a/frames/src/lib.rs
+++ b/frames/src/lib.rs
@@ -8,8 +8,8 @@
 
 #![forbid(unsafe_code)]
 
-const MARK: [u8; 2] = [0xC7, 0x5D];
-const HEAD: usize = 8;
+const MAGIC: [u8; 2] = [0xC7, 0x5D];
+const HEADER_BYTES: usize = 8;
 /// Bytes of the longest body.
 pub const MAX_BODY_BYTES: usize = 4096;
 
@@ -37,7 +37,7 @@
     }
 }
 
-fn sum(length: [u8; 2], body: &[u8]) -> [u8; 4] {
+fn checksum(length: [u8; 2], body: &[u8]) -> [u8; 4] {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&length);
     hasher.update(body);
@@ -52,47 +52,47 @@
 pub fn write(to: &mut Vec<u8>, body: &[u8]) {
     assert!(body.len() <= MAX_BODY_BYTES, "a body of {} bytes", body.len());
     let length = (body.len() as u16).to_le_bytes();
-    to.extend(MARK);
+    to.extend(MAGIC);
     to.extend(length);
-    to.extend(sum(length, body));
+    to.extend(checksum(length, body));
     to.extend(body);
 }
 
 /// The sound body that begins at the front of some bytes, with its frame's size.
 fn frame(bytes: &[u8]) -> Option<(&[u8], usize)> {
-    let (head, rest) = bytes.split_first_chunk::<HEAD>()?;
-    let [m0, m1, l0, l1, sum_then @ ..] = *head;
+    let (header, remaining) = bytes.split_first_chunk::<HEADER_BYTES>()?;
+    let [m0, m1, l0, l1, expected_checksum @ ..] = *header;
     let length = usize::from(u16::from_le_bytes([l0, l1]));
-    if [m0, m1] != MARK || length > MAX_BODY_BYTES {
+    if [m0, m1] != MAGIC || length > MAX_BODY_BYTES {
         return None;
     }
-    let body = rest.get(..length)?;
-    (sum([l0, l1], body) == sum_then).then_some((body, HEAD + length))
+    let body = remaining.get(..length)?;
+    (checksum([l0, l1], body) == expected_checksum).then_some((body, HEADER_BYTES + length))
 }
 
 /// All that is sound in some bytes. A body that `take` makes nothing of is damage too.
-pub fn read<T>(bytes: &[u8], take: impl Fn(&[u8]) -> Option<T>) -> Decoded<T> {
+pub fn read<T>(bytes: &[u8], decode: impl Fn(&[u8]) -> Option<T>) -> Decoded<T> {
     let mut found = Decoded::default();
-    let mut at = 0;
-    let mut bad = None;
-    while at < bytes.len() {
-        match frame(&bytes[at..]).and_then(|(body, size)| Some((take(body)?, size))) {
-            Some((body, size)) => {
-                if let Some(from) = bad.take() {
-                    found.damage.push(Damage { offset: from, bytes: at - from, torn: false });
+    let mut offset = 0;
+    let mut damaged_from = None;
+    while offset < bytes.len() {
+        match frame(&bytes[offset..]).and_then(|(body, frame_bytes)| Some((decode(body)?, frame_bytes))) {
+            Some((body, frame_bytes)) => {
+                if let Some(start) = damaged_from.take() {
+                    found.damage.push(Damage { offset: start, bytes: offset - start, torn: false });
                 }
                 found.entries.push(body);
-                at += size;
-                found.valid_bytes = at;
+                offset += frame_bytes;
+                found.valid_bytes = offset;
             }
             None => {
-                bad.get_or_insert(at);
-                at += 1;
+                damaged_from.get_or_insert(offset);
+                offset += 1;
             }
         }
     }
-    if let Some(from) = bad {
-        found.damage.push(Damage { offset: from, bytes: bytes.len() - from, torn: true });
+    if let Some(start) = damaged_from {
+        found.damage.push(Damage { offset: start, bytes: bytes.len() - start, torn: true });
     }
     found
 }
--- a/gossip/src/channel.rs
+++ b/gossip/src/channel.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::keys::{Id, Roster, Secrets};
-use crate::node::Window;
-use crate::wire::{self, Dropped, MAX_DATAGRAM_BYTES, Message, Packet, Subsystem};
+use crate::node::ReplayWindow;
+use crate::wire::{self, DropReason, MAX_DATAGRAM_BYTES, Message, Packet, Subsystem};
 
 /// Bytes of the longest words that a packet has room for.
 pub const MAX_PAYLOAD_BYTES: usize = 1_000;
@@ -51,20 +51,20 @@
     roster: Roster,
     incarnation: u64,
     counter: u64,
-    windows: BTreeMap<Id, Window>,
+    replay_windows: BTreeMap<Id, ReplayWindow>,
     counts: ChannelCounts,
 }
 
 impl Channel {
     /// `unix` is the wall clock in milliseconds: it orders this end's incarnations, so that packets of an
     /// earlier one are not taken again.
-    pub fn new(secrets: Secrets, roster: Roster, unix: f64) -> Self {
+    pub fn new(secrets: Secrets, roster: Roster, wall_clock_ms: f64) -> Self {
         Self {
             secrets,
             roster,
-            incarnation: unix.max(1.0) as u64,
+            incarnation: wall_clock_ms.max(1.0) as u64,
             counter: 0,
-            windows: BTreeMap::new(),
+            replay_windows: BTreeMap::new(),
             counts: ChannelCounts::default(),
         }
     }
@@ -87,7 +87,7 @@
         if secrets.id() != self.id() {
             return;
         }
-        self.windows.retain(|&id, _| roster.contains(id));
+        self.replay_windows.retain(|&id, _| roster.contains(id));
         (self.secrets, self.roster) = (secrets, roster);
     }
 
@@ -123,8 +123,8 @@
         self.counts.received_bytes += datagram.len() as u64;
         let packet = match wire::verify(datagram, &self.secrets, &self.roster) {
             Ok(packet) => packet,
-            Err(dropped) => {
-                *self.count_of(dropped) += 1;
+            Err(reason) => {
+                *self.counter_of(reason) += 1;
                 return None;
             }
         };
@@ -132,7 +132,7 @@
             self.counts.unexpected += 1;
             return None;
         }
-        if !self.windows.entry(packet.from).or_default().admit(packet.incarnation, packet.counter) {
+        if !self.replay_windows.entry(packet.from).or_default().admit(packet.incarnation, packet.counter) {
             self.counts.replayed += 1;
             return None;
         }
@@ -148,14 +148,14 @@
         }
     }
 
-    fn count_of(&mut self, dropped: Dropped) -> &mut u64 {
+    fn counter_of(&mut self, reason: DropReason) -> &mut u64 {
         let counts = &mut self.counts;
-        match dropped {
-            Dropped::Tag => &mut counts.untagged,
-            Dropped::Stranger | Dropped::Signature => &mut counts.forged,
-            Dropped::Version => &mut counts.version,
-            Dropped::Replayed => &mut counts.replayed,
-            Dropped::Short | Dropped::Oversized | Dropped::Form => &mut counts.malformed,
+        match reason {
+            DropReason::InvalidTag => &mut counts.untagged,
+            DropReason::UnknownSender | DropReason::InvalidSignature => &mut counts.forged,
+            DropReason::UnknownVersion => &mut counts.version,
+            DropReason::Replayed => &mut counts.replayed,
+            DropReason::TooShort | DropReason::TooLong | DropReason::Malformed => &mut counts.malformed,
         }
     }
 }
--- a/gossip/src/keys.rs
+++ b/gossip/src/keys.rs
@@ -28,7 +28,7 @@
     NoFleetKey,
 }
 
-pub fn id_of(key: &[u8; 32]) -> Id {
+pub fn id_of_key(key: &[u8; 32]) -> Id {
     let hash = blake3::hash(key);
     u64::from_le_bytes(hash.as_bytes()[..8].try_into().expect("eight bytes"))
 }
@@ -45,7 +45,7 @@
         for (name, bytes) in members {
             let key = VerifyingKey::from_bytes(&bytes).ok().filter(|key| !key.is_weak());
             let key = key.ok_or_else(|| KeyError::InvalidPublicKey(name.to_owned()))?;
-            if let Some((other, _)) = roster.members.insert(id_of(&bytes), (name.to_owned(), key)) {
+            if let Some((other, _)) = roster.members.insert(id_of_key(&bytes), (name.to_owned(), key)) {
                 return Err(KeyError::DuplicateKey(name.to_owned(), other));
             }
         }
@@ -83,16 +83,16 @@
 #[derive(Clone)]
 pub struct Secrets {
     own: SigningKey,
-    fleet: Vec<[u8; 32]>,
+    fleet_keys: Vec<[u8; 32]>,
 }
 
 impl Secrets {
     /// `fleet` holds the key in use first, then those that are still accepted.
-    pub fn new(own: [u8; 32], fleet: Vec<[u8; 32]>) -> Result<Self, KeyError> {
-        if fleet.is_empty() {
+    pub fn new(own: [u8; 32], fleet_keys: Vec<[u8; 32]>) -> Result<Self, KeyError> {
+        if fleet_keys.is_empty() {
             return Err(KeyError::NoFleetKey);
         }
-        Ok(Self { own: SigningKey::from_bytes(&own), fleet })
+        Ok(Self { own: SigningKey::from_bytes(&own), fleet_keys })
     }
 
     pub fn public_key(&self) -> [u8; 32] {
@@ -100,7 +100,7 @@
     }
 
     pub fn id(&self) -> Id {
-        id_of(&self.public_key())
+        id_of_key(&self.public_key())
     }
 
     pub fn sign(&self, bytes: &[u8]) -> [u8; SIGNATURE_BYTES] {
@@ -109,16 +109,16 @@
 
     /// The fleet's tag over the bytes.
     pub fn tag(&self, bytes: &[u8]) -> [u8; TAG_BYTES] {
-        Self::tag_by(&self.fleet[0], bytes)
+        Self::keyed_tag(&self.fleet_keys[0], bytes)
     }
 
-    fn tag_by(key: &[u8; 32], bytes: &[u8]) -> [u8; TAG_BYTES] {
+    fn keyed_tag(key: &[u8; 32], bytes: &[u8]) -> [u8; TAG_BYTES] {
         blake3::keyed_hash(key, bytes).as_bytes()[..TAG_BYTES].try_into().expect("as many bytes")
     }
 
     /// Whether the tag is the fleet's, by any accepted key; takes the same time wherever it differs.
-    pub fn tagged(&self, bytes: &[u8], tag: &[u8; TAG_BYTES]) -> bool {
-        let same = |key| bool::from(Self::tag_by(key, bytes)[..].ct_eq(&tag[..]));
-        self.fleet.iter().fold(false, |any, key| any | same(key))
+    pub fn verify_tag(&self, bytes: &[u8], tag: &[u8; TAG_BYTES]) -> bool {
+        let same = |key| bool::from(Self::keyed_tag(key, bytes)[..].ct_eq(&tag[..]));
+        self.fleet_keys.iter().fold(false, |any, key| any | same(key))
     }
 }
--- a/gossip/src/node/mod.rs
+++ b/gossip/src/node/mod.rs
@@ -1,10 +1,10 @@
 //! One member's gossip: what it sends when, within its cap, and what it makes of what comes.
 
-mod beat;
-mod own;
+mod own_statement;
 mod receive;
-mod sends;
-mod window;
+mod replay;
+mod send;
+mod turn;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -19,38 +19,38 @@
 use crate::members::Members;
 use crate::statements::{AccusedServer, Statements};
 use crate::wire::{self, Generation, Message, Statement, Subsystem};
-pub(crate) use window::Window;
+pub(crate) use replay::ReplayWindow;
 
 /// Helpers asked to reach one that does not answer.
-const HELPERS: usize = 3;
+const PROBE_HELPERS: usize = 3;
 /// Authors that are asked for their clocks at once, in a beat, where a server's standing hangs on what they
 /// say.
-const CLOCKS: usize = 4;
+const CLOCK_REQUESTS: usize = 4;
 /// Others that news is pushed to at each beat.
-const FAN_OUT: usize = 2;
+const FANOUT: usize = 2;
 /// A comparison goes out once in so many beats, and names so many authors.
-const COMPARE_BEATS: u32 = 5;
-const DIGESTS: usize = 32;
+const COMPARE_INTERVALS: u32 = 5;
+const DIGESTS_PER_COMPARE: usize = 32;
 /// While some of the roster are not known, a seed is asked again once in so many beats.
-const SEED_BEATS: u32 = 15;
+const SEED_INTERVALS: u32 = 15;
 /// Rumours carried along by one packet.
-const RUMOURS: usize = 12;
+const RUMOURS_PER_PACKET: usize = 12;
 /// Unless something changes, a member says again what it says after so many beats, so that it does not age.
-const RESTATE_BEATS: f64 = 25.0;
+const RESTATE_INTERVALS: f64 = 25.0;
 /// An answer is said for accused servers if it is no older than so many beats.
-const VOUCH_BEATS: f64 = 50.0;
+const VOUCH_INTERVALS: f64 = 50.0;
 /// Statements that may be older than this many beats accuse nobody any more, however late they came.
-const AGED_BEATS: f64 = 75.0;
+const MAX_AGE_INTERVALS: f64 = 75.0;
 /// An accusation is believed so many beats after it began at the earliest: it has to reach those who had
 /// answers meanwhile, and their word has to come back.
-const RIPE_BEATS: f64 = 10.0;
+const BELIEF_DELAY_INTERVALS: f64 = 10.0;
 /// Late by so many beats, the member takes itself for stalled.
-const STALL_BEATS: f64 = 3.0;
+const STALL_INTERVALS: f64 = 3.0;
 /// Another generation under this member's own key is told of at most once in so many beats.
-const CLASH_BEATS: f64 = 50.0;
+const CLASH_INTERVALS: f64 = 50.0;
 
 /// Payload that wait for a subsystem; more are dropped, as the network might.
-const MOST_WORDS: usize = 256;
+const MAX_QUEUED_PAYLOADS: usize = 256;
 
 /// What is agreed for gossip.
 #[derive(Clone, Debug)]
@@ -91,13 +91,13 @@
 
 struct Ping {
     target: Id,
-    until: f64,
-    asked: f64,
-    helped: bool,
+    deadline: f64,
+    sent_at: f64,
+    indirect: bool,
     /// Only its clock is asked for: no answer says nothing of it.
-    for_clock: bool,
+    clock_only: bool,
     /// Who asked for it, and by which nonce.
-    for_other: Option<(SocketAddr, u64)>,
+    on_behalf_of: Option<(SocketAddr, u64)>,
 }
 
 /// One member.
@@ -106,7 +106,7 @@
     secrets: Secrets,
     roster: Roster,
     id: Id,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     pub members: Members,
     statements: Statements,
     pub evidence: Evidence,
@@ -115,29 +115,36 @@
     /// The incarnation that this process began with.
     generation: u64,
     /// The clock at which this generation began, which statements count from.
-    began: f64,
+    started_at: f64,
     counter: u64,
     version: u32,
-    said: Option<(Vec<wire::Claim>, f64)>,
-    pings: BTreeMap<u64, Ping>,
-    windows: BTreeMap<Id, Window>,
-    out: VecDeque<Outgoing>,
-    beat_at: f64,
-    beats: u32,
+    last_claims: Option<(Vec<wire::Claim>, f64)>,
+    pending_pings: BTreeMap<u64, Ping>,
+    replay_windows: BTreeMap<Id, ReplayWindow>,
+    send_queue: VecDeque<Outgoing>,
+    next_probe_at: f64,
+    probe_rounds: u32,
     compare_from: Id,
     leaving: bool,
-    clash_at: f64,
+    last_clash_at: f64,
     counts: Counts,
     /// Payload to other subsystems, with who said them.
-    words: BTreeMap<Subsystem, VecDeque<(Id, Vec<u8>)>>,
+    payloads: BTreeMap<Subsystem, VecDeque<(Id, Vec<u8>)>>,
 }
 
 impl Node {
     /// `unix` is the wall clock in milliseconds; it only orders this member's lives.
-    pub fn new(terms: GossipTerms, secrets: Secrets, roster: Roster, seed: u64, now: f64, unix: f64) -> Self {
+    pub fn new(
+        terms: GossipTerms,
+        secrets: Secrets,
+        roster: Roster,
+        seed: u64,
+        now: f64,
+        wall_clock_ms: f64,
+    ) -> Self {
         let id = secrets.id();
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let first = chance.random::<f64>() * terms.probe_interval;
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let first = rng.random::<f64>() * terms.probe_interval;
         let mut node = Self {
             members: Members::new(id, terms.probe_interval, roster.len()),
             evidence: Evidence::new(terms.resend_interval),
@@ -145,27 +152,27 @@
             secrets,
             roster,
             id,
-            chance,
+            rng,
             statements: Statements::default(),
-            incarnation: unix.max(1.0) as u64,
-            generation: unix.max(1.0) as u64,
-            began: now,
+            incarnation: wall_clock_ms.max(1.0) as u64,
+            generation: wall_clock_ms.max(1.0) as u64,
+            started_at: now,
             counter: 0,
             version: 0,
-            said: None,
-            pings: BTreeMap::new(),
-            windows: BTreeMap::new(),
-            out: VecDeque::new(),
-            beat_at: now + first,
-            beats: 0,
+            last_claims: None,
+            pending_pings: BTreeMap::new(),
+            replay_windows: BTreeMap::new(),
+            send_queue: VecDeque::new(),
+            next_probe_at: now + first,
+            probe_rounds: 0,
             compare_from: 0,
             leaving: false,
-            clash_at: f64::NEG_INFINITY,
+            last_clash_at: f64::NEG_INFINITY,
             counts: Counts::default(),
-            words: BTreeMap::new(),
+            payloads: BTreeMap::new(),
             terms,
         };
-        node.say(now);
+        node.publish_statement(now);
         node
     }
 
@@ -201,8 +208,8 @@
         for id in self.statements.ids().filter(|&id| !roster.contains(id)).collect::<Vec<_>>() {
             self.statements.forget(id);
         }
-        self.members.keep(|id| roster.contains(id));
-        self.windows.retain(|&id, _| roster.contains(id));
+        self.members.retain(|id| roster.contains(id));
+        self.replay_windows.retain(|&id, _| roster.contains(id));
         (self.secrets, self.roster) = (secrets, roster);
     }
 
@@ -216,40 +223,46 @@
 
     /// The next datagram to send.
     pub fn outgoing(&mut self) -> Option<Outgoing> {
-        self.out.pop_front()
+        self.send_queue.pop_front()
     }
 
     /// When [`Node::turn`] is wanted.
     pub fn due(&self) -> f64 {
-        self.pings.values().map(|ping| ping.until).fold(self.beat_at, f64::min)
+        self.pending_pings.values().map(|ping| ping.deadline).fold(self.next_probe_at, f64::min)
     }
 
     /// Servers that are accused, and whether it is believed.
     pub fn accused(&self, now: f64) -> Vec<AccusedServer> {
-        let ripe = now - RIPE_BEATS * self.terms.probe_interval;
-        self.statements.accused(now, self.terms.max_faulty, AGED_BEATS * self.terms.probe_interval, ripe)
+        let begun_before = now - BELIEF_DELAY_INTERVALS * self.terms.probe_interval;
+        self.statements.accused(
+            now,
+            self.terms.max_faulty,
+            MAX_AGE_INTERVALS * self.terms.probe_interval,
+            begun_before,
+        )
     }
 
     /// What the members say.
     pub fn statements(&self) -> impl Iterator<Item = &Statement> {
-        self.statements.authors()
+        self.statements.iter()
     }
 
     /// Who says that the server is silent.
     pub fn accusers(&self, generation: Generation) -> Vec<Id> {
-        let silent = |claim: &wire::Claim| claim.generation == generation && claim.kind == wire::Kind::Silent;
-        let accuses = |statement: &&Statement| statement.claims.iter().any(silent) && !statement.leaves;
+        let silent =
+            |claim: &wire::Claim| claim.generation == generation && claim.kind == wire::ClaimKind::Silent;
+        let accuses = |statement: &&Statement| statement.claims.iter().any(silent) && !statement.leaving;
         self.statements().filter(accuses).map(|statement| statement.author).collect()
     }
 
     /// Sends another subsystem's words to one member. False where it is not known, or the cap forbids.
     pub fn send_payload(&mut self, now: f64, to: Id, subsystem: Subsystem, bytes: Vec<u8>) -> bool {
         let Some(address) = self.members.get(to).map(|member| member.address) else { return false };
-        self.send_with(now, address, Message::Payload { subsystem, bytes }, Priority::News, Vec::new())
+        self.send_with(now, address, Message::Payload { subsystem, bytes }, Priority::Update, Vec::new())
     }
 
     /// The next words that a member said to a subsystem here, with its id.
     pub fn next_payload(&mut self, subsystem: Subsystem) -> Option<(Id, Vec<u8>)> {
-        self.words.get_mut(&subsystem)?.pop_front()
+        self.payloads.get_mut(&subsystem)?.pop_front()
     }
 }
--- a/gossip/src/node/receive.rs
+++ b/gossip/src/node/receive.rs
@@ -4,19 +4,19 @@
 
 use rand::Rng;
 
-use super::{CLASH_BEATS, DIGESTS, MOST_WORDS, Node, Ping};
+use super::{CLASH_INTERVALS, DIGESTS_PER_COMPARE, MAX_QUEUED_PAYLOADS, Node, Ping};
 use crate::budget::Priority;
-use crate::wire::{self, Dropped, Message, Packet, Signed, Statement};
+use crate::wire::{self, DropReason, Message, Packet, SignedStatement, Statement};
 
 impl Node {
     /// A datagram came. Anything may stand in it.
     pub fn receive(&mut self, now: f64, from: SocketAddr, datagram: &[u8]) {
         let packet = match wire::verify(datagram, &self.secrets, &self.roster) {
             Ok(packet) => packet,
-            Err(dropped) => {
-                let count = match dropped {
-                    Dropped::Tag => &mut self.counts.untagged,
-                    Dropped::Stranger | Dropped::Signature => &mut self.counts.forged,
+            Err(reason) => {
+                let count = match reason {
+                    DropReason::InvalidTag => &mut self.counts.untagged,
+                    DropReason::UnknownSender | DropReason::InvalidSignature => &mut self.counts.forged,
                     _ => &mut self.counts.malformed,
                 };
                 *count += 1;
@@ -26,116 +26,128 @@
         if packet.from == self.id {
             return;
         }
-        if !self.windows.entry(packet.from).or_default().admit(packet.incarnation, packet.counter) {
+        if !self.replay_windows.entry(packet.from).or_default().admit(packet.incarnation, packet.counter) {
             self.counts.replayed += 1;
             return;
         }
-        self.members.seen(now, packet.from);
+        self.members.packet_received(now, packet.from);
         for signed in &packet.statements {
             // Most are known already: only what would be new is worth the proof.
-            match signed.read() {
-                Some(known) if !self.statements.newer(&known) => {}
-                Some(statement) if signed.proved(&statement, &self.roster) => {
-                    self.take(now, statement, signed.clone())
+            match signed.decode() {
+                Some(known) if !self.statements.is_newer(&known) => {}
+                Some(statement) if signed.is_signed_by_author(&statement, &self.roster) => {
+                    self.apply_statement(now, statement, signed.clone())
                 }
                 _ => self.counts.bad_statements += 1,
             }
         }
         for rumour in &packet.rumours {
-            if self.members.heard(now, *rumour, self.incarnation) {
+            if self.members.apply_rumour(now, *rumour, self.incarnation) {
                 // Refuted by speaking up in a later incarnation.
                 self.incarnation = rumour.incarnation.max(self.incarnation) + 1;
                 self.version = 0;
-                self.say(now);
+                self.publish_statement(now);
             }
         }
-        self.answer(now, from, packet);
+        self.handle_message(now, from, packet);
     }
 
-    fn take(&mut self, now: f64, statement: Statement, signed: Signed) {
+    fn apply_statement(&mut self, now: f64, statement: Statement, signed: SignedStatement) {
         if statement.author == self.id {
             // A former generation of its own, or another process with its key: it speaks up after that one.
             let own = (self.incarnation, self.version);
             if (statement.incarnation, statement.version) > own
-                && now - self.clash_at > CLASH_BEATS * self.terms.probe_interval
+                && now - self.last_clash_at > CLASH_INTERVALS * self.terms.probe_interval
             {
                 self.counts.clashes += 1;
-                self.clash_at = now;
+                self.last_clash_at = now;
                 self.incarnation = statement.incarnation + 1;
                 self.version = 0;
-                self.say(now);
+                self.publish_statement(now);
             }
             return;
         }
         let (author, incarnation) = (statement.author, statement.incarnation);
-        let (address, leaves) = (statement.address, statement.leaves);
-        let passes = self.members.passes();
-        if self.statements.merge(now, statement, signed, passes) {
-            self.members.spoke(now, author, incarnation, address, leaves);
+        let (address, leaves) = (statement.address, statement.leaving);
+        let transmissions = self.members.transmissions();
+        if self.statements.merge(now, statement, signed, transmissions) {
+            self.members.apply_statement(now, author, incarnation, address, leaves);
         }
     }
 
-    fn answer(&mut self, now: f64, from: SocketAddr, packet: Packet) {
+    fn handle_message(&mut self, now: f64, from: SocketAddr, packet: Packet) {
         match packet.message {
             Message::Ping { nonce } => {
-                let (of, generation, clock) = (self.id, self.generation, self.clock(now));
-                self.send_to(now, from, Message::Ack { nonce, of, generation, clock }, Priority::Answer);
+                let (member, generation, clock) = (self.id, self.generation, self.own_clock(now));
+                self.send_to(now, from, Message::Ack { nonce, member, generation, clock }, Priority::Answer);
             }
-            Message::Clock { nonce } => {
-                let (of, generation, clock) = (self.id, self.generation, self.clock(now));
-                let answer = Message::Ack { nonce, of, generation, clock };
+            Message::ClockRequest { nonce } => {
+                let (member, generation, clock) = (self.id, self.generation, self.own_clock(now));
+                let answer = Message::Ack { nonce, member, generation, clock };
                 self.send_with(now, from, answer, Priority::Answer, Vec::new());
             }
-            Message::Ack { nonce, of, generation, clock } => {
-                let Some(ping) = self.pings.get(&nonce) else { return };
+            Message::Ack { nonce, member, generation, clock } => {
+                let Some(ping) = self.pending_pings.get(&nonce) else { return };
                 // Only it can answer for itself, unless helpers were asked.
-                if of != ping.target || (packet.from != of && !ping.helped) {
+                if member != ping.target || (packet.from != member && !ping.indirect) {
                     return;
                 }
-                let ping = self.pings.remove(&nonce).expect("just seen");
-                self.members.answered(now, of);
+                let ping = self.pending_pings.remove(&nonce).expect("just seen");
+                self.members.probe_answered(now, member);
                 // A helper could say what it likes of another's clock.
-                if packet.from == of {
-                    self.statements.clock(of, generation, clock, ping.asked, now);
+                if packet.from == member {
+                    self.statements.record_clock(member, generation, clock, ping.sent_at, now);
                 }
-                if let Some((asker, nonce)) = ping.for_other {
-                    self.send_to(now, asker, Message::Ack { nonce, of, generation, clock }, Priority::Answer);
+                if let Some((requester, nonce)) = ping.on_behalf_of {
+                    self.send_to(
+                        now,
+                        requester,
+                        Message::Ack { nonce, member, generation, clock },
+                        Priority::Answer,
+                    );
                 }
             }
-            Message::PingFor { nonce, target } => {
-                let own = self.chance.random();
-                if self.send(now, target, Message::Ping { nonce: own }, Priority::Answer) {
-                    let until = now + self.members.patience();
-                    let for_other = Some((from, nonce));
-                    self.pings.insert(
-                        own,
-                        Ping { target, until, asked: now, helped: true, for_clock: false, for_other },
+            Message::PingRequest { nonce, target } => {
+                let own_nonce = self.rng.random();
+                if self.send(now, target, Message::Ping { nonce: own_nonce }, Priority::Answer) {
+                    let deadline = now + self.members.probe_timeout();
+                    let on_behalf_of = Some((from, nonce));
+                    self.pending_pings.insert(
+                        own_nonce,
+                        Ping {
+                            target,
+                            deadline,
+                            sent_at: now,
+                            indirect: true,
+                            clock_only: false,
+                            on_behalf_of,
+                        },
                     );
                 }
             }
-            Message::Compare { from: low, to, have, asks } => {
-                let wanted = self.statements.wanted_by(low, to, &have);
-                if asks && self.statements.lacks(&have) {
-                    let mut own = self.statements.digests(low, DIGESTS);
+            Message::Compare { from: low, to, have, reply_wanted } => {
+                let wanted = self.statements.missing_at_peer(low, to, &have);
+                if reply_wanted && self.statements.is_behind(&have) {
+                    let mut own = self.statements.digests(low, DIGESTS_PER_COMPARE);
                     own.retain(|digest| digest.0 <= to);
                     self.send(
                         now,
                         packet.from,
-                        Message::Compare { from: low, to, have: own, asks: false },
+                        Message::Compare { from: low, to, have: own, reply_wanted: false },
                         Priority::Repair,
                     );
                 }
                 if !wanted.is_empty() {
-                    self.send_with(now, from, Message::Carry, Priority::Repair, wanted);
+                    self.send_with(now, from, Message::PiggybackOnly, Priority::Repair, wanted);
                 }
             }
             Message::Payload { subsystem, bytes } => {
-                let words = self.words.entry(subsystem).or_default();
-                if words.len() < MOST_WORDS {
-                    words.push_back((packet.from, bytes));
+                let queue = self.payloads.entry(subsystem).or_default();
+                if queue.len() < MAX_QUEUED_PAYLOADS {
+                    queue.push_back((packet.from, bytes));
                 }
             }
-            Message::Carry => {}
+            Message::PiggybackOnly => {}
         }
     }
 }
--- a/gossip/src/node/window.rs
+++ b/gossip/src/node/replay.rs
@@ -2,13 +2,13 @@
 
 /// Which of a peer's packets have been seen: the highest counter, and the 64 before it.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Window {
+pub(crate) struct ReplayWindow {
     incarnation: u64,
     highest: u64,
     seen: u64,
 }
 
-impl Window {
+impl ReplayWindow {
     pub(crate) fn admit(&mut self, incarnation: u64, counter: u64) -> bool {
         if incarnation < self.incarnation {
             return false;
@@ -25,8 +25,8 @@
         }
         let behind = self.highest - counter;
         let bit = if behind < 64 { 1u64 << behind } else { return false };
-        let fresh = self.seen & bit == 0;
+        let is_new = self.seen & bit == 0;
         self.seen |= bit;
-        fresh
+        is_new
     }
 }
--- a/gossip/src/node/sends.rs
+++ b/gossip/src/node/send.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::{Node, Outgoing, RUMOURS};
+use super::{Node, Outgoing, RUMOURS_PER_PACKET};
 use crate::budget::Priority;
 use crate::keys::Id;
 use crate::wire::{self, MAX_DATAGRAM_BYTES, Message, Packet};
@@ -21,8 +21,8 @@
         message: Message,
         priority: Priority,
     ) -> bool {
-        let fresh = self.statements.fresh(self.terms.max_faulty);
-        self.send_with(now, peer, message, priority, fresh)
+        let authors = self.statements.authors_to_send(self.terms.max_faulty);
+        self.send_with(now, peer, message, priority, authors)
     }
 
     pub(super) fn send_with(
@@ -33,9 +33,9 @@
         priority: Priority,
         authors: Vec<Id>,
     ) -> bool {
-        let mut rumours = self.members.rumours(RUMOURS);
-        rumours.extend(self.members.doubted_at(peer));
-        let mut size = Packet::overhead(&message, rumours.len());
+        let mut rumours = self.members.next_rumours(RUMOURS_PER_PACKET);
+        rumours.extend(self.members.doubt_about(peer));
+        let mut size = Packet::max_overhead(&message, rumours.len());
         let mut carried = Vec::new();
         let mut statements = Vec::new();
         // Its own statement goes along wherever it may not be known.
@@ -65,15 +65,15 @@
             statements,
         };
         // Asked for at the most it can be, before the dearer sealing.
-        if !self.budget.take(now, size, priority) {
+        if !self.budget.try_spend(now, size, priority) {
             return false;
         }
         let bytes = packet.authenticate(&self.secrets);
         debug_assert!(bytes.len() <= size, "{} over {size}", bytes.len());
-        carried.into_iter().for_each(|id| self.statements.passed(id));
+        carried.into_iter().for_each(|id| self.statements.mark_transmitted(id));
         self.counts.sent_bytes += bytes.len() as u64;
         self.counts.packets += 1;
-        self.out.push_back(Outgoing { peer, bytes });
+        self.send_queue.push_back(Outgoing { peer, bytes });
         true
     }
 }
--- a/gossip/src/wire.rs
+++ b/gossip/src/wire.rs
@@ -14,35 +14,35 @@
 /// Bytes of the largest datagram, which fits any path without being cut up.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// The longest lists.
-pub const MOST_CLAIMS: usize = 24;
-const MOST_RUMOURS: usize = 32;
-const MOST_STATEMENTS: usize = 16;
-const MOST_DIGESTS: usize = 64;
+pub const MAX_CLAIMS: usize = 24;
+const MAX_RUMOURS: usize = 32;
+const MAX_STATEMENTS: usize = 16;
+const MAX_DIGESTS: usize = 64;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Dropped {
+pub enum DropReason {
     #[error("shorter than any packet")]
-    Short,
+    TooShort,
     #[error("longer than any packet")]
-    Oversized,
+    TooLong,
     #[error("not tagged by the fleet")]
-    Tag,
+    InvalidTag,
     #[error("field version: not known")]
-    Version,
+    UnknownVersion,
     #[error("body: not of its form")]
-    Form,
+    Malformed,
     #[error("field from: no member of the fleet")]
-    Stranger,
+    UnknownSender,
     #[error("signature: not its sender's")]
-    Signature,
+    InvalidSignature,
     #[error("field counter: seen before")]
     Replayed,
 }
 
 /// What is claimed of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum ClaimKind {
     /// Shots have gone unanswered since.
     Silent,
     /// A shot was answered then.
@@ -59,11 +59,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     pub generation: Generation,
-    pub kind: Kind,
+    pub kind: ClaimKind,
     /// On its author's clock, in milliseconds since it began.
-    pub at: u32,
+    pub observed_at: u32,
     /// How many shots it rests on.
-    pub shots: u16,
+    pub attempts: u16,
 }
 
 /// All that a member says at present. A later one replaces it, so that what is no longer in it is withdrawn.
@@ -79,18 +79,18 @@
     /// The author's clock when it said this.
     pub clock: u32,
     /// It is about to go.
-    pub leaves: bool,
+    pub leaving: bool,
     pub claims: Vec<Claim>,
 }
 
 /// A statement as it travels, whoever passes it on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Signed {
+pub struct SignedStatement {
     pub body: Vec<u8>,
     pub signature: Vec<u8>,
 }
 
-impl Signed {
+impl SignedStatement {
     pub fn new(statement: &Statement, secrets: &Secrets) -> Self {
         let body = postcard::to_stdvec(statement).expect("plain data");
         let signature = secrets.sign(&body).to_vec();
@@ -98,13 +98,13 @@
     }
 
     /// The statement, if its lists are bounded; not yet proved to be its author's.
-    pub fn read(&self) -> Option<Statement> {
-        let (statement, rest) = postcard::take_from_bytes::<Statement>(&self.body).ok()?;
-        (rest.is_empty() && statement.claims.len() <= MOST_CLAIMS).then_some(statement)
+    pub fn decode(&self) -> Option<Statement> {
+        let (statement, remaining) = postcard::take_from_bytes::<Statement>(&self.body).ok()?;
+        (remaining.is_empty() && statement.claims.len() <= MAX_CLAIMS).then_some(statement)
     }
 
     /// Whether the author said it.
-    pub fn proved(&self, statement: &Statement, roster: &Roster) -> bool {
+    pub fn is_signed_by_author(&self, statement: &Statement, roster: &Roster) -> bool {
         let signature: Option<&[u8; SIGNATURE_BYTES]> = self.signature.as_slice().try_into().ok();
         signature.is_some_and(|signature| roster.verify_signature(statement.author, &self.body, signature))
     }
@@ -125,7 +125,7 @@
 /// A word on a member, by whoever sends the packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rumour {
-    pub of: Id,
+    pub member: Id,
     pub incarnation: u64,
     pub state: MemberState,
 }
@@ -151,12 +151,12 @@
     /// Answers a ping; `of` is who was reached, with its generation and its clock then.
     Ack {
         nonce: u64,
-        of: Id,
+        member: Id,
         generation: u64,
         clock: u32,
     },
     /// Please ping that one for me.
-    PingFor {
+    PingRequest {
         nonce: u64,
         target: Id,
     },
@@ -166,17 +166,17 @@
         from: Id,
         to: Id,
         have: Vec<(Id, u64, u32)>,
-        asks: bool,
+        reply_wanted: bool,
     },
     /// Nothing but what is carried along.
-    Carry,
+    PiggybackOnly,
     /// A payload of another subsystem, for the receiver alone.
     Payload {
         subsystem: Subsystem,
         bytes: Vec<u8>,
     },
     /// Please answer with your clock, and carry nothing else.
-    Clock {
+    ClockRequest {
         nonce: u64,
     },
 }
@@ -190,7 +190,7 @@
     pub counter: u64,
     pub message: Message,
     pub rumours: Vec<Rumour>,
-    pub statements: Vec<Signed>,
+    pub statements: Vec<SignedStatement>,
 }
 
 impl Packet {
@@ -204,7 +204,7 @@
     }
 
     /// Bytes that a packet with these parts has at the most, beside what it carries.
-    pub fn overhead(message: &Message, rumours: usize) -> usize {
+    pub fn max_overhead(message: &Message, rumours: usize) -> usize {
         let digests = match message {
             Message::Compare { have, .. } => have.len() * 25,
             Message::Payload { bytes, .. } => bytes.len() + 2,
@@ -222,36 +222,36 @@
 
 /// Who a datagram names as its sender, by its first bytes; nothing of it is proved.
 pub fn sender(datagram: &[u8]) -> Option<Id> {
-    let (&VERSION, rest) = datagram.split_first()? else { return None };
-    postcard::take_from_bytes::<Id>(rest).ok().map(|(id, _)| id)
+    let (&VERSION, remaining) = datagram.split_first()? else { return None };
+    postcard::take_from_bytes::<Id>(remaining).ok().map(|(id, _)| id)
 }
 
 /// Takes a datagram apart, cheapest check first.
-pub fn verify(datagram: &[u8], secrets: &Secrets, roster: &Roster) -> Result<Packet, Dropped> {
+pub fn verify(datagram: &[u8], secrets: &Secrets, roster: &Roster) -> Result<Packet, DropReason> {
     if datagram.len() > MAX_DATAGRAM_BYTES {
-        return Err(Dropped::Oversized);
+        return Err(DropReason::TooLong);
     }
-    let (signed, tag) = datagram.split_last_chunk::<TAG_BYTES>().ok_or(Dropped::Short)?;
-    let (body, signature) = signed.split_last_chunk::<SIGNATURE_BYTES>().ok_or(Dropped::Short)?;
-    if !secrets.tagged(signed, tag) {
-        return Err(Dropped::Tag);
+    let (signed, tag) = datagram.split_last_chunk::<TAG_BYTES>().ok_or(DropReason::TooShort)?;
+    let (body, signature) = signed.split_last_chunk::<SIGNATURE_BYTES>().ok_or(DropReason::TooShort)?;
+    if !secrets.verify_tag(signed, tag) {
+        return Err(DropReason::InvalidTag);
     }
     if body.first() != Some(&VERSION) {
-        return Err(Dropped::Version);
+        return Err(DropReason::UnknownVersion);
     }
-    let (packet, rest) = unauthenticated(body).ok_or(Dropped::Form)?;
+    let (packet, remaining) = unauthenticated(body).ok_or(DropReason::Malformed)?;
     let digests = if let Message::Compare { have, .. } = &packet.message { have.len() } else { 0 };
-    let bounded = packet.rumours.len() <= MOST_RUMOURS
-        && packet.statements.len() <= MOST_STATEMENTS
-        && digests <= MOST_DIGESTS;
-    if !rest.is_empty() || !bounded {
-        return Err(Dropped::Form);
+    let bounded = packet.rumours.len() <= MAX_RUMOURS
+        && packet.statements.len() <= MAX_STATEMENTS
+        && digests <= MAX_DIGESTS;
+    if !remaining.is_empty() || !bounded {
+        return Err(DropReason::Malformed);
     }
     if !roster.contains(packet.from) {
-        return Err(Dropped::Stranger);
+        return Err(DropReason::UnknownSender);
     }
     if !roster.verify_signature(packet.from, body, signature) {
-        return Err(Dropped::Signature);
+        return Err(DropReason::InvalidSignature);
     }
     Ok(packet)
 }
--- a/gossip/tests/fleet/mod.rs
+++ b/gossip/tests/fleet/mod.rs
@@ -12,8 +12,8 @@
 use rand_pcg::Pcg64Mcg;
 
 pub const CAP: f64 = 16_000.0;
-pub const BEAT: f64 = 200.0;
-const TICK: f64 = 10.0;
+pub const PROBE_INTERVAL: f64 = 200.0;
+const STEP_MS: f64 = 10.0;
 
 pub fn address(member: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (member >> 8) as u8, member as u8], 7000))
@@ -39,16 +39,16 @@
     Roster::new(names.iter().map(|n| &n[..]).zip(keys)).expect("sound keys")
 }
 
-pub fn node(member: usize, members: usize, liars: usize, now: f64, unix: f64) -> Node {
+pub fn node(member: usize, members: usize, max_faulty: usize, now: f64, wall_clock_ms: f64) -> Node {
     let terms = GossipTerms {
         address: address(member),
         seeds: vec![address(0), address(1), address(2)],
         max_bytes_per_second: CAP,
-        probe_interval: BEAT,
-        max_faulty: liars,
+        probe_interval: PROBE_INTERVAL,
+        max_faulty,
         resend_interval: 500.0,
     };
-    Node::new(terms, secrets(member), roster(members), member as u64, now, unix)
+    Node::new(terms, secrets(member), roster(members), member as u64, now, wall_clock_ms)
 }
 
 pub struct Fleet {
@@ -58,45 +58,45 @@
     pub silent: BTreeMap<u64, f64>,
     /// What a liar says: that all servers are silent, or that all answer.
     pub accusers: Vec<usize>,
-    pub praisers: Vec<usize>,
+    pub vouchers: Vec<usize>,
     pub loss: f64,
     /// Members that hear nothing of those on the other side.
     pub cut: Option<usize>,
     pub now: f64,
     pub stalled: BTreeMap<usize, f64>,
-    chance: Pcg64Mcg,
-    coming: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
+    rng: Pcg64Mcg,
+    in_flight: BTreeMap<(u64, u64), (usize, usize, Vec<u8>)>,
     answers: VecDeque<(f64, usize, u64)>,
     sent: Vec<VecDeque<(f64, usize)>>,
-    count: u64,
+    sequence: u64,
     /// The most bytes that any member sent in any second.
-    pub most: usize,
+    pub max_bytes_per_second: usize,
     /// When each member first believed a server silent.
     pub believed: BTreeMap<(usize, u64), f64>,
     /// Shots a second that each member has at each server.
-    pub rate: f64,
+    pub attempts_per_second: f64,
 }
 
 impl Fleet {
-    pub fn new(members: usize, servers: u64, liars: usize, loss: f64, seed: u64) -> Self {
+    pub fn new(members: usize, servers: u64, max_faulty: usize, loss: f64, seed: u64) -> Self {
         Self {
-            nodes: (0..members).map(|m| Some(node(m, members, liars, 0.0, 1e12))).collect(),
+            nodes: (0..members).map(|m| Some(node(m, members, max_faulty, 0.0, 1e12))).collect(),
             servers,
             silent: BTreeMap::new(),
             accusers: Vec::new(),
-            praisers: Vec::new(),
+            vouchers: Vec::new(),
             loss,
             cut: None,
             now: 0.0,
             stalled: BTreeMap::new(),
-            chance: Pcg64Mcg::seed_from_u64(seed),
-            coming: BTreeMap::new(),
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            in_flight: BTreeMap::new(),
             answers: VecDeque::new(),
             sent: vec![VecDeque::new(); members],
-            count: 0,
-            most: 0,
+            sequence: 0,
+            max_bytes_per_second: 0,
             believed: BTreeMap::new(),
-            rate: 0.4,
+            attempts_per_second: 0.4,
         }
     }
 
@@ -105,15 +105,15 @@
         usize::from(v4.ip().octets()[2]) << 8 | usize::from(v4.ip().octets()[3])
     }
 
-    pub fn run(&mut self, span: f64) {
-        let end = self.now + span;
+    pub fn run(&mut self, duration: f64) {
+        let end = self.now + duration;
         while self.now < end {
-            self.now += TICK;
-            self.tick();
+            self.now += STEP_MS;
+            self.step();
         }
     }
 
-    fn tick(&mut self) {
+    fn step(&mut self) {
         let now = self.now;
         while let Some((_, member, server)) = self.answers.pop_front_if(|answer| answer.0 <= now) {
             if let Some(node) = &mut self.nodes[member] {
@@ -122,18 +122,18 @@
         }
         for member in 0..self.nodes.len() {
             for server in 0..self.servers {
-                if self.chance.random::<f64>() < self.rate * TICK / 1000.0 {
-                    self.shoot(member, server);
+                if self.rng.random::<f64>() < self.attempts_per_second * STEP_MS / 1000.0 {
+                    self.send_attempt(member, server);
                 }
             }
         }
         let due = (now * 1000.0) as u64;
-        let arrived = self.coming.range(..=(due, u64::MAX)).map(|(&key, _)| key).collect::<Vec<_>>();
+        let arrived = self.in_flight.range(..=(due, u64::MAX)).map(|(&key, _)| key).collect::<Vec<_>>();
         for key in arrived {
-            let (from, to, bytes) = self.coming.remove(&key).expect("just seen");
+            let (from, to, bytes) = self.in_flight.remove(&key).expect("just seen");
             if self.stalled.get(&to).is_some_and(|&until| now < until) {
                 let later = (self.stalled[&to] * 1000.0) as u64;
-                self.coming.insert((later, key.1), (from, to, bytes));
+                self.in_flight.insert((later, key.1), (from, to, bytes));
             } else if let Some(node) = &mut self.nodes[to] {
                 node.receive(now, address(from), &bytes);
             }
@@ -166,42 +166,42 @@
         while sent.front().is_some_and(|s| s.0 <= now - 1000.0) {
             sent.pop_front();
         }
-        self.most = self.most.max(sent.iter().map(|s| s.1).sum());
+        self.max_bytes_per_second = self.max_bytes_per_second.max(sent.iter().map(|s| s.1).sum());
         let across = self.cut.is_some_and(|cut| (from < cut) != (to < cut));
-        if !across && self.chance.random::<f64>() >= self.loss {
-            self.count += 1;
-            let at = now + 3.0 + 20.0 * self.chance.random::<f64>();
-            self.coming.insert(((at * 1000.0) as u64, self.count), (from, to, bytes));
+        if !across && self.rng.random::<f64>() >= self.loss {
+            self.sequence += 1;
+            let at = now + 3.0 + 20.0 * self.rng.random::<f64>();
+            self.in_flight.insert(((at * 1000.0) as u64, self.sequence), (from, to, bytes));
         }
     }
 
-    fn shoot(&mut self, member: usize, server: u64) {
+    fn send_attempt(&mut self, member: usize, server: u64) {
         let now = self.now;
         let silent = self.silent.get(&server).is_some_and(|&since| now >= since);
         let Some(node) = &mut self.nodes[member] else { return };
         node.evidence.attempt_sent(now, generation(server));
-        if self.praisers.contains(&member) {
+        if self.vouchers.contains(&member) {
             node.evidence.answered(now, generation(server));
         } else if !silent && !self.accusers.contains(&member) {
-            let delay = 30.0 + 60.0 * self.chance.random::<f64>();
-            let place = self.answers.iter().position(|a| a.0 > now + delay).unwrap_or(self.answers.len());
-            self.answers.insert(place, (now + delay, member, server));
+            let delay = 30.0 + 60.0 * self.rng.random::<f64>();
+            let index = self.answers.iter().position(|a| a.0 > now + delay).unwrap_or(self.answers.len());
+            self.answers.insert(index, (now + delay, member, server));
         }
     }
 
     /// Honest members that are there and do not believe the server silent by now.
-    pub fn unaware(&self, server: u64) -> Vec<usize> {
-        let liar = |m: &usize| self.accusers.contains(m) || self.praisers.contains(m);
+    pub fn members_not_believing(&self, server: u64) -> Vec<usize> {
+        let liar = |m: &usize| self.accusers.contains(m) || self.vouchers.contains(m);
         let there = (0..self.nodes.len()).filter(|&m| self.nodes[m].is_some() && !liar(&m));
         there.filter(|&m| !self.believed.contains_key(&(m, server))).collect()
     }
 
     /// How long after `since` honest members came to believe it: in order.
-    pub fn took(&self, server: u64, since: f64) -> Vec<f64> {
-        let mut took: Vec<f64> =
+    pub fn detection_times(&self, server: u64, since: f64) -> Vec<f64> {
+        let mut times: Vec<f64> =
             self.believed.iter().filter(|((_, s), _)| *s == server).map(|(_, at)| at - since).collect();
-        took.sort_by(f64::total_cmp);
-        took
+        times.sort_by(f64::total_cmp);
+        times
     }
 
     /// Members of whom a member thinks that they are there.
--- a/links/src/lib.rs
+++ b/links/src/lib.rs
@@ -21,11 +21,11 @@
     /// The longest that anything is on its way, in milliseconds.
     pub max_delay: f64,
     cut: BTreeSet<(NodeIndex, NodeIndex)>,
-    flying: BTreeMap<(u64, u64), (NodeIndex, NodeIndex, T)>,
-    sent: u64,
+    in_flight: BTreeMap<(u64, u64), (NodeIndex, NodeIndex, T)>,
+    sequence: u64,
     /// What was sent, cut or lost with the rest.
     pub messages: u64,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
 }
 
 impl<T: Clone> Links<T> {
@@ -35,10 +35,10 @@
             duplication: 0.0,
             max_delay,
             cut: BTreeSet::new(),
-            flying: BTreeMap::new(),
-            sent: 0,
+            in_flight: BTreeMap::new(),
+            sequence: 0,
             messages: 0,
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
@@ -54,9 +54,9 @@
     }
 
     /// Both ways.
-    pub fn partition(&mut self, ones: &[NodeIndex], others: &[NodeIndex]) {
-        self.cut(ones, others, true);
-        self.cut(others, ones, true);
+    pub fn partition(&mut self, left: &[NodeIndex], right: &[NodeIndex]) {
+        self.cut(left, right, true);
+        self.cut(right, left, true);
     }
 
     /// All links are whole again; what was lost stays so.
@@ -69,23 +69,23 @@
         self.cut.contains(&(from, to))
     }
 
-    pub fn send(&mut self, now: f64, from: NodeIndex, to: NodeIndex, what: T) {
+    pub fn send(&mut self, now: f64, from: NodeIndex, to: NodeIndex, message: T) {
         self.messages += 1;
-        if self.is_cut(from, to) || self.chance.random::<f64>() < self.loss {
+        if self.is_cut(from, to) || self.rng.random::<f64>() < self.loss {
             return;
         }
-        let copies = if self.chance.random::<f64>() < self.duplication { 2 } else { 1 };
+        let copies = if self.rng.random::<f64>() < self.duplication { 2 } else { 1 };
         for _ in 0..copies {
-            let at = now + self.max_delay * self.chance.random::<f64>();
-            self.sent += 1;
+            let arrives_at = now + self.max_delay * self.rng.random::<f64>();
+            self.sequence += 1;
             // Whole microseconds keep the order and can be compared.
-            self.flying.insert(((at * 1000.0) as u64, self.sent), (from, to, what.clone()));
+            self.in_flight.insert(((arrives_at * 1000.0) as u64, self.sequence), (from, to, message.clone()));
         }
     }
 
     /// The next that has come by now.
     pub fn next_arrival(&mut self, now: f64) -> Option<(NodeIndex, NodeIndex, T)> {
-        let first = self.flying.first_entry().filter(|flight| flight.key().0 as f64 / 1000.0 <= now)?;
+        let first = self.in_flight.first_entry().filter(|entry| entry.key().0 as f64 / 1000.0 <= now)?;
         Some(first.remove())
     }
 }
