--- a/fleet/src/fleet.rs
+++ b/fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! All limits at one member: whose part is how large, whom to ask when it does not do, what to answer.
+//! All limits at one member: each member's part, whom to request permits from, and the answers to requests.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::Hasher;
@@ -12,43 +12,50 @@
 use crate::ledger::{Id, Ledger, LedgerStatus, LoanTerms};
 use crate::wire::{self, LimitId, MAX_MESSAGES, Message};
 
-/// Limits at most: a flood of names cannot grow the books.
+/// Maximum number of limits: a flood of names must not grow memory.
 const MAX_LIMITS: usize = 512;
 /// Lenders that are asked at once for one limit.
 const LENDERS_PER_REQUEST: usize = 3;
-/// Members that are told at once, in a beat, that this one has started.
+/// Members notified per tick that this one has started.
 const START_NOTICES_PER_TICK: usize = 16;
-/// What is missed is asked for after this part of a beat at the latest, not only at the next one.
+/// A shortage brings the next tick forward to at most this fraction of a tick interval.
 const EARLY_TICK_FRACTION: f64 = 0.1;
 
-/// What is agreed for limits of the fleet.
+/// Configuration of the fleet's limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetTerms {
+    /// Configuration of loans between members.
     pub loans: LoanTerms,
-    /// How often a member looks at what it needs.
+    /// How often a member checks what it needs, in milliseconds.
     pub tick_interval: f64,
 }
 
-/// What is to be told to another member.
+/// A payload to another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
+    /// The receiver.
     pub to: Id,
     pub bytes: Vec<u8>,
 }
 
-/// What was done, and what was dropped.
+/// Counts of requests and loans, and of what was dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
+    /// Requests that this member sent.
     #[serde(rename = "asked")]
     pub requested: u64,
+    /// Permits lent to other members.
     pub lent: u64,
+    /// Permits borrowed from other members.
     pub borrowed: u64,
-    /// Of no form, of a limit or a member that is not known here, more than the limit, not asked for or too
-    /// late.
+    /// Payloads that are not well formed.
     pub malformed: u64,
+    /// Messages about an unknown limit or from an unknown member.
     pub unknown: u64,
+    /// Grants of more permits than the lender owns.
     #[serde(rename = "over")]
     pub over_limit: u64,
+    /// Grants that were not requested or came too late.
     #[serde(rename = "stray")]
     pub unexpected: u64,
     /// Set-ups that found no permit.
@@ -56,34 +63,40 @@
     pub without_permit: u64,
 }
 
-/// Where this member stands with a limit, for operators.
+/// State of a limit at this member, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitState {
     pub name: String,
-    /// Set-ups in any window, over all members, and the window.
+    /// Set-ups in any window over all members.
     pub permits: usize,
+    /// The window, in milliseconds.
     pub window: f64,
+    /// This member's permits.
     pub ledger: LedgerStatus,
 }
 
+/// One limit of the fleet, as this member holds it.
 struct Limit {
     name: String,
     permits: usize,
     window: f64,
     ledger: Ledger,
-    /// All members: the first of them have one permit more where the limit does not go up evenly.
+    /// All members, in this limit's order: if the limit does not divide evenly, the first of them have one
+    /// more permit.
     member_order: Vec<Id>,
-    /// What lenders last said they could still lend, and when.
+    /// How many more permits lenders last said they could lend, and when.
     lendable: BTreeMap<Id, (usize, f64)>,
-    /// Withdrawn then: forgotten when nothing of it can be lent any more.
+    /// When the limit was removed. It is forgotten once no loan of it can be in use any more.
     removed_at: Option<f64>,
 }
 
 impl Limit {
+    /// How many permits a member owns.
     fn part_of(&self, member: Id) -> usize {
         self.member_order.iter().position(|&id| id == member).map_or(0, |rank| self.part_of_rank(rank))
     }
 
+    /// How many permits the member at this place of the order owns.
     fn part_of_rank(&self, rank: usize) -> usize {
         let members = self.member_order.len().max(1);
         self.permits / members + usize::from(rank < self.permits % members)
@@ -93,13 +106,13 @@
 /// The limits of the fleet at one member.
 pub struct Fleet {
     id: Id,
-    /// This process, drawn by chance.
+    /// A random number that identifies this process.
     generation: u64,
     terms: FleetTerms,
     members: Vec<Id>,
-    /// Who may still use what an earlier life of this member lent.
+    /// Members that may still use what an earlier generation of this member lent.
     uncleared: BTreeSet<Id>,
-    /// When all others had let go of that.
+    /// When all other members had stopped using it.
     cleared_at: Option<f64>,
     limits: BTreeMap<LimitId, Limit>,
     rng: Pcg64Mcg,
@@ -109,7 +122,7 @@
     counts: Counts,
 }
 
-/// The number that a limit goes by between members.
+/// The number that identifies a limit between members.
 pub fn limit_id(name: &str) -> LimitId {
     let mut hasher = SipHasher13::new();
     hasher.write(name.as_bytes());
@@ -117,8 +130,9 @@
 }
 
 impl Fleet {
-    /// `members` are all that belong to the fleet, this one too: the same at each of them. Start it with the
-    /// process, since it waits out what an earlier life of this member may have lent.
+    /// `members` are all members of the fleet including this one, the same list at each of them. Create it
+    /// when the process starts, since it waits until loans of an earlier generation of this member have
+    /// ended.
     pub fn new(
         id: Id,
         members: impl IntoIterator<Item = Id>,
@@ -148,16 +162,17 @@
         }
     }
 
+    /// The counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Who belongs to the fleet has changed. Until all members have been told, their parts may not go up.
+    /// Replaces the members of the fleet. Until all members know the change, no part may grow.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = Id>) {
         let former = std::mem::replace(&mut self.members, members.into_iter().collect());
         self.members.sort_unstable();
         self.members.dedup();
-        // Who has come may hold what an earlier life of this one lent under another roster.
+        // A member that has joined may hold a loan of an earlier generation of this one under another roster.
         let joined = self.members.iter().filter(|&member| former.binary_search(member).is_err());
         self.uncleared.extend(joined.filter(|&&member| member != self.id));
         let members = self.members.clone();
@@ -167,8 +182,8 @@
         }
     }
 
-    /// A limit for the whole fleet: so many set-ups a second, whole ones in each window. False where there
-    /// are too many.
+    /// Sets a limit for the whole fleet of `rate` set-ups per second, rounded down to whole set-ups in each
+    /// window of `window` milliseconds. Returns false if there are too many limits.
     pub fn set_limit(&mut self, name: &str, rate: f64, window: f64) -> bool {
         let id = limit_id(name);
         let permits = (rate.max(0.0) * window / 1000.0).min(f64::from(u16::MAX)) as usize;
@@ -196,30 +211,31 @@
         true
     }
 
-    /// The limit holds no more, as when its server has gone.
+    /// Removes a limit, as when its server is gone.
     pub fn remove_limit(&mut self, now: f64, name: &str) {
         if let Some(limit) = self.limits.get_mut(&limit_id(name)) {
             limit.removed_at.get_or_insert(now);
         }
     }
 
-    /// How many set-ups may go now; none told where there is no such limit.
+    /// How many set-ups may be sent now, or `None` if there is no such limit.
     pub fn free_permits(&mut self, now: f64, name: &str) -> Option<usize> {
         let limit = self.limits.get_mut(&limit_id(name)).filter(|limit| limit.removed_at.is_none())?;
         Some(limit.ledger.free_permits(now))
     }
 
-    /// Whether this member knows for sure what it lent before it started.
+    /// Whether this member knows everything that it may have lent before it started.
     pub fn is_recovered(&self, now: f64, name: &str) -> bool {
         self.limits.get(&limit_id(name)).is_some_and(|limit| limit.ledger.is_recovered(now))
     }
 
-    /// A set-up goes. False where none may.
+    /// Uses a permit for a set-up. Returns false if none is free.
     pub fn try_acquire(&mut self, now: f64, name: &str) -> bool {
         self.limits.get_mut(&limit_id(name)).is_none_or(|limit| limit.ledger.try_acquire(now))
     }
 
-    /// So many set-ups more are held, or went elsewhere, for want of a permit; each is told once.
+    /// Records that `count` more set-ups wait or were sent elsewhere because there was no permit; each set-up
+    /// is reported once.
     pub fn record_shortage(&mut self, now: f64, name: &str, count: usize) {
         let Some(limit) = self.limits.get_mut(&limit_id(name)).filter(|_| count > 0) else { return };
         limit.ledger.record_shortage(now, count);
@@ -228,17 +244,17 @@
         self.next_tick_at = self.next_tick_at.min(early_tick);
     }
 
-    /// When [`Fleet::turn`] is wanted, or more set-ups may go.
+    /// When [`Fleet::turn`] is to be called next, or more set-ups may be sent.
     pub fn due(&self, now: f64) -> f64 {
         self.limits.values().map(|limit| limit.ledger.due(now)).fold(self.next_tick_at, f64::min)
     }
 
-    /// The next message to another member.
+    /// The next payload to another member.
     pub fn outgoing(&mut self) -> Option<Outgoing> {
         self.send_queue.pop_front()
     }
 
-    /// Does what has fallen due: gives back what is not needed, asks for what is.
+    /// Does everything that is due: gives back what is not needed and requests what is.
     pub fn turn(&mut self, now: f64) {
         if now < self.next_tick_at {
             return;
@@ -258,17 +274,17 @@
             for (lender, serial) in limit.ledger.take_ended_loans(now) {
                 messages.entry(lender).or_default().push(Message::Return { limit: id, serial });
             }
-            let need = limit.ledger.shortfall(now);
+            let shortfall = limit.ledger.shortfall(now);
             let mut requests: Vec<(Id, usize)> = limit.ledger.expiring_loans(now);
-            requests.retain(|&(_, count)| need + count as isize > 0);
-            if need > 0 {
+            requests.retain(|&(_, count)| shortfall + count as isize > 0);
+            if shortfall > 0 {
                 limit.lendable.retain(|_, (_, at)| now - *at < 0.5 * lease);
                 let mut lenders: Vec<(bool, u32, Id)> = Vec::new();
                 for (rank, &lender) in
                     limit.member_order.iter().enumerate().filter(|(_, lender)| **lender != self.id)
                 {
-                    // Those that said they can, then those of whom nothing is known, in an order drawn by
-                    // chance.
+                    // First lenders that said they can lend, then those of which nothing is known, in random
+                    // order.
                     let left = limit.lendable.get(&lender).map(|&(left, _)| left);
                     if limit.part_of_rank(rank) > 0 && left != Some(0) && !limit.ledger.awaits_answer(lender)
                     {
@@ -277,9 +293,9 @@
                 }
                 lenders.sort_unstable();
                 lenders.truncate(LENDERS_PER_REQUEST);
-                let each = (need as usize).div_ceil(lenders.len().max(1));
-                // A later loan takes the place of an earlier one of the same lender, so that is asked for
-                // with it.
+                let each = (shortfall as usize).div_ceil(lenders.len().max(1));
+                // A later loan replaces an earlier one of the same lender, so the request includes the
+                // earlier one.
                 for (_, _, lender) in lenders {
                     requests.retain(|(other, _)| *other != lender);
                     requests.push((lender, limit.ledger.borrowed_from(lender, now) + each));
@@ -309,7 +325,7 @@
                 });
             }
         }
-        // Once all that it may have lent has lapsed nobody need let go of it.
+        // After one lease all earlier loans have expired, and nobody needs to clear them.
         if self.cleared_at.is_none() && now < self.started_at + lease {
             let mut uncleared: Vec<Id> = self.uncleared.iter().copied().collect();
             let (notified, _) = uncleared.partial_shuffle(&mut self.rng, START_NOTICES_PER_TICK);
@@ -324,7 +340,7 @@
         }
     }
 
-    /// Another member's message. Anything may stand in it.
+    /// Handles an untrusted payload of another member.
     pub fn receive(&mut self, now: f64, from: Id, bytes: &[u8]) {
         let Ok((generation, messages)) = wire::decode(bytes) else {
             self.counts.malformed += 1;
@@ -386,7 +402,7 @@
         }
     }
 
-    /// A member uses nothing any more that an earlier life of this one lent.
+    /// A member no longer uses anything that an earlier generation of this one lent.
     fn member_cleared(&mut self, now: f64, member: Id) {
         if self.uncleared.remove(&member) && self.uncleared.is_empty() {
             self.cleared_at = Some(now);
@@ -394,6 +410,7 @@
         }
     }
 
+    /// The state of all limits in force.
     pub fn limit_states(&mut self, now: f64) -> Vec<LimitState> {
         let active = self.limits.values_mut().filter(|limit| limit.removed_at.is_none());
         let state = |limit: &mut Limit| LimitState {
@@ -406,8 +423,8 @@
     }
 }
 
-/// The members in an order of their own for each limit, so that the odd permits of many limits do not all
-/// fall to the same ones.
+/// The members in an order of their own for each limit, so that the odd permits of many limits do not all go
+/// to the same members.
 fn member_order(members: &[Id], limit: LimitId) -> Vec<Id> {
     let hash = |id: Id| {
         let mut hasher = SipHasher13::new_with_keys(limit, id);
--- a/fleet/src/ledger.rs
+++ b/fleet/src/ledger.rs
@@ -1,54 +1,57 @@
-//! One limit at one member: the permits that it has a part of, has lent and has borrowed. No I/O.
+//! One limit at one member: the permits of its own part, those lent and those borrowed. No I/O.
 //!
-//! A limit of `n` set-ups in any window is `n` permits; one that was used rests for a window. Each member has
-//! a part of its own for good ([`Ledger::set_part`]) and may lend of it. [`Ledger::try_acquire`] uses a permit, if
-//! one is free. [`Ledger::ask`], [`Ledger::pending`], [`Ledger::granted`], [`Ledger::give_back`] and
-//! [`Ledger::returned`] move permits between two members: whoever lends lets go first, and what is lent
-//! lapses by itself on both clocks, on the taker's first. docs/fleet.md proves that all members together
-//! never pass the limit. Times are milliseconds on the member's own clock.
+//! A limit of `n` set-ups in any window is `n` permits. A used permit cools down for a window before it can
+//! be used again. Each member permanently owns a part of the permits ([`Ledger::set_part`]) and may lend some
+//! of them. [`Ledger::try_acquire`] uses a permit if one is free. [`Ledger::request`],
+//! [`Ledger::handle_request`], [`Ledger::accept_grant`], [`Ledger::give_back`] and [`Ledger::accept_return`]
+//! move permits between two members: the lender stops using them first, and a loan expires by itself on both
+//! clocks, on the borrower's first. docs/fleet.md proves that all members together never exceed the limit.
+//! Times are milliseconds on the member's own clock.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A member, by the hash of its key.
 pub type Id = u64;
 
-/// Of so many permits that are wanted one more is kept borrowed, to spare.
+/// One spare permit is kept for each this many that are wanted.
 const SPARE_DIVISOR: usize = 8;
 
-/// Loans to one borrower that are kept apart, at most: one that asks more often meanwhile gets nothing.
+/// Maximum number of separate loans to one borrower: further requests get nothing meanwhile.
 const MAX_LOANS_PER_BORROWER: usize = 8;
 
-/// Spans of a rest over which misses are counted.
+/// Number of counting periods in one cool-down.
 const COUNT_PERIODS: f64 = 16.0;
 
-/// What is agreed of loans.
+/// Configuration of loans.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoanTerms {
-    /// For how long permits are lent, on the lender's clock.
+    /// How long permits are lent, in milliseconds on the lender's clock.
     pub lease: f64,
-    /// The part by which a member's clock may run fast or slow.
+    /// Fraction by which a member's clock may run fast or slow.
     pub drift: f64,
-    /// By how much the ways of two set-ups to a server may differ.
+    /// Maximum difference between the transit times of two set-ups to a server, in milliseconds.
     pub spread: f64,
-    /// The part of its own permits that a member never lends.
+    /// Fraction of its own part that a member never lends.
     pub floor: f64,
 }
 
 impl LoanTerms {
-    /// How long a permit rests after use, so that a window has passed by any clock, on any way.
+    /// How long a used permit cools down, so that a window has passed on any clock and at any transit time.
     pub fn cool_down(&self, window: f64) -> f64 {
         (window + self.spread) * (1.0 + self.drift)
     }
 
-    /// How long a taker uses what it was lent, from when it asked: shorter by what the two clocks may differ.
+    /// How long a borrower may use a loan, counted from its request: shorter than the lease by the maximum
+    /// drift of the two clocks.
     pub fn usable(&self, lease: f64) -> f64 {
         lease.min(self.lease) * (1.0 - self.drift) / (1.0 + self.drift)
     }
 }
 
-/// One life of a borrower.
+/// A borrower: the member and the generation of its process.
 type Borrower = (Id, u64);
 
+/// A loan to a borrower.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Loan {
     serial: u64,
@@ -56,24 +59,27 @@
     expires_at: f64,
 }
 
+/// A member that recently requested permits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Requester {
     requested_at: f64,
-    /// It got less than it wanted, and it has no permit at all.
+    /// It got less than it wanted.
     short: bool,
+    /// It has no permit at all.
     no_permits: bool,
 }
 
-/// What was asked of a lender.
+/// A request to a lender that has not been answered.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     serial: u64,
     requested_at: f64,
     want: usize,
-    /// When it was last said.
+    /// When it was last sent.
     last_sent_at: f64,
 }
 
+/// What one lender lends to this member.
 #[derive(Clone, Debug, Default)]
 struct Borrowed {
     count: usize,
@@ -81,16 +87,20 @@
     used: VecDeque<f64>,
 }
 
-/// Where a member stands with one limit.
+/// State of one limit at one member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LedgerStatus {
+    /// Permits that the member owns.
     pub part: usize,
+    /// Permits reserved for borrowers.
     pub lent: usize,
+    /// Permits borrowed from other members.
     pub borrowed: usize,
-    /// Permits that rest after use.
+    /// Used permits that cool down.
     pub cooling_down: usize,
+    /// Permits that can be used now.
     pub free: usize,
-    /// It started lately and does not know yet what it gave away before.
+    /// The member started recently and does not know yet what it lent before.
     pub recovering: bool,
 }
 
@@ -100,33 +110,34 @@
     terms: LoanTerms,
     cool_down: f64,
     started_at: f64,
-    /// From when on all that an earlier life gave away has lapsed, or been let go of, and rested.
+    /// From then on everything that an earlier generation lent has expired or been cleared, and has cooled
+    /// down.
     recovered_at: f64,
     part: usize,
     used: VecDeque<f64>,
     lent: BTreeMap<Borrower, Vec<Loan>>,
     borrowed: BTreeMap<Id, Borrowed>,
-    /// What it has asked for and not heard of.
+    /// Requests without an answer, by lender.
     pending: BTreeMap<Id, PendingRequest>,
-    /// Lenders whose loans have lapsed and rested here, and are not told yet.
+    /// Lenders whose loans have expired and cooled down here and who have not been notified yet.
     ended: BTreeSet<Id>,
-    /// Lenders that left an ask unanswered to its end.
+    /// Lenders that left a request unanswered until it expired.
     unresponsive: BTreeSet<Id>,
     serial: u64,
-    /// Who has lately asked here.
+    /// Members that recently requested permits here.
     requesters: BTreeMap<Id, Requester>,
-    /// Where others go without, this member's own use and a loan take turns.
+    /// While other members lack permits, this member's own use and loans alternate.
     own_turn: bool,
-    /// Set-ups that went or found no permit over a lease and a rest, in a few spans: what is lent is missing
-    /// for so long.
+    /// Set-ups that were sent or found no permit during a lease and a cool-down, by counting period: a loan
+    /// is missing here for that long.
     demand: VecDeque<(f64, usize)>,
-    /// Set-ups that found no permit over a rest, in a few spans.
+    /// Set-ups that found no permit during a cool-down, by counting period.
     shortage: VecDeque<(f64, usize)>,
 }
 
 impl Ledger {
-    /// `began` is when the process started: what it lent in an earlier life lapses from then on. `serial` is
-    /// drawn by chance, so that what was meant for an earlier life is not taken for this one's.
+    /// `started_at` is when the process started: loans of an earlier generation expire counted from then.
+    /// `serial` is random, so that messages meant for an earlier generation are not mistaken for this one's.
     pub fn new(terms: LoanTerms, window: f64, started_at: f64, serial: u64) -> Self {
         Self {
             terms,
@@ -148,24 +159,28 @@
         }
     }
 
-    /// How many permits are its own; less than before where the limit fell, though more may be lent as yet.
+    /// Sets how many permits the member owns. If the limit fell this may be less than what is lent at
+    /// present.
     pub fn set_part(&mut self, part: usize) {
         self.part = part;
     }
 
+    /// How many permits the member owns.
     pub fn part(&self) -> usize {
         self.part
     }
 
+    /// How long a used permit cools down, in milliseconds.
     pub fn cool_down(&self) -> f64 {
         self.cool_down
     }
 
+    /// Own permits that are never lent.
     fn floor(&self) -> usize {
         (self.part as f64 * self.terms.floor) as usize
     }
 
-    /// Forgets what no longer matters.
+    /// Removes what has expired or cooled down.
     fn expire(&mut self, now: f64) {
         let (cool_down, lease) = (self.cool_down, self.terms.lease);
         let drop_cooled_down = |used: &mut VecDeque<f64>| {
@@ -182,7 +197,7 @@
         for (lender, _) in self.borrowed.extract_if(.., |_, b| b.expires_at <= now && b.used.is_empty()) {
             self.ended.insert(lender);
         }
-        // Whoever had it may have used it until the very end.
+        // The borrower may have used its permits until the loan expired.
         for loans in self.lent.values_mut() {
             loans.retain(|loan| loan.expires_at + cool_down > now);
         }
@@ -193,7 +208,7 @@
         self.requesters.retain(|_, requester| now - requester.requested_at < cool_down);
     }
 
-    /// Set aside for a borrower: it uses one loan at a time, whichever came to it last.
+    /// Permits reserved for a borrower: it uses one loan at a time, the last one that reached it.
     fn reserved_for(loans: &[Loan]) -> usize {
         loans.iter().map(|loan| loan.count).max().unwrap_or(0)
     }
@@ -202,18 +217,19 @@
         self.lent.values().map(|loans| Self::reserved_for(loans)).sum()
     }
 
-    /// All members have let go of what an earlier life of this one lent them; they may have used it just
+    /// All members have stopped using what an earlier generation of this one lent; they may have used it just
     /// before.
     pub fn earlier_loans_cleared(&mut self, now: f64) {
         self.recovered_at = self.recovered_at.min(now + self.cool_down);
     }
 
-    /// Whether all that an earlier life gave away has lapsed, or been let go of, and rested.
+    /// Whether everything that an earlier generation lent has expired or been cleared, and has cooled down.
     pub fn is_recovered(&self, now: f64) -> bool {
         now >= self.recovered_at
     }
 
-    /// A lender has started again: what its earlier life lent, or was asked for, is not used any more.
+    /// The lender has restarted: what its earlier generation lent is no longer used, and requests to it are
+    /// dropped.
     pub fn drop_loans_from(&mut self, lender: Id) {
         self.pending.remove(&lender);
         if let Some(borrowed) = self.borrowed.get_mut(&lender) {
@@ -232,10 +248,10 @@
         own.saturating_sub(self.lent() + self.used.len() + self.reserved_for_requesters())
     }
 
-    /// Kept free for whoever has no permit at all, where it is not this member's own turn: else those, as
-    /// where there are fewer permits than members, would never get any from members that have demand of their
-    /// own. Never of the floor. Costs what lies idle until one asks again; such as ask without need take
-    /// every other permit at most.
+    /// Permits kept free for a member that has none at all, while it is not this member's own turn. Without
+    /// this, where there are fewer permits than members, such members would never get any from members with
+    /// demand of their own. Never part of the floor. The cost is a permit that stays idle until the next
+    /// request; members that request without need take at most every other permit.
     fn reserved_for_requesters(&self) -> usize {
         let waits = !self.own_turn && self.requesters.values().any(|requester| requester.no_permits);
         usize::from(waits && self.part > self.floor())
@@ -245,14 +261,14 @@
         if now < borrowed.expires_at { borrowed.count.saturating_sub(borrowed.used.len()) } else { 0 }
     }
 
-    /// How many set-ups may go now.
+    /// How many set-ups may be sent now.
     pub fn free_permits(&mut self, now: f64) -> usize {
         self.expire(now);
         let borrowed: usize = self.borrowed.values().map(|b| Self::borrowed_free(b, now)).sum();
         self.own_free(now) + borrowed
     }
 
-    /// Uses a permit: a borrowed one first, that lapses soonest. False where none is free.
+    /// Uses a permit: a borrowed one first, of the loan that expires first. Returns false if none is free.
     pub fn try_acquire(&mut self, now: f64) -> bool {
         self.expire(now);
         let own = self.own_free(now);
@@ -275,7 +291,7 @@
         used.saturating_add(self.shortage_count())
     }
 
-    /// How many permits its own demand has lately kept in use, or would have.
+    /// How many permits the member's own recent demand kept in use or would have kept in use.
     fn usual_demand(&self) -> usize {
         let period = self.cool_down + self.terms.lease;
         let count: usize =
@@ -283,7 +299,7 @@
         (count as f64 * self.cool_down / period).round() as usize
     }
 
-    /// So many set-ups more found no permit, each told once.
+    /// Records that `count` more set-ups found no permit; each set-up is reported once.
     pub fn record_shortage(&mut self, now: f64, count: usize) {
         let period = self.cool_down / COUNT_PERIODS;
         add(&mut self.shortage, now, period, count);
@@ -294,7 +310,7 @@
         self.shortage.iter().map(|(_, count)| count).fold(0, |sum, count| sum.saturating_add(*count))
     }
 
-    /// When a permit that is in use or lent here is free again, at the earliest.
+    /// The earliest time when a permit that is in use or lent becomes free again.
     pub fn due(&self, now: f64) -> f64 {
         let cooled_down_at =
             self.used.front().into_iter().chain(self.borrowed.values().filter_map(|b| b.used.front()));
@@ -304,8 +320,8 @@
         cooled_down_at.chain(sure).chain(lapses).filter(|&at| at > now).fold(f64::INFINITY, f64::min)
     }
 
-    /// How many permits more than it has would serve what was lately wanted, one to spare; less than none
-    /// where it has more.
+    /// How many more permits would serve the recent demand with a spare; negative if there are more than
+    /// needed.
     pub fn shortfall(&mut self, now: f64) -> isize {
         self.expire(now);
         let has = self.own_free(now) + self.used.len();
@@ -315,7 +331,7 @@
             - (has + borrowed.sum::<usize>()) as isize
     }
 
-    /// Lenders whose loan ends within half a lease: to be asked again, if it is still wanted.
+    /// Lenders whose loan ends within half a lease, to be requested again if it is still needed.
     pub fn expiring_loans(&self, now: f64) -> Vec<(Id, usize)> {
         let threshold = now + 0.5 * self.terms.usable(self.terms.lease);
         let expiring = self.borrowed.iter().filter(|(id, b)| {
@@ -324,28 +340,28 @@
         expiring.map(|(&id, b)| (id, b.count)).collect()
     }
 
-    /// Whether a lender was asked and has not answered yet.
+    /// Whether a request to this lender is unanswered.
     pub fn awaits_answer(&self, lender: Id) -> bool {
         self.pending.contains_key(&lender)
     }
 
-    /// Whether a lender's answers may not come through, as where a link is cut one way: it is asked for
-    /// nothing first, since what it grants would lie idle there.
+    /// Whether the lender's answers may not arrive, as when a link is cut one way. It is first asked for zero
+    /// permits, since permits that it grants would lie idle.
     pub fn is_unresponsive(&self, lender: Id) -> bool {
         self.unresponsive.contains(&lender)
     }
 
-    /// Whether it has no permit of its own nor any loan.
+    /// Whether the member has neither permits of its own nor a loan.
     pub fn has_no_permits(&self, now: f64) -> bool {
         self.part == 0 && !self.borrowed.values().any(|b| b.expires_at > now && b.count > 0)
     }
 
-    /// What a lender lends at present.
+    /// How many permits the lender lends at present.
     pub fn borrowed_from(&self, lender: Id, now: f64) -> usize {
         self.borrowed.get(&lender).filter(|b| b.expires_at > now).map_or(0, |b| b.count)
     }
 
-    /// Notes that a lender is asked now; gives the serial that its grant must name.
+    /// Records a request to a lender and returns the serial that the grant must name.
     pub fn request(&mut self, now: f64, lender: Id, want: usize) -> u64 {
         self.serial += 1;
         self.pending.insert(
@@ -355,8 +371,9 @@
         self.serial
     }
 
-    /// What was asked a while ago, or said again, and not answered: lenders, serials and how many were
-    /// wanted. To be said again just so, since a grant that was lost lies idle at the lender.
+    /// Requests that were last sent at least `interval` ago and have not been answered: lender, serial and
+    /// wanted permits. They are sent again unchanged, since the permits of a lost grant lie idle at the
+    /// lender.
     pub fn requests_to_resend(&mut self, now: f64, interval: f64) -> Vec<(Id, u64, usize)> {
         let max_age = 0.5 * self.terms.usable(self.terms.lease);
         let late = |pending: &&mut PendingRequest| {
@@ -372,8 +389,8 @@
         resends
     }
 
-    /// Another asks for permits: gives how many it is lent, which may be none, and how many more could be.
-    /// From now on they are not used here until they have lapsed and rested.
+    /// Another member requests permits. Returns how many it is lent, possibly none, and how many more could
+    /// be lent. From now on they are not used here until they have expired and cooled down.
     pub fn handle_request(
         &mut self,
         now: f64,
@@ -383,7 +400,7 @@
         no_permits: bool,
     ) -> (usize, usize) {
         self.expire(now);
-        // Doubled on its way: the same answer again, and no longer.
+        // A duplicated request gets the same answer again, and the loan is not extended.
         if let Some(loan) = self.lent.get(&from).and_then(|loans| loans.iter().find(|l| l.serial == serial)) {
             return (loan.count, 0);
         }
@@ -395,8 +412,9 @@
             .max(self.usual_demand().min(self.part - self.reserved_for_requesters()));
         let available = if now >= self.recovered_at { self.part.saturating_sub(keep) } else { 0 };
         let remaining = available.saturating_sub(others);
-        // What many want is shared evenly, but a loan in use goes on: one that lapses rests before another
-        // has it. Only who has no permit at all goes before that.
+        // Permits that many members want are shared evenly, but a loan in use is renewed, because an expired
+        // one cools down before another member can have it. Only a member without any permit takes precedence
+        // over that.
         let count_short_requesters = |no_permits: bool| {
             let waits = |(id, requester): &(&Id, &Requester)| {
                 **id != from.0 && requester.short && (requester.no_permits || !no_permits)
@@ -414,7 +432,7 @@
             if is_turn && loans.len() < MAX_LOANS_PER_BORROWER { want.min(remaining).min(even) } else { 0 };
         if count > 0 {
             let expires_at = now + self.terms.lease;
-            // What ends sooner and was not more is covered by this.
+            // Loans that end earlier and are not larger are covered by the new one.
             loans.retain(|loan| loan.count > count);
             loans.push(Loan { serial, count, expires_at });
             self.own_turn = true;
@@ -428,8 +446,8 @@
         (count, remaining.saturating_sub(count))
     }
 
-    /// A lender's answer. False where nothing of the kind was asked, or it comes too late: nothing changes
-    /// then.
+    /// A lender's answer. Returns false, and changes nothing, if there was no such request or the answer is
+    /// too late.
     pub fn accept_grant(&mut self, now: f64, lender: Id, serial: u64, count: usize, lease: f64) -> bool {
         let Some(&PendingRequest { requested_at, .. }) =
             self.pending.get(&lender).filter(|pending| pending.serial == serial)
@@ -447,8 +465,8 @@
         true
     }
 
-    /// Lets go of what a lender lent, before it is told so: gives the serial up to which all is given back.
-    /// None where it was used and has not rested since: the lender could use it at once.
+    /// Stops using a lender's loan before the lender is told, and returns the serial up to which everything
+    /// is given back. `None` if it was used and has not cooled down since: the lender could use it at once.
     pub fn give_back(&mut self, now: f64, lender: Id) -> Option<u64> {
         self.expire(now);
         if self.borrowed.get(&lender).is_some_and(|borrowed| !borrowed.used.is_empty()) {
@@ -458,19 +476,19 @@
         Some(self.serial)
     }
 
-    /// Lenders whose loans have lapsed and rested here, each once, with the serial up to which nothing is
-    /// used any more: told so they need not wait for the longest that it could have been.
+    /// Lenders whose loans have expired and cooled down here, each once, with the serial up to which nothing
+    /// is used any more. Once notified, they need not wait for the longest possible end.
     pub fn take_ended_loans(&mut self, now: f64) -> Vec<(Id, u64)> {
         self.expire(now);
         let ended = std::mem::take(&mut self.ended);
-        // What is asked for again may be granted already.
+        // A loan that is requested again may have been granted already.
         let finished = ended
             .into_iter()
             .filter(|lender| !self.awaits_answer(*lender) && !self.borrowed.contains_key(lender));
         finished.map(|lender| (lender, self.serial)).collect()
     }
 
-    /// Lenders with more than is wanted: those that can be given back whole.
+    /// Lenders whose whole loan is more than is needed and can be given back.
     pub fn surplus_lenders(&mut self, now: f64) -> Vec<Id> {
         let mut surplus = -self.shortfall(now);
         let mut lenders = Vec::new();
@@ -483,14 +501,15 @@
         lenders
     }
 
-    /// A borrower has let go of all that it was lent up to a serial, which had rested there
-    /// ([`Ledger::give_back`]).
+    /// A borrower no longer uses anything that it was lent up to this serial, and all of it had cooled down
+    /// there ([`Ledger::give_back`]).
     pub fn accept_return(&mut self, now: f64, from: Borrower, serial: u64) {
         for loan in self.lent.get_mut(&from).into_iter().flatten().filter(|loan| loan.serial <= serial) {
             loan.expires_at = loan.expires_at.min(now - self.cool_down);
         }
     }
 
+    /// The current state, for operators.
     pub fn status(&mut self, now: f64) -> LedgerStatus {
         let free = self.free_permits(now);
         let borrowed = self.borrowed.values().filter(|b| now < b.expires_at).map(|b| b.count).sum();
@@ -500,7 +519,7 @@
     }
 }
 
-/// Counts by spans, so that a flood takes no room.
+/// Adds to counts by period, so that memory is bounded even in a flood of set-ups.
 fn add(counts: &mut VecDeque<(f64, usize)>, now: f64, period: f64, count: usize) {
     match counts.back_mut().filter(|(at, _)| now - *at < period) {
         Some((_, sum)) => *sum = sum.saturating_add(count),
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,11 +1,11 @@
 //! Limits that hold for all border proxies together, without I/O.
 //!
-//! [`Fleet`] is told the limits, the time, what its proxy wants and what other members say; it says how many
-//! set-ups may go now, and hands back what others are to be told. [`ledger`] is one limit at one member, with
-//! the rules that keep the sum; [`wire`] is the form of what members say. docs/fleet.md weighs the ways and
-//! proves the bound.
+//! [`Fleet`] is told the limits, the time, the demand of its proxy and the messages of other members. It says
+//! how many set-ups may be sent now and hands back messages to other members. [`ledger`] is one limit at one
+//! member, with the rules that keep the sum within the limit; [`wire`] is the encoding of the messages.
+//! docs/fleet.md compares the alternatives and proves the bound.
 //!
-//! Times are milliseconds on the proxy's clock, which only goes forward.
+//! Times are milliseconds on the proxy's monotonic clock.
 
 #![forbid(unsafe_code)]
 
--- a/fleet/src/wire.rs
+++ b/fleet/src/wire.rs
@@ -1,47 +1,53 @@
-//! What members say to each other of limits, in postcard's compact encoding. Who says it is proved by what
-//! carries it.
+//! Messages between members about limits, in postcard's compact encoding. The transport that carries them
+//! authenticates the sender.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The most words of one message, and its bytes: with the longest words and all the rumours that a packet
-/// takes along it stays under what is read as a packet.
+/// Maximum number of messages in one payload.
 pub const MAX_MESSAGES: usize = 20;
+/// Maximum bytes of one payload: with the longest messages and all rumours that a packet carries it stays
+/// below the largest packet.
 pub const MAX_PAYLOAD_BYTES: usize = 800;
 
 /// A limit, by the hash of its name.
 pub type LimitId = u64;
 
+/// One message about a limit, or about a start of the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Please lend so many permits; `bare` where the asker has none at all.
+    /// Requests a loan of `want` permits; `no_permits` if the requester has none at all.
     Request { limit: LimitId, serial: u64, want: u16, no_permits: bool },
-    /// So many are lent, for so many milliseconds from when it was asked; `left` more could be.
+    /// `count` permits are lent for `lease` milliseconds from when they were requested; `left` more could be
+    /// lent.
     Grant { limit: LimitId, serial: u64, count: u16, left: u16, lease: u32 },
-    /// All that was lent up to this serial is used no more.
+    /// Everything lent up to this serial is no longer used.
     Return { limit: LimitId, serial: u64 },
-    /// The speaker has started: let go of what an earlier life of it lent.
+    /// The sender has started: the receiver must stop using what an earlier generation of the sender lent.
     Started,
-    /// That is done, for this life of the one spoken to.
+    /// Answers [`Message::Started`] of the receiver's generation: the loans are no longer used.
     Cleared { generation: u64 },
 }
 
+/// Why a payload is invalid.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
-    #[error("longer than any message")]
+    #[error("payload is longer than {MAX_PAYLOAD_BYTES} bytes")]
     TooLong,
-    #[error("not of its form")]
+    #[error("payload is not well formed")]
     Malformed,
-    #[error("more words than any message has")]
+    #[error("payload has more than {MAX_MESSAGES} messages")]
     TooManyMessages,
 }
 
-/// `life` is the speaker's process: what was lent to an earlier one is not this one's. It is drawn at the
-/// start, and no incarnation of the gossip's, which a member raises whenever others doubt it.
+/// `generation` identifies the sender's process: loans to an earlier one are not this one's. It is drawn at
+/// the start of the process; gossip's incarnation does not serve, since a member raises it whenever others
+/// suspect it.
 pub fn encode(generation: u64, messages: &[Message]) -> Vec<u8> {
     postcard::to_stdvec(&(generation, messages)).expect("plain data")
 }
 
+/// Decodes the sender's generation and its messages.
 pub fn decode(bytes: &[u8]) -> Result<(u64, Vec<Message>), DecodeError> {
     if bytes.len() > MAX_PAYLOAD_BYTES {
         return Err(DecodeError::TooLong);
--- a/fleet/tests/limit_sum.rs
+++ b/fleet/tests/limit_sum.rs
@@ -1,5 +1,5 @@
-//! The sum over all members never passes the limit: every order of what can happen, to a stated depth, and
-//! long random ones. Three faults put in on purpose are each found by the same search.
+//! The sum of set-ups over all members never exceeds the limit, in any order of events up to a given depth.
+//! Faults injected on purpose are each found by the same search.
 
 use fleet::LoanTerms;
 use fleet::ledger::Ledger;
@@ -8,17 +8,20 @@
 const WINDOW: f64 = 50.0;
 const LEASE: f64 = 100.0;
 const PERMITS: usize = 2;
-/// Rates of the members' clocks: the lender's fast, a borrower's slow.
+/// Rates of the members' clocks: the lender's is fast, one borrower's is slow.
 const RATES: [f64; 3] = [1.1, 0.9, 1.0];
 const DEPTH: usize = 7;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
+    /// Loans and cool-downs have no margin for clock drift.
     NoMargin,
+    /// A borrower uses the permits before the lender has granted them.
     BorrowerFirst,
+    /// A restarted member does not wait until its earlier loans have ended.
     NoRecoveryWait,
-    /// After a start one member that lets go is taken for all.
+    /// After a restart of the lender, one member that has cleared its loan counts for all.
     OneClearedForAll,
 }
 
@@ -35,13 +38,13 @@
 enum Step {
     Request(usize),
     Deliver,
-    /// The first letter is held back: delivered after all others, perhaps past its lease.
+    /// The first message is held back: delivered after all others, perhaps after its lease.
     Delay,
     Lose,
     Double,
     GiveBack(usize),
     Acquire(usize),
-    /// Killed and started again at once. A pause needs no step: it is a member that takes none.
+    /// Killed and started again at once. A pause needs no step: it is a member that takes no steps.
     Restart(usize),
     Wait(f64),
 }
@@ -63,14 +66,14 @@
     Step::Wait(110.0),
 ];
 
-/// Member 0 has all permits for its own, the others borrow.
+/// Member 0 owns all permits; the others borrow.
 #[derive(Clone)]
 struct Cluster {
     fault: Fault,
     now: f64,
     members: Vec<Ledger>,
     generations: [u64; 3],
-    /// Who has let go of what an earlier life of the lender lent.
+    /// Members that no longer use what an earlier generation of the lender lent.
     cleared: [bool; 3],
     messages: Vec<Message>,
     acquired_at: Vec<f64>,
@@ -88,14 +91,14 @@
             acquired_at: Vec::new(),
         };
         for i in 0..3 {
-            // They have run for long.
+            // They have been running for long.
             let ledger = cluster.ledger(i, f64::NEG_INFINITY);
             cluster.members.push(ledger);
         }
         cluster
     }
 
-    /// All is lent to one member, and the lender has just started again.
+    /// Everything is lent to one member, and the lender has just restarted.
     fn lent_by_an_earlier_generation(fault: Fault) -> Self {
         let mut cluster = Self::new(fault);
         for step in [Step::Request(1), Step::Deliver, Step::Deliver, Step::Restart(0)] {
@@ -116,7 +119,7 @@
         self.now * RATES[member]
     }
 
-    /// Gives whether the step changed anything, and whether the limit still holds.
+    /// Returns whether the step changed anything, and whether the limit still holds.
     fn step(&mut self, step: Step) -> (bool, bool) {
         match step {
             Step::Request(i) => {
@@ -143,7 +146,7 @@
             Step::Double => self.messages.push(self.messages[0].clone()),
             Step::GiveBack(i) => {
                 let now = self.clock(i);
-                // What has lapsed and rested is told in the same way.
+                // The end of a loan that expired and cooled down is reported in the same way.
                 let ended = self.members[i].take_ended_loans(now).first().map(|&(_, serial)| serial);
                 let has = self.members[i].awaits_answer(0) || self.members[i].borrowed_from(0, now) > 0;
                 let given = ended.or_else(|| self.members[i].give_back(now, 0).filter(|_| has));
@@ -209,13 +212,13 @@
     }
 }
 
-/// The first order of steps found that breaks the limit, and how many orders were looked at.
+/// Returns the first order of steps that breaks the limit; `visited` counts the states reached.
 fn search(cluster: &Cluster, depth: usize, path: &mut Vec<Step>, visited: &mut u64) -> Option<Vec<Step>> {
     if depth == 0 {
         return None;
     }
     for step in STEPS {
-        // Two spells of time are one, and what is taken at one instant is taken in any order.
+        // Two waits in a row are like one wait.
         if matches!((path.last(), step), (Some(Step::Wait(_)), Step::Wait(_))) {
             continue;
         }
--- a/fleet/tests/network/mod.rs
+++ b/fleet/tests/network/mod.rs
@@ -1,5 +1,4 @@
-//! Members on one virtual clock, each with a clock of its own that runs fast or slow, and the links between
-//! them.
+//! Members on one virtual clock, each with its own clock that runs fast or slow, and the links between them.
 
 use fleet::{Fleet, FleetTerms, Id, LoanTerms};
 use links::Links;
@@ -8,7 +7,7 @@
 
 pub const WINDOW: f64 = 1000.0;
 pub const SERVER: &str = "s-1@0";
-/// Sets the links' chance apart from the members'.
+/// Keeps the links' random numbers apart from the members'.
 const LINKS_SEED: u64 = 0x11;
 
 pub fn terms() -> FleetTerms {
@@ -20,7 +19,7 @@
     pub now: f64,
     pub members: Vec<Fleet>,
     clocks: Vec<f64>,
-    /// Turns of a member that is stopped do not come.
+    /// Stopped members get no turns.
     pub stopped: Vec<bool>,
     pub links: Links<Vec<u8>>,
     pub rate: f64,
@@ -30,7 +29,7 @@
 }
 
 impl Network {
-    /// So many members, which have run for long enough to know what is lent.
+    /// Creates members that have been running long enough to know what they lent.
     pub fn new(members: usize, rate: f64, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let clocks = (0..members).map(|_| 0.95 + 0.1 * rng.random::<f64>()).collect();
@@ -78,7 +77,7 @@
         }
     }
 
-    /// Lets time pass, with so many set-ups a second wanted at each member.
+    /// Runs for `duration` milliseconds with `demand` set-ups per second wanted at each member.
     pub fn run(&mut self, duration: f64, demand: &[f64]) {
         let end = self.now + duration;
         while self.now < end {
@@ -91,12 +90,12 @@
                 }
             }
             for (member, &demand) in demand.iter().enumerate() {
-                // As many wait as come in a short while; the rest go elsewhere.
+                // Only as many wait as arrive in a short time; the rest are sent elsewhere.
                 let max = (demand * 0.2).max(2.0);
                 let wanted_before = self.wanted[member];
                 let wanted = wanted_before + demand * 0.005;
                 let arrived = wanted as usize - wanted_before as usize;
-                // Refused, and gone.
+                // Refused and gone.
                 self.wanted[member] = if wanted > max { wanted - 1.0 } else { wanted };
                 if self.stopped[member] {
                     continue;
@@ -121,7 +120,7 @@
         self.acquired_at.iter().filter(|&&at| at > since).count()
     }
 
-    /// The most set-ups in any window since then.
+    /// The most set-ups in any window that ends after `since`.
     pub fn max_in_window(&self, since: f64) -> usize {
         let mut first = 0;
         let mut max = 0;
--- a/fleet/tests/scenarios.rs
+++ b/fleet/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Members of a fleet hold one limit together while the network between them fails, members die and clocks
-//! differ.
+//! Members of a fleet keep one limit together while the network between them fails, members restart and
+//! clocks differ.
 
 mod network;
 
@@ -22,7 +22,7 @@
         network.run(8000.0, &demand);
         let start = network.now;
         network.run(10_000.0, &demand);
-        // Rests are longer by what clocks may differ, a twentieth.
+        // Cool-downs are longer by the maximum drift of the clocks, a twentieth.
         let share = network.acquired_since(start) as f64 / (10.0 * rate);
         assert!(share > 0.8, "member {hot}: {share}");
     }
@@ -46,13 +46,13 @@
     network.run(60_000.0, &[1.0; 20]);
     assert!(network.max_in_window(0.0) <= 4, "{}", network.max_in_window(0.0));
     let without_loan = network.members.iter_mut().filter(|member| member.counts().borrowed == 0).count();
-    // Sixteen have no part of their own.
+    // Sixteen members own no permit.
     let counts: Vec<_> = network
         .members
         .iter()
         .map(|member| (member.counts().requested, member.counts().lent, member.counts().borrowed))
         .collect();
-    assert!(without_loan <= 4, "{without_loan} of twenty never borrowed any: {counts:?}");
+    assert!(without_loan <= 4, "{without_loan} of twenty members never borrowed a permit: {counts:?}");
 }
 
 #[test]
@@ -69,7 +69,8 @@
     assert!(network.acquired_since(since) > 100);
 }
 
-/// Two members that know one limit of ten, five each; the first has long known what it lent.
+/// Two members with one limit of ten, five permits each; the first has been running long enough to know what
+/// it lent.
 fn pair() -> (Fleet, Fleet, f64) {
     let member = |id, seed| {
         let mut fleet = Fleet::new(id, [1, 2], terms(), seed, 0.0);
@@ -116,10 +117,10 @@
     first.receive(now, 3, &request(1));
     assert_eq!((first.counts().unknown, first.free_permits(now, SERVER)), (1, Some(5)));
     first.receive(now, 3, &wire::encode(7, &[Message::Started]));
-    assert_eq!((first.counts().unknown, first.outgoing()), (2, None), "nor is it answered");
+    assert_eq!((first.counts().unknown, first.outgoing()), (2, None), "a stranger gets no answer");
     assert!(first.try_acquire(now, SERVER) && first.try_acquire(now, SERVER));
     first.receive(now, 2, &request(1));
-    assert_eq!(first.counts().lent, 3, "two rest after use");
+    assert_eq!(first.counts().lent, 3, "two are cooling down after use");
     assert_eq!(first.free_permits(now, SERVER), Some(0));
     for serial in 2..100 {
         first.receive(now, 2, &request(serial));
@@ -135,7 +136,7 @@
     first.set_members([1, 2, 3]);
     first.turn(200.0);
     let (generation, _) =
-        wire::decode(&first.outgoing().expect("it tells that it has started").bytes).expect("its own");
+        wire::decode(&first.outgoing().expect("it announces its start").bytes).expect("its own message");
     let rested = 300.0 + terms().loans.cool_down(WINDOW);
     for (member, sure) in [(2, false), (3, true)] {
         first.receive(300.0, member, &wire::encode(7, &[Message::Cleared { generation: generation + 1 }]));
@@ -155,8 +156,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 40, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Losses, doubling, late letters, cuts one way and both, restarts, stops, clocks that differ and demand
-    /// that moves: no window ever has more than the limit.
+    /// Losses, duplicates, delayed messages, cuts in one or both directions, restarts, stops, differing
+    /// clocks and moving demand: no window ever has more set-ups than the limit.
     #[test]
     fn no_window_exceeds_the_limit_whatever_fails(seed: u64, rate in 3.0f64..60.0, members in 2usize..12) {
         let mut network = Network::new(members, rate, seed);
--- a/frames/src/lib.rs
+++ b/frames/src/lib.rs
@@ -1,33 +1,39 @@
-//! Frames of bytes by length and checksum, without I/O. [`write`] frames a body, [`read`] finds all that are
-//! sound.
+//! Framing of byte strings with length and checksum, without I/O. [`write`] frames a body, [`read`] finds all
+//! valid frames.
 //!
-//! A frame is two bytes of mark, two of length, four of CRC-32 over length and body, and the body. A torn
-//! tail is told as such; after a damaged place reading goes on at the next sound frame, and the place is
-//! told. The mark is no valid UTF-8, so no text in a body can hold a frame, not even where the frame around
-//! it is damaged.
+//! A frame is two magic bytes, two bytes of length, four bytes of CRC-32 over length and body, and the body.
+//! A torn tail is reported as such. After damaged bytes reading goes on at the next valid frame, and the
+//! damage is reported. The magic bytes are not valid UTF-8, so no text in a body can contain a frame, not
+//! even where the frame around it is damaged.
 
 #![forbid(unsafe_code)]
 
+/// First bytes of each frame.
 const MAGIC: [u8; 2] = [0xC7, 0x5D];
+/// Bytes of magic, length and checksum.
 const HEADER_BYTES: usize = 8;
 /// Bytes of the longest body.
 pub const MAX_BODY_BYTES: usize = 4096;
 
-/// A stretch that holds no sound frame.
+/// A range of bytes that holds no valid frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Damage {
+    /// Where the range begins.
     pub offset: usize,
+    /// Length of the range.
     pub bytes: usize,
-    /// At the end, as a crash in the middle of a write leaves it.
+    /// At the end of the input, as a crash during a write leaves it.
     pub torn: bool,
 }
 
-/// What some bytes hold.
+/// What was decoded from the input.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decoded<T> {
+    /// The decoded bodies, in order.
     pub entries: Vec<T>,
+    /// The damaged ranges, in order.
     pub damage: Vec<Damage>,
-    /// Up to where it is sound: what follows is cut before anything is appended.
+    /// End of the last valid frame: what follows is cut off before anything is appended.
     pub valid_bytes: usize,
 }
 
@@ -48,9 +54,13 @@
 ///
 /// # Panics
 ///
-/// Where the body is over [`MAX_BODY_BYTES`]: whoever frames knows how long what it writes can be.
+/// If the body is longer than [`MAX_BODY_BYTES`]: the caller knows how long its bodies can be.
 pub fn write(to: &mut Vec<u8>, body: &[u8]) {
-    assert!(body.len() <= MAX_BODY_BYTES, "a body of {} bytes", body.len());
+    assert!(
+        body.len() <= MAX_BODY_BYTES,
+        "frame body has {} bytes, wanted are at most {MAX_BODY_BYTES}",
+        body.len()
+    );
     let length = (body.len() as u16).to_le_bytes();
     to.extend(MAGIC);
     to.extend(length);
@@ -58,7 +68,7 @@
     to.extend(body);
 }
 
-/// The sound body that begins at the front of some bytes, with its frame's size.
+/// The body of the valid frame at the start of the input, with the size of the frame.
 fn frame(bytes: &[u8]) -> Option<(&[u8], usize)> {
     let (header, remaining) = bytes.split_first_chunk::<HEADER_BYTES>()?;
     let [m0, m1, l0, l1, expected_checksum @ ..] = *header;
@@ -70,7 +80,7 @@
     (checksum([l0, l1], body) == expected_checksum).then_some((body, HEADER_BYTES + length))
 }
 
-/// All that is sound in some bytes. A body that `take` makes nothing of is damage too.
+/// Decodes all valid frames. A body for which `decode` returns `None` counts as damage too.
 pub fn read<T>(bytes: &[u8], decode: impl Fn(&[u8]) -> Option<T>) -> Decoded<T> {
     let mut found = Decoded::default();
     let mut offset = 0;
--- a/gossip/fuzz/fuzz_targets/packets.rs
+++ b/gossip/fuzz/fuzz_targets/packets.rs
@@ -1,6 +1,6 @@
-//! Feeds a member whatever the fuzzer makes of packets: as they come off the wire, and, so that more than the tag is
-//! reached, the same bytes signed and tagged by another member who lies. A panic fails, and so does a byte above the
-//! cap. Run with `cargo fuzz run packets` in `gossip/`.
+//! Feeds a member arbitrary packets: the fuzzer's bytes as they are, and, to get past the tag, the same bytes
+//! signed and tagged by another member that misbehaves. A panic fails, and so does a byte above the cap. Run
+//! with `cargo fuzz run packets` in `gossip/`.
 
 #![no_main]
 
@@ -30,10 +30,10 @@
     let mut sent = 0;
     node.receive(0.0, address(2), data);
     if let Some((packet, _)) = wire::unauthenticated(data) {
-        let liar = secrets(1);
-        let packet = Packet { version: wire::VERSION, from: liar.id(), ..packet };
+        let faulty = secrets(1);
+        let packet = Packet { version: wire::VERSION, from: faulty.id(), ..packet };
         for now in [1.0, 300.0, 999.0] {
-            node.receive(now, address(2), &packet.authenticate(&liar));
+            node.receive(now, address(2), &packet.authenticate(&faulty));
             node.turn(now);
             while let Some(out) = node.outgoing() {
                 sent += out.bytes.len();
--- a/gossip/src/budget.rs
+++ b/gossip/src/budget.rs
@@ -1,34 +1,35 @@
-//! Shares out a hard cap of bytes a second among background work by priority. Nothing in it is about gossip.
+//! Divides a hard cap of bytes per second among background work by priority: a token bucket that knows
+//! nothing about gossip.
 //!
-//! Ask [`Budget::try_spend`] before each piece of work; what is refused waits for a later beat. Any one second,
-//! wherever it begins, holds at most the cap: the bucket holds [`BURST_FRACTION`] of it and fills with less than the
-//! rest, so that packets which bunch up a little on their way do not break it either.
+//! Call [`Budget::try_spend`] before each piece of work; refused work waits for a later turn. Any one second,
+//! wherever it begins, holds at most the cap: the bucket holds [`BURST_FRACTION`] of the cap and refills at
+//! less than the remaining rate, so that packets which bunch up a little in transit do not exceed it either.
 
-/// The part of the cap that can be spent at once.
+/// Fraction of the cap that can be spent at once.
 const BURST_FRACTION: f64 = 0.2;
-/// The part of the cap that comes in each second. With the burst it makes up 0.95 of the cap: what is sent
-/// within 1.07 s may be seen within one.
+/// Fraction of the cap that is refilled per second. With the burst it makes 0.95 of the cap: bytes sent
+/// within 1.07 s may arrive within one.
 const FILL_FRACTION: f64 = 0.75;
 
-/// What the work is for; the first goes first. Each may only spend while so much of the bucket is left, so
-/// that the less urgent cannot starve the more urgent.
+/// What the work is for, most urgent first. Each priority may spend only while a given fraction of the bucket
+/// is left, so that less urgent work cannot starve more urgent work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Answers that somebody waits for.
+    /// Answers that a peer waits for.
     Answer,
-    /// What changes a decision here or at one other.
+    /// Updates that change a decision here or at one other member.
     Update,
-    /// The regular look at others, which carries news along. Behind what only spreads news it starved while
-    /// much was new.
+    /// Regular probes, which also carry updates. With a lower priority than [`Priority::Spread`] they starved
+    /// while there were many updates.
     Probe,
-    /// News pushed to any others.
+    /// Updates pushed to random members.
     Spread,
-    /// What repairs losses over a longer time.
+    /// Repair of losses over a longer time.
     Repair,
 }
 
 impl Priority {
-    /// The part of a full bucket that must be left for more urgent work.
+    /// Fraction of a full bucket that must be left for more urgent work.
     fn reserve(self) -> f64 {
         match self {
             Self::Answer => 0.0,
@@ -40,7 +41,7 @@
     }
 }
 
-/// A bucket of bytes.
+/// A token bucket of bytes.
 #[derive(Clone, Debug)]
 pub struct Budget {
     bytes_per_second: f64,
@@ -50,7 +51,7 @@
 }
 
 impl Budget {
-    /// `cap` is in bytes a second.
+    /// Creates a full bucket; `bytes_per_second` is the cap.
     pub fn new(bytes_per_second: f64, now: f64) -> Self {
         Self { bytes_per_second, level: bytes_per_second * BURST_FRACTION, refilled_at: now, refused: 0 }
     }
@@ -62,7 +63,7 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Takes so many bytes, or none.
+    /// Spends the bytes if enough are left for this priority, else none. Returns whether they were spent.
     pub fn try_spend(&mut self, now: f64, bytes: usize, priority: Priority) -> bool {
         self.refill(now);
         let remaining = self.level - bytes as f64;
--- a/gossip/src/channel.rs
+++ b/gossip/src/channel.rs
@@ -1,8 +1,8 @@
-//! Signed packets between two that are not members of one gossip: the same form and keys, with words of other
-//! subsystems alone and nothing carried along.
+//! Authenticated packets between two processes that are not members of the same gossip: the same encoding and
+//! keys, with only other subsystems' payloads and nothing piggybacked.
 //!
-//! [`Channel::authenticate`] and [`Channel::verify`] are the two ways. Memory is bounded by the roster: one replay
-//! window for each that is named there.
+//! [`Channel::authenticate`] encodes and [`Channel::verify`] decodes. Memory is bounded by the roster: one
+//! replay window for each member on it.
 
 use std::collections::BTreeMap;
 
@@ -12,32 +12,32 @@
 use crate::node::ReplayWindow;
 use crate::wire::{self, DropReason, MAX_DATAGRAM_BYTES, Message, Packet, Subsystem};
 
-/// Bytes of the longest words that a packet has room for.
+/// Bytes of the longest payload that fits one packet.
 pub const MAX_PAYLOAD_BYTES: usize = 1_000;
 
-/// What was sent, taken and dropped.
+/// Packets sent, received and dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChannelCounts {
     pub sent: u64,
     pub sent_bytes: u64,
     pub received: u64,
     pub received_bytes: u64,
-    /// Not of the form of a packet, or longer than any.
+    /// Not a well-formed packet, or longer than any.
     pub malformed: u64,
-    /// Of a version that is not known.
+    /// Of an unknown version.
     pub version: u64,
-    /// Without the fleet's tag.
+    /// Not tagged with a fleet key.
     pub untagged: u64,
-    /// By nobody of the roster, or not signed by whom they name.
+    /// From a sender that is not on the roster or did not sign the packet.
     pub forged: u64,
-    /// Seen before, or of an earlier incarnation.
+    /// Already seen, or of an earlier incarnation.
     pub replayed: u64,
-    /// Packets of gossip, or words longer than [`MAX_PAYLOAD_BYTES`].
+    /// Own packets, gossip messages, or payloads longer than [`MAX_PAYLOAD_BYTES`].
     #[serde(rename = "stray")]
     pub unexpected: u64,
 }
 
-/// A payload that came, with who sent it.
+/// A received payload, with its sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Received {
     pub from: Id,
@@ -45,7 +45,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// One end: its keys, and what it has seen of others.
+/// One end of a channel: its keys, and what it has seen of others.
 pub struct Channel {
     secrets: Secrets,
     roster: Roster,
@@ -56,8 +56,8 @@
 }
 
 impl Channel {
-    /// `unix` is the wall clock in milliseconds: it orders this end's incarnations, so that packets of an
-    /// earlier one are not taken again.
+    /// `wall_clock_ms` is Unix time in milliseconds. It orders this end's incarnations, so that packets of an
+    /// earlier one are not accepted again.
     pub fn new(secrets: Secrets, roster: Roster, wall_clock_ms: f64) -> Self {
         Self {
             secrets,
@@ -69,20 +69,23 @@
         }
     }
 
+    /// This end's id.
     pub fn id(&self) -> Id {
         self.secrets.id()
     }
 
+    /// The current roster.
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
 
+    /// The counters since the start.
     pub fn counts(&self) -> ChannelCounts {
         self.counts
     }
 
-    /// Goes on with other keys, as in a rotation. Its own key must be the same; whoever is no more in the
-    /// roster is forgotten.
+    /// Replaces the keys and the roster, as in a key rotation. The own key must be the same; members that are
+    /// no longer on the roster are forgotten.
     pub fn rekey(&mut self, secrets: Secrets, roster: Roster) {
         if secrets.id() != self.id() {
             return;
@@ -91,7 +94,7 @@
         (self.secrets, self.roster) = (secrets, roster);
     }
 
-    /// The datagram that carries some words. Nothing where they are longer than [`MAX_PAYLOAD_BYTES`].
+    /// The datagram that carries the payload, or `None` if it is longer than [`MAX_PAYLOAD_BYTES`].
     pub fn authenticate(&mut self, subsystem: Subsystem, bytes: Vec<u8>) -> Option<Vec<u8>> {
         if bytes.len() > MAX_PAYLOAD_BYTES {
             return None;
@@ -113,12 +116,12 @@
         Some(datagram)
     }
 
-    /// Who a datagram names as its sender. Nothing of it is proved: only to find out whom it is for.
+    /// The sender that a datagram names, not authenticated: only to find out whom the datagram is for.
     pub fn sender(datagram: &[u8]) -> Option<Id> {
         wire::sender(datagram)
     }
 
-    /// A datagram came. Anything may stand in it; gives the words of one that is proved and new.
+    /// Verifies an untrusted datagram and returns its payload if it is authentic and new.
     pub fn verify(&mut self, datagram: &[u8]) -> Option<Received> {
         self.counts.received_bytes += datagram.len() as u64;
         let packet = match wire::verify(datagram, &self.secrets, &self.roster) {
--- a/gossip/src/evidence.rs
+++ b/gossip/src/evidence.rs
@@ -1,41 +1,44 @@
-//! What this proxy itself has seen of servers, and may say. No I/O.
+//! What this proxy itself observed of servers, and the claims that it may make. No I/O.
 //!
-//! Tell it of each shot and each answer; [`Evidence::claims`] gives what is worth saying: servers whose shots
-//! go unanswered, and answers of servers that somebody accuses.
+//! It is told of each attempt and each answer. [`Evidence::claims`] returns the claims worth making: servers
+//! that leave attempts unanswered, and answers of servers that other members accuse.
 
 use std::collections::BTreeMap;
 
 use crate::wire::{Claim, ClaimKind, Generation, MAX_CLAIMS};
 
-/// A shot without any answer is a ground after this many resend gaps: two copies have gone out by then, and a
-/// server that is merely jammed has mostly answered.
+/// Resend intervals after which an unanswered attempt supports an accusation: two copies have been sent by
+/// then, and a server that is merely overloaded has mostly answered.
 const SILENT_AFTER_RESENDS: f64 = 3.0;
-/// And no more after so many, counted from the last shot.
+/// Resend intervals after the last attempt when the accusation expires.
 const EXPIRY_RESENDS: f64 = 40.0;
 
+/// What was observed of one generation of a server.
 #[derive(Clone, Copy, Debug)]
 struct ServerHistory {
-    /// When the oldest shot was sent that nothing has been heard since, and how many.
+    /// When the oldest attempt was sent after which nothing has been heard, and how many attempts there were
+    /// since.
     unanswered: Option<(f64, u16)>,
     last_attempt_at: f64,
     last_answer_at: Option<f64>,
 }
 
-/// Own evidence, by generation of a server.
+/// Observations by generation of a server.
 #[derive(Clone, Debug)]
 pub struct Evidence {
     servers: BTreeMap<Generation, ServerHistory>,
     resend_interval: f64,
-    /// An own stall until then is no fault of a server's.
+    /// Until then this proxy itself was stalled, so missing answers do not count against servers.
     stalled_until: f64,
 }
 
 impl Evidence {
-    /// `resend` is the gap after which an unanswered set-up is sent again.
+    /// `resend_interval` is the time after which an unanswered set-up is sent again, in milliseconds.
     pub fn new(resend_interval: f64) -> Self {
         Self { servers: BTreeMap::new(), resend_interval, stalled_until: f64::NEG_INFINITY }
     }
 
+    /// An attempt was sent to the server.
     pub fn attempt_sent(&mut self, now: f64, generation: Generation) {
         let history = self.servers.entry(generation).or_insert(ServerHistory {
             unanswered: None,
@@ -47,7 +50,7 @@
         history.last_attempt_at = now;
     }
 
-    /// A shot was called off before it could be a ground, as when its caller left.
+    /// An attempt was cancelled before it could support an accusation, as when its caller hung up.
     pub fn attempt_cancelled(&mut self, generation: Generation) {
         if let Some(history) = self.servers.get_mut(&generation)
             && let Some((_, attempts)) = &mut history.unanswered
@@ -59,7 +62,7 @@
         }
     }
 
-    /// Any answer proves it alive: stands, refuses, reports.
+    /// Any answer proves that the server is alive: an accepted or refused call, or a report.
     pub fn answered(&mut self, now: f64, generation: Generation) {
         let history = self.servers.entry(generation).or_insert(ServerHistory {
             unanswered: None,
@@ -70,17 +73,18 @@
         history.last_answer_at = Some(now);
     }
 
-    /// This proxy had no turn until now: what waited may have been answered meanwhile.
+    /// This proxy had no turn until now: waiting attempts may have been answered meanwhile.
     pub fn stalled(&mut self, now: f64) {
         self.stalled_until = now;
     }
 
-    /// The list says that it is gone, or has started anew.
+    /// The server list says that this generation is gone or was replaced.
     pub fn forget(&mut self, generation: Generation) {
         self.servers.remove(&generation);
     }
 
-    /// An accusation ages: it is withdrawn a while after the last shot that it rests on.
+    /// The unanswered attempts, if they support an accusation. It expires a while after the last attempt that
+    /// it is based on.
     fn silent(&self, now: f64, history: &ServerHistory) -> Option<(f64, u16)> {
         let is_old_enough =
             |since: f64| now - since.max(self.stalled_until) >= SILENT_AFTER_RESENDS * self.resend_interval;
@@ -89,12 +93,13 @@
         })
     }
 
-    /// When this proxy last heard from it.
+    /// When this proxy last heard from the server.
     pub fn last_answer(&self, generation: Generation) -> Option<f64> {
         self.servers.get(&generation)?.last_answer_at
     }
 
-    /// What to say now; `accused` tells since when a server is accused by others. Silence goes first.
+    /// The claims to make now, silent servers first. `accused_since` tells since when other members accuse a
+    /// server; answers older than `window` milliseconds are not claimed.
     pub fn claims(
         &self,
         now: f64,
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -1,12 +1,13 @@
-//! Gossip between border proxies, without I/O.
+//! Membership, failure detection and server suspicions among border proxies, without I/O.
 //!
-//! [`Node`] is handed datagrams, the time and what its proxy saw of servers; it hands back datagrams, never
-//! more bytes a second than its cap, and says which servers to suspect. [`members`] is who is there,
-//! [`statements`] what each says and what to believe of it, [`evidence`] what this proxy itself may say,
-//! [`budget`] shares out the bytes, [`channel`] carries words to those outside the gossip, [`keys`] proves who
-//! spoke, [`wire`] is the form. docs/gossip.md weighs the ways.
+//! [`Node`] is handed datagrams, the time and what its proxy observed of servers. It hands back datagrams,
+//! never more bytes per second than its cap, and says which servers to suspect. [`members`] tracks the
+//! members, [`statements`] holds what each of them states and decides what to believe, [`evidence`] collects
+//! what this proxy observed itself, [`budget`] divides the bytes, [`channel`] carries payloads to processes
+//! that do not gossip, [`keys`] authenticates members and [`wire`] is the encoding. docs/gossip.md compares
+//! the alternatives.
 //!
-//! Times are milliseconds on the proxy's clock, which only goes forward.
+//! Times are milliseconds on the proxy's monotonic clock.
 
 #![forbid(unsafe_code)]
 
--- a/gossip/src/members.rs
+++ b/gossip/src/members.rs
@@ -1,10 +1,10 @@
-//! Who is there: SWIM with Lifeguard's lessons, without I/O.
+//! The member list: SWIM with the Lifeguard extensions, without I/O.
 //!
-//! A member is looked at in turn; one that answers neither directly nor through helpers is suspected, and
-//! dead when it does not speak up in time. Only a member itself can raise its incarnation, so that no rumour
-//! brings back the dead and none kills for good: [`merge_states`] is the whole of the merge, and any order, loss or
-//! doubling of the same rumours gives the same view. A member that finds itself slow waits longer before it
-//! doubts others.
+//! Members are probed in turn. A member that answers neither directly nor through helpers becomes suspect,
+//! and dead when it does not refute the suspicion in time. Only a member itself can raise its incarnation, so
+//! no rumour can revive a dead member or kill one for good. [`merge_states`] is the whole merge rule: any
+//! order, loss or duplication of the same rumours gives the same view. A member that is itself slow waits
+//! longer before it suspects others.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,18 +15,19 @@
 use crate::keys::Id;
 use crate::wire::{MemberState, Rumour};
 
-/// How slow a member can find itself: waits grow up to so many times.
+/// Upper bound of a member's own health score: it multiplies timeouts by up to 1 plus this.
 const MAX_HEALTH_SCORE: u32 = 8;
-/// A rumour is passed on this many times, times the logarithm of the members.
+/// Each rumour is sent this many times, times the logarithm of the fleet's size.
 const TRANSMIT_MULTIPLIER: f64 = 1.0;
-/// A suspect has so many beats to speak up, times the logarithm of the members.
+/// Probe intervals that a suspect has to refute the suspicion, times the logarithm of the fleet's size.
 const SUSPICION_INTERVALS: f64 = 10.0;
 
-/// Which of two words on one member stands: the later incarnation, and in the same the worse state.
+/// Merges two states of one member: the later incarnation wins, and within one incarnation the worse state.
 pub fn merge_states(a: (u64, MemberState), b: (u64, MemberState)) -> (u64, MemberState) {
     a.max(b)
 }
 
+/// What is known of one other member.
 #[derive(Clone, Debug)]
 pub struct Member {
     pub address: SocketAddr,
@@ -36,20 +37,20 @@
     transmissions_left: u32,
 }
 
-/// The view that one member has of all others.
+/// One member's view of all others.
 #[derive(Debug)]
 pub struct Members {
     own_id: Id,
     members: BTreeMap<Id, Member>,
     probe_order: Vec<Id>,
-    /// How slow this member finds itself.
+    /// How slow this member itself is; 0 is healthy (Lifeguard's local health).
     health_score: u32,
     probe_interval: f64,
     max_members: usize,
 }
 
 impl Members {
-    /// `fleet` is how many there may be at the most.
+    /// Creates an empty list; `max_members` is the number of members that the fleet can have.
     pub fn new(own_id: Id, probe_interval: f64, max_members: usize) -> Self {
         Self {
             own_id,
@@ -61,43 +62,46 @@
         }
     }
 
-    /// What is thought of whoever is at the address, if it is no good: told to itself, so that it can refute
-    /// it.
+    /// The rumour about the member at this address, if it is suspect or dead. It is sent to that member so
+    /// that it can refute it.
     pub fn doubt_about(&self, address: SocketAddr) -> Option<Rumour> {
         let mut doubtful =
             self.members.iter().filter(|(_, m)| m.address == address && m.state != MemberState::Alive);
         doubtful.next().map(|(&member, m)| Rumour { member, incarnation: m.incarnation, state: m.state })
     }
 
-    /// Members thought alive, this one included.
+    /// Number of members believed alive or suspect, including this one.
     pub fn alive(&self) -> usize {
         1 + self.members.values().filter(|m| m.state != MemberState::Dead).count()
     }
 
+    /// All other members, in order of their ids.
     pub fn all(&self) -> impl Iterator<Item = (Id, &Member)> {
         self.members.iter().map(|(&id, member)| (id, member))
     }
 
-    /// Forgets all others than those.
+    /// Removes all members for which `is_kept` is false.
     pub fn retain(&mut self, is_kept: impl Fn(Id) -> bool) {
         self.members.retain(|&id, _| is_kept(id));
     }
 
+    /// The member with this id.
     pub fn get(&self, id: Id) -> Option<&Member> {
         self.members.get(&id)
     }
 
-    /// Of the whole fleet: one that has just started knows few, but is to become known to all.
+    /// Logarithm of the whole fleet's size, not of the known members: a member that has just started knows
+    /// few others, but all must learn of it.
     fn log_members(&self) -> f64 {
         (self.max_members as f64 + 1.0).log2()
     }
 
-    /// How often news is passed on, so that it reaches all though some is lost.
+    /// How often each change is sent on, so that it reaches all members despite losses.
     pub fn transmissions(&self) -> u32 {
         (TRANSMIT_MULTIPLIER * self.log_members()).ceil() as u32
     }
 
-    /// The member said this itself, proved by its signature.
+    /// Applies a statement that the member itself signed.
     pub fn apply_statement(
         &mut self,
         now: f64,
@@ -122,7 +126,7 @@
         }
     }
 
-    /// Another's word on a member. True when it is on this one, and has to be refuted.
+    /// Applies another member's rumour. Returns true if it is about this member and must be refuted.
     pub fn apply_rumour(&mut self, now: f64, rumour: Rumour, own_incarnation: u64) -> bool {
         if rumour.member == self.own_id {
             let refute = rumour.state != MemberState::Alive && rumour.incarnation >= own_incarnation;
@@ -132,10 +136,11 @@
             return refute;
         }
         let transmissions = self.transmissions();
-        // Of one that never spoke itself nothing is known, not even where it is.
+        // Nothing is known of a member that never made a statement, not even its address.
         let Some(member) = self.members.get_mut(&rumour.member) else { return false };
         let former = (member.incarnation, member.state);
-        // An incarnation is the member's own to raise: a word on a later one waits until that one speaks.
+        // Only the member itself may raise its incarnation: a rumour of a later one is ignored until the
+        // member's own statement arrives.
         if rumour.incarnation == member.incarnation
             && merge_states(former, (rumour.incarnation, rumour.state)) != former
         {
@@ -144,22 +149,22 @@
         false
     }
 
-    /// An answer came from it: directly or through helpers, it is there.
+    /// The member answered a probe, directly or through helpers.
     pub fn probe_answered(&mut self, now: f64, id: Id) {
         self.health_score = self.health_score.saturating_sub(1);
         self.packet_received(now, id);
     }
 
-    /// It said something, whatever it was.
+    /// A packet arrived from this member, so it is alive.
     pub fn packet_received(&mut self, now: f64, id: Id) {
         if let Some(member) = self.members.get_mut(&id).filter(|member| member.state == MemberState::Suspect)
         {
-            // Its incarnation stands; this member alone takes its own doubt back.
+            // The incarnation is unchanged, so only this member withdraws its own suspicion.
             (member.state, member.changed_at, member.transmissions_left) = (MemberState::Alive, now, 0);
         }
     }
 
-    /// It did not answer, nor through helpers.
+    /// The member answered neither a direct probe nor one through helpers.
     pub fn probe_failed(&mut self, now: f64, id: Id) {
         self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
         let transmissions = self.transmissions();
@@ -169,17 +174,18 @@
         }
     }
 
-    /// This member had no turn for long: it doubts itself, not those whose answers it may have missed.
+    /// This member had no turn for long, so it counts itself as slow instead of suspecting members whose
+    /// answers it may have missed.
     pub fn local_stall(&mut self) {
         self.health_score = MAX_HEALTH_SCORE;
     }
 
-    /// How long an answer is waited for.
+    /// How long to wait for an answer to a probe, in milliseconds.
     pub fn probe_timeout(&self) -> f64 {
         self.probe_interval * f64::from(1 + self.health_score)
     }
 
-    /// Suspects that did not speak up in time are dead.
+    /// Declares dead all suspects that did not refute the suspicion in time.
     pub fn expire_suspects(&mut self, now: f64) {
         let suspicion_timeout =
             SUSPICION_INTERVALS * self.probe_interval * self.log_members() * f64::from(1 + self.health_score);
@@ -192,8 +198,9 @@
         }
     }
 
-    /// The next to look at: all in turn, in an order drawn anew each round. The dead are looked at too, one
-    /// in a while, so that two halves of a fleet that were cut apart find each other again.
+    /// The next member to probe: each in turn, in an order shuffled anew every round. Dead members are
+    /// included in one round out of four on average, so that two partitioned halves of a fleet find each
+    /// other again.
     pub fn next_probe_target(&mut self, rng: &mut impl Rng) -> Option<Id> {
         loop {
             if self.probe_order.is_empty() {
@@ -213,7 +220,7 @@
         }
     }
 
-    /// Some that are thought alive, but not this one.
+    /// Up to `max` random members that are not believed dead, without `except`.
     pub fn random_members(&self, rng: &mut impl Rng, max: usize, except: Option<Id>) -> Vec<Id> {
         let eligible = |(id, m): &(&Id, &Member)| m.state != MemberState::Dead && Some(**id) != except;
         let mut all: Vec<Id> = self.members.iter().filter(eligible).map(|(&id, _)| id).collect();
@@ -221,7 +228,7 @@
         chosen.to_vec()
     }
 
-    /// Rumours to carry along, those passed on least first.
+    /// Up to `max` rumours to piggyback on a packet, those sent least often first.
     pub fn next_rumours(&mut self, max: usize) -> Vec<Rumour> {
         let mut updated: Vec<(u32, Id)> = self
             .members
@@ -233,7 +240,7 @@
         updated.truncate(max);
         let mut rumours = Vec::new();
         for (_, id) in updated {
-            let member = self.members.get_mut(&id).expect("just seen");
+            let member = self.members.get_mut(&id).expect("listed above");
             member.transmissions_left -= 1;
             rumours.push(Rumour { member: id, incarnation: member.incarnation, state: member.state });
         }
--- a/gossip/src/node/mod.rs
+++ b/gossip/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! One member's gossip: what it sends when, within its cap, and what it makes of what comes.
+//! One member's gossip: what it sends when, within its cap, and how it handles what it receives.
 
 mod own_statement;
 mod receive;
@@ -21,61 +21,65 @@
 use crate::wire::{self, Generation, Message, Statement, Subsystem};
 pub(crate) use replay::ReplayWindow;
 
-/// Helpers asked to reach one that does not answer.
+/// Members that are requested to probe a member that does not answer.
 const PROBE_HELPERS: usize = 3;
-/// Authors that are asked for their clocks at once, in a beat, where a server's standing hangs on what they
-/// say.
+/// Authors whose clocks are requested in one probe interval because their statements decide whether a server
+/// is believed silent.
 const CLOCK_REQUESTS: usize = 4;
-/// Others that news is pushed to at each beat.
+/// Random members that updates are pushed to in each probe interval.
 const FANOUT: usize = 2;
-/// A comparison goes out once in so many beats, and names so many authors.
+/// Probe intervals between comparisons of statements with a peer.
 const COMPARE_INTERVALS: u32 = 5;
+/// Authors named in one comparison.
 const DIGESTS_PER_COMPARE: usize = 32;
-/// While some of the roster are not known, a seed is asked again once in so many beats.
+/// Probe intervals between pings to a seed while some members of the roster are not known.
 const SEED_INTERVALS: u32 = 15;
-/// Rumours carried along by one packet.
+/// Rumours piggybacked on one packet.
 const RUMOURS_PER_PACKET: usize = 12;
-/// Unless something changes, a member says again what it says after so many beats, so that it does not age.
+/// Probe intervals after which an unchanged statement is made again, so that it does not become too old.
 const RESTATE_INTERVALS: f64 = 25.0;
-/// An answer is said for accused servers if it is no older than so many beats.
+/// An answer is claimed for an accused server if it is at most this many probe intervals old.
 const VOUCH_INTERVALS: f64 = 50.0;
-/// Statements that may be older than this many beats accuse nobody any more, however late they came.
+/// Statements that may be older than this many probe intervals accuse no server any more, however late they
+/// arrived.
 const MAX_AGE_INTERVALS: f64 = 75.0;
-/// An accusation is believed so many beats after it began at the earliest: it has to reach those who had
-/// answers meanwhile, and their word has to come back.
+/// Probe intervals before an accusation can be believed: it has to reach the members that had answers
+/// meanwhile, and their statements have to come back.
 const BELIEF_DELAY_INTERVALS: f64 = 10.0;
-/// Late by so many beats, the member takes itself for stalled.
+/// A turn that is late by this many probe intervals means that this process itself was stalled.
 const STALL_INTERVALS: f64 = 3.0;
-/// Another generation under this member's own key is told of at most once in so many beats.
+/// Probe intervals between reactions to another process that uses this member's key.
 const CLASH_INTERVALS: f64 = 50.0;
 
-/// Payload that wait for a subsystem; more are dropped, as the network might.
+/// Payloads queued for one subsystem; more are dropped, as the network might.
 const MAX_QUEUED_PAYLOADS: usize = 256;
 
-/// What is agreed for gossip.
+/// Configuration of a member's gossip.
 #[derive(Clone, Debug)]
 pub struct GossipTerms {
-    /// Where this member is heard.
+    /// Address at which this member receives datagrams.
     pub address: SocketAddr,
+    /// Members to contact while few are known.
     pub seeds: Vec<SocketAddr>,
-    /// Bytes a second that are never exceeded.
+    /// Cap of bytes sent in any second.
     pub max_bytes_per_second: f64,
-    /// How often each member looks at another, in milliseconds.
+    /// How often each member probes another, in milliseconds.
     pub probe_interval: f64,
-    /// Of how many members it must be borne that they lie.
+    /// How many members may make false statements without effect.
     pub max_faulty: usize,
-    /// The gap after which an unanswered set-up is sent again, in milliseconds.
+    /// Time after which an unanswered set-up is sent again, in milliseconds.
     pub resend_interval: f64,
 }
 
-/// A datagram to be sent.
+/// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
+    /// Where to send it.
     pub peer: SocketAddr,
     pub bytes: Vec<u8>,
 }
 
-/// What was dropped, and what was done.
+/// What was sent and dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     pub sent_bytes: u64,
@@ -85,22 +89,23 @@
     pub forged: u64,
     pub replayed: u64,
     pub bad_statements: u64,
-    /// Another process speaks with this one's key.
+    /// How often another process was found to use this member's key.
     pub clashes: u64,
 }
 
+/// A ping that waits for its answer.
 struct Ping {
     target: Id,
     deadline: f64,
     sent_at: f64,
     indirect: bool,
-    /// Only its clock is asked for: no answer says nothing of it.
+    /// Only its clock is requested: a missing answer says nothing about the member.
     clock_only: bool,
-    /// Who asked for it, and by which nonce.
+    /// The member that requested this ping, and its nonce.
     on_behalf_of: Option<(SocketAddr, u64)>,
 }
 
-/// One member.
+/// One member of the gossip.
 pub struct Node {
     terms: GossipTerms,
     secrets: Secrets,
@@ -112,9 +117,9 @@
     pub evidence: Evidence,
     budget: Budget,
     incarnation: u64,
-    /// The incarnation that this process began with.
+    /// The incarnation that this process started with.
     generation: u64,
-    /// The clock at which this generation began, which statements count from.
+    /// When this process started; times in statements count from here.
     started_at: f64,
     counter: u64,
     version: u32,
@@ -128,12 +133,12 @@
     leaving: bool,
     last_clash_at: f64,
     counts: Counts,
-    /// Payload to other subsystems, with who said them.
+    /// Payloads for other subsystems, each with its sender.
     payloads: BTreeMap<Subsystem, VecDeque<(Id, Vec<u8>)>>,
 }
 
 impl Node {
-    /// `unix` is the wall clock in milliseconds; it only orders this member's lives.
+    /// `wall_clock_ms` is Unix time in milliseconds; it only orders this member's incarnations.
     pub fn new(
         terms: GossipTerms,
         secrets: Secrets,
@@ -176,31 +181,33 @@
         node
     }
 
+    /// This member's id.
     pub fn id(&self) -> Id {
         self.id
     }
 
-    /// All members of the roster, this one too.
+    /// Ids of all members on the roster, including this one.
     pub fn roster_ids(&self) -> impl Iterator<Item = Id> {
         self.roster.ids()
     }
 
-    /// Where this member is heard.
+    /// Address at which this member receives datagrams.
     pub fn address(&self) -> SocketAddr {
         self.terms.address
     }
 
+    /// This member's current incarnation.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// How often the cap put a send off.
+    /// How often the cap deferred a send.
     pub fn deferred(&self) -> u64 {
         self.budget.refused()
     }
 
-    /// Goes on with other keys, as in a rotation; whoever is no more in the roster is forgotten with all that
-    /// it said. Its own key must be the same: another would be another member.
+    /// Replaces the keys and the roster, as in a key rotation. Members that are no longer on the roster are
+    /// forgotten with their statements. The own key must be the same: another key would be another member.
     pub fn rekey(&mut self, secrets: Secrets, roster: Roster) {
         if secrets.id() != self.id {
             return;
@@ -213,10 +220,12 @@
         (self.secrets, self.roster) = (secrets, roster);
     }
 
+    /// The counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
+    /// The name of a member on the roster.
     pub fn name(&self, id: Id) -> Option<&str> {
         self.roster.name(id)
     }
@@ -226,12 +235,12 @@
         self.send_queue.pop_front()
     }
 
-    /// When [`Node::turn`] is wanted.
+    /// When [`Node::turn`] is to be called next.
     pub fn due(&self) -> f64 {
         self.pending_pings.values().map(|ping| ping.deadline).fold(self.next_probe_at, f64::min)
     }
 
-    /// Servers that are accused, and whether it is believed.
+    /// Accused servers, and whether each is believed silent.
     pub fn accused(&self, now: f64) -> Vec<AccusedServer> {
         let begun_before = now - BELIEF_DELAY_INTERVALS * self.terms.probe_interval;
         self.statements.accused(
@@ -242,12 +251,12 @@
         )
     }
 
-    /// What the members say.
+    /// The latest statements of all members.
     pub fn statements(&self) -> impl Iterator<Item = &Statement> {
         self.statements.iter()
     }
 
-    /// Who says that the server is silent.
+    /// Members that accuse the server of being silent.
     pub fn accusers(&self, generation: Generation) -> Vec<Id> {
         let silent =
             |claim: &wire::Claim| claim.generation == generation && claim.kind == wire::ClaimKind::Silent;
@@ -255,13 +264,14 @@
         self.statements().filter(accuses).map(|statement| statement.author).collect()
     }
 
-    /// Sends another subsystem's words to one member. False where it is not known, or the cap forbids.
+    /// Sends another subsystem's payload to one member. Returns false if the member is not known or the cap
+    /// forbids it.
     pub fn send_payload(&mut self, now: f64, to: Id, subsystem: Subsystem, bytes: Vec<u8>) -> bool {
         let Some(address) = self.members.get(to).map(|member| member.address) else { return false };
         self.send_with(now, address, Message::Payload { subsystem, bytes }, Priority::Update, Vec::new())
     }
 
-    /// The next words that a member said to a subsystem here, with its id.
+    /// The next payload received for a subsystem, with its sender's id.
     pub fn next_payload(&mut self, subsystem: Subsystem) -> Option<(Id, Vec<u8>)> {
         self.payloads.get_mut(&subsystem)?.pop_front()
     }
--- a/gossip/src/node/own_statement.rs
+++ b/gossip/src/node/own_statement.rs
@@ -1,4 +1,4 @@
-//! What this member itself says, and when it says it anew.
+//! This member's own statement, and when it is made again.
 
 use super::{FANOUT, Node, PROBE_HELPERS, RESTATE_INTERVALS, VOUCH_INTERVALS};
 use crate::budget::Priority;
@@ -6,7 +6,7 @@
 use crate::wire::{self, Generation, Message, SignedStatement, Statement};
 
 impl Node {
-    /// Tells the others that this member goes.
+    /// Announces to other members that this one leaves.
     pub fn leave(&mut self, now: f64) {
         self.leaving = true;
         self.publish_statement(now);
@@ -16,11 +16,11 @@
         }
     }
 
-    /// States anew what this member has to say.
+    /// Makes a new statement with the current claims.
     pub(super) fn publish_statement(&mut self, now: f64) {
         let accused = self.accused(now);
         let since = |generation: Generation| self.vouch_since(&accused, generation);
-        // Evidence is kept on the proxy's clock, statements count from the generation's begin.
+        // Evidence uses the proxy's clock; times in statements count from this process's start.
         let window = VOUCH_INTERVALS * self.terms.probe_interval;
         let mut claims = self.evidence.claims(now, since, window);
         claims.retain(|claim| self.accusation_wanted(&accused, claim));
@@ -45,13 +45,13 @@
         self.statements.record_clock(self.id, self.generation, self.own_clock(now), now, now);
     }
 
-    /// Milliseconds since this generation began.
+    /// Milliseconds since this process started.
     pub(super) fn own_clock(&self, now: f64) -> u32 {
         (now - self.started_at).max(0.0) as u32
     }
 
-    /// Since when the server is accused, if this member's word for it is wanted: as many as outweigh those
-    /// who accuse are enough, and those who spoke up stand by it.
+    /// Since when the server is accused, if this member's vouching is needed: no more members need to vouch
+    /// than it takes to outweigh the accusers, and those who vouched already keep doing so.
     fn vouch_since(&self, accused: &[AccusedServer], generation: Generation) -> Option<f64> {
         let server = accused.iter().find(|server| server.generation == generation)?;
         let already_vouches = self.last_claims.as_ref().is_some_and(|(stated, _)| {
@@ -63,7 +63,7 @@
             .then_some(server.since)
     }
 
-    /// Whether one more accusation is of use: a whole fleet's would only fill the cap.
+    /// Whether one more accusation is useful: accusations by the whole fleet would only use up the cap.
     fn accusation_wanted(&self, accused: &[AccusedServer], claim: &wire::Claim) -> bool {
         let stated = |(stated, _): &(Vec<wire::Claim>, f64)| {
             stated.iter().any(|previous| {
@@ -79,10 +79,10 @@
                 .is_none_or(|server| server.accusers < enough)
     }
 
-    /// Whether what it has to say is another than what it said.
+    /// Whether the claims differ from those last stated, or are due to be stated again.
     pub(super) fn claims_changed(&self, now: f64) -> bool {
         let Some((stated, stated_at)) = &self.last_claims else { return true };
-        // Who accuses nobody is known to be there by being looked at.
+        // A member without claims needs no repetition: probes show that it is alive.
         if !stated.is_empty() && now - stated_at >= RESTATE_INTERVALS * self.terms.probe_interval {
             return true;
         }
--- a/gossip/src/node/receive.rs
+++ b/gossip/src/node/receive.rs
@@ -1,4 +1,4 @@
-//! Packets in: dropped, taken, answered.
+//! Incoming packets: verification, merging and answers.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use crate::wire::{self, DropReason, Message, Packet, SignedStatement, Statement};
 
 impl Node {
-    /// A datagram came. Anything may stand in it.
+    /// Handles an untrusted datagram.
     pub fn receive(&mut self, now: f64, from: SocketAddr, datagram: &[u8]) {
         let packet = match wire::verify(datagram, &self.secrets, &self.roster) {
             Ok(packet) => packet,
@@ -32,7 +32,7 @@
         }
         self.members.packet_received(now, packet.from);
         for signed in &packet.statements {
-            // Most are known already: only what would be new is worth the proof.
+            // Most statements are known already, so the signature is verified only for new ones.
             match signed.decode() {
                 Some(known) if !self.statements.is_newer(&known) => {}
                 Some(statement) if signed.is_signed_by_author(&statement, &self.roster) => {
@@ -43,7 +43,7 @@
         }
         for rumour in &packet.rumours {
             if self.members.apply_rumour(now, *rumour, self.incarnation) {
-                // Refuted by speaking up in a later incarnation.
+                // Refutes the rumour with a statement of a later incarnation.
                 self.incarnation = rumour.incarnation.max(self.incarnation) + 1;
                 self.version = 0;
                 self.publish_statement(now);
@@ -54,7 +54,8 @@
 
     fn apply_statement(&mut self, now: f64, statement: Statement, signed: SignedStatement) {
         if statement.author == self.id {
-            // A former generation of its own, or another process with its key: it speaks up after that one.
+            // An earlier process of this member, or another process with its key: this one continues with a
+            // later incarnation.
             let own = (self.incarnation, self.version);
             if (statement.incarnation, statement.version) > own
                 && now - self.last_clash_at > CLASH_INTERVALS * self.terms.probe_interval
@@ -88,13 +89,13 @@
             }
             Message::Ack { nonce, member, generation, clock } => {
                 let Some(ping) = self.pending_pings.get(&nonce) else { return };
-                // Only it can answer for itself, unless helpers were asked.
+                // Only the member may answer for itself, unless helpers were asked.
                 if member != ping.target || (packet.from != member && !ping.indirect) {
                     return;
                 }
-                let ping = self.pending_pings.remove(&nonce).expect("just seen");
+                let ping = self.pending_pings.remove(&nonce).expect("looked up above");
                 self.members.probe_answered(now, member);
-                // A helper could say what it likes of another's clock.
+                // A helper could report any clock for another member.
                 if packet.from == member {
                     self.statements.record_clock(member, generation, clock, ping.sent_at, now);
                 }
--- a/gossip/src/node/replay.rs
+++ b/gossip/src/node/replay.rs
@@ -1,6 +1,6 @@
-//! Which of a peer's packets have been seen.
+//! Replay protection for the packets of one peer.
 
-/// Which of a peer's packets have been seen: the highest counter, and the 64 before it.
+/// Which of a peer's packets have been seen: the highest counter and the 64 counters up to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ReplayWindow {
     incarnation: u64,
@@ -9,6 +9,7 @@
 }
 
 impl ReplayWindow {
+    /// Whether the packet is new; marks it as seen. Packets more than 63 behind the highest are refused.
     pub(crate) fn admit(&mut self, incarnation: u64, counter: u64) -> bool {
         if incarnation < self.incarnation {
             return false;
--- a/gossip/src/node/send.rs
+++ b/gossip/src/node/send.rs
@@ -1,4 +1,4 @@
-//! Packets out, each within the cap.
+//! Outgoing packets, each within the cap.
 
 use std::net::SocketAddr;
 
@@ -8,12 +8,14 @@
 use crate::wire::{self, MAX_DATAGRAM_BYTES, Message, Packet};
 
 impl Node {
+    /// Sends a message to a known member.
     pub(super) fn send(&mut self, now: f64, to: Id, message: Message, priority: Priority) -> bool {
         let Some(address) = self.members.get(to).map(|member| member.address) else { return false };
         self.send_to(now, address, message, priority)
     }
 
-    /// Sends, with as much news as fits, unless the cap forbids.
+    /// Sends a message with as many pending statements as fit, unless the cap forbids it. Returns whether it
+    /// was sent.
     pub(super) fn send_to(
         &mut self,
         now: f64,
@@ -25,6 +27,7 @@
         self.send_with(now, peer, message, priority, authors)
     }
 
+    /// Sends a message with the statements of these authors.
     pub(super) fn send_with(
         &mut self,
         now: f64,
@@ -38,7 +41,7 @@
         let mut size = Packet::max_overhead(&message, rumours.len());
         let mut carried = Vec::new();
         let mut statements = Vec::new();
-        // Its own statement goes along wherever it may not be known.
+        // The own statement is included where the receiver may not know it.
         let own = [self.id];
         let introduces = matches!(message, Message::Ping { .. });
         for id in own
@@ -64,7 +67,7 @@
             rumours,
             statements,
         };
-        // Asked for at the most it can be, before the dearer sealing.
+        // Charged with the upper bound of the size, before the expensive signing.
         if !self.budget.try_spend(now, size, priority) {
             return false;
         }
--- a/gossip/src/node/turn.rs
+++ b/gossip/src/node/turn.rs
@@ -1,4 +1,4 @@
-//! What falls due: looks at others, news, comparisons.
+//! One turn of the event loop: probes, pushed updates and comparisons that are due.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 use crate::wire::Message;
 
 impl Node {
-    /// Does what has fallen due.
+    /// Does everything that is due.
     pub fn turn(&mut self, now: f64) {
         if now - self.next_probe_at > STALL_INTERVALS * self.terms.probe_interval {
             self.members.local_stall();
@@ -34,6 +34,7 @@
         }
     }
 
+    /// Probes the next member, pushes updates and runs the periodic work.
     fn probe_round(&mut self, now: f64) {
         self.probe_rounds += 1;
         self.members.expire_suspects(now);
@@ -50,7 +51,7 @@
         } else if self.probe_rounds.is_multiple_of(SEED_INTERVALS)
             && self.members.all().count() + 1 < self.roster.len()
         {
-            // Groups that came together by different seeds know nothing of each other until one asks a seed
+            // Groups that formed around different seeds do not know each other until a member pings a seed
             // again.
             if let Some(&seed) = seeds.choose(&mut self.rng) {
                 let nonce = self.rng.random();
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Asks authors for their clocks where it matters how old their words are.
+    /// Requests the clocks of authors whose statements' age decides whether a server is believed silent.
     fn request_clocks(&mut self, now: f64) {
         let max_age = MAX_AGE_INTERVALS * self.terms.probe_interval;
         let authors = self.statements.unproven_authors(now, self.terms.max_faulty, max_age);
@@ -113,7 +114,8 @@
         }
     }
 
-    /// Repairs what loss hid: shows a peer what this member has of some authors, a range after the other.
+    /// Repairs losses: sends a random peer the digests of a range of authors, and goes on with the next range
+    /// next time.
     fn compare_statements(&mut self, now: f64) {
         let Some(&peer) = self.members.random_members(&mut self.rng, 1, None).first() else { return };
         let have = self.statements.digests(self.compare_from, DIGESTS_PER_COMPARE);
@@ -128,6 +130,7 @@
         }
     }
 
+    /// Requests helpers to probe the target, or reports the probe as failed if they were already asked.
     fn ping_timed_out(&mut self, now: f64, nonce: u64) {
         let Some(ping) = self.pending_pings.remove(&nonce) else { return };
         if ping.on_behalf_of.is_some() || ping.clock_only {
--- a/gossip/src/statements.rs
+++ b/gossip/src/statements.rs
@@ -1,41 +1,45 @@
-//! What each member says, and what to believe of it. No I/O.
+//! The statements of all members, and which accusations to believe. No I/O.
 //!
-//! The latest statement of each author counts, by incarnation and version: whatever order, loss or doubling
-//! statements come in, two stores that have seen the same ones hold the same ([`Statements::merge`]).
+//! The latest statement of each author counts, by incarnation and version. In whatever order statements
+//! arrive, lost or duplicated, two stores that have seen the same ones have the same content
+//! ([`Statements::merge`]).
 //!
-//! **Believing.** A server's generation is believed silent when more members accuse it than `liars` and all those
-//! together that had an answer after the first `liars + 1` accusations had begun. So at most `liars` who lie
-//! cannot get a server shunned unless more honest members accuse it than vouch for it; and they cannot save
-//! one that more than twice as many honest members accuse and none vouches for. docs/gossip.md has the proof.
+//! **Believing.** One generation of a server is believed silent when more members accuse it than `max_faulty`
+//! plus the number of members that had an answer after the first `max_faulty + 1` accusations had begun. So
+//! at most `max_faulty` members that make false statements cannot get a server avoided unless more honest
+//! members accuse it than vouch for it. Nor can they save a server that more than twice as many honest
+//! members accuse and none vouches for. docs/gossip.md has the proof.
 
 use std::collections::BTreeMap;
 
 use crate::keys::Id;
 use crate::wire::{Claim, ClaimKind, Generation, SignedStatement, Statement};
 
-/// An author's clock is known too late by as much as its quickest statement was on its way: milliseconds.
+/// Upper bound in milliseconds of how long an author's quickest statement was in transit: its clock is
+/// estimated late by that much.
 const MAX_TRANSIT_MS: f64 = 1_500.0;
 
-/// A clock that was asked for stands for so many times the longest age of a statement.
+/// An author's answer with its clock stays valid for this many times the maximum age of a statement.
 const CLOCK_PROOF_AGES: f64 = 10.0;
 
 struct StoredStatement {
     statement: Statement,
     signed: SignedStatement,
-    /// The author's clock 0 on this proxy's clock, by the quickest way that any of its statements came: never
-    /// earlier than it was.
+    /// When the author's clock was 0, on this proxy's clock, by the fastest transit of any of its statements:
+    /// never earlier than the true time.
     clock_zero: f64,
-    /// The author's clock 0 at the earliest, and when it was asked: it answered with its clock.
+    /// The earliest time when the author's clock can have been 0, and when its clock was requested. Set once
+    /// the author has answered with its clock.
     clock_proof: Option<(f64, f64)>,
-    /// How often it may still be passed on unasked.
+    /// How often the statement may still be sent unsolicited.
     transmissions_left: u32,
-    /// It takes back what the author's former statement vouched for.
+    /// Withdraws what the author's previous statement vouched for.
     withdraws_vouch: bool,
     received_at: f64,
 }
 
 impl StoredStatement {
-    /// Whether the statement is known to be no older than `aged`, by a clock that was asked for lately
+    /// Whether the statement is proved no older than `max_age`, by a clock that was requested recently
     /// enough.
     fn is_recent(&self, now: f64, max_age: f64) -> bool {
         self.clock_proof.is_some_and(|(earliest, asked)| {
@@ -45,23 +49,25 @@
     }
 }
 
-/// All statements that this member holds.
+/// The latest statement of each member.
 #[derive(Default)]
 pub struct Statements {
     stored: BTreeMap<Id, StoredStatement>,
 }
 
-/// A server's generation that somebody accuses.
+/// One generation of a server that at least one member accuses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AccusedServer {
     pub generation: Generation,
+    /// Members that accuse it.
     pub accusers: usize,
-    /// Those of them whose words are known to be young enough to act.
+    /// Accusers whose statements are proved recent enough to count.
     pub recent_accusers: usize,
     /// Members that had an answer after enough accusations had begun.
     pub vouchers: usize,
-    /// Since when, on this proxy's clock.
+    /// When enough accusations had begun, on this proxy's clock.
     pub since: f64,
+    /// Whether it is believed silent.
     pub believed: bool,
 }
 
@@ -70,14 +76,14 @@
         (statement.incarnation, statement.version)
     }
 
-    /// Whether the statement says more than what is held of its author.
+    /// Whether the statement is newer than the stored one of its author.
     pub fn is_newer(&self, statement: &Statement) -> bool {
         self.stored
             .get(&statement.author)
             .is_none_or(|stored| Self::version_key(statement) > Self::version_key(&stored.statement))
     }
 
-    /// Takes a statement whose signature is proved, if it is newer. Gives whether it was.
+    /// Stores a statement whose signature was verified, if it is newer. Returns whether it was.
     pub fn merge(
         &mut self,
         now: f64,
@@ -97,7 +103,7 @@
             former.statement.claims.iter().any(|claim| claim.kind == ClaimKind::Answering && !stands(claim))
         });
         let same_life = former.filter(|stored| stored.statement.generation == statement.generation);
-        // An author's clock may run slow, or be lied about: what it says of the past is never ahead of now.
+        // An author's clock may run slow or be false: the past that it states is never later than now.
         let clock_zero = same_life.map_or(clock_zero, |stored| stored.clock_zero.min(clock_zero));
         let clock_proof = same_life.and_then(|stored| stored.clock_proof);
         self.stored.insert(
@@ -115,8 +121,8 @@
         true
     }
 
-    /// The author itself, asked at `asked`, has just told its clock: so it is known not only how new, but how
-    /// old what it said can be, whoever passed it on and however late.
+    /// Records the clock that the author itself answered with when asked at `asked`. It bounds not only how
+    /// new but also how old its statement can be, whoever passed it on and however late.
     pub fn record_clock(&mut self, author: Id, generation: u64, clock: u32, asked: f64, now: f64) {
         let stored = self.stored.get_mut(&author).filter(|stored| stored.statement.generation == generation);
         if let Some(stored) = stored {
@@ -125,18 +131,18 @@
         }
     }
 
-    /// Authors whose clocks are to be asked for, since what they say would tell whether a server is believed
-    /// silent, and whether they accuse it.
+    /// Authors whose clocks should be requested because their statements decide whether a server is believed
+    /// silent, each with whether it accuses one.
     pub fn unproven_authors(&self, now: f64, max_faulty: usize, max_age: f64) -> Vec<(Id, bool)> {
         let accused = self.accused(now, max_faulty, max_age, f64::INFINITY);
         let disputed = |generation: Generation| {
             accused.iter().find(|of| of.generation == generation && of.accusers > max_faulty)
         };
-        // Asked anew before it lapses.
+        // Requested again before it expires.
         let asked = |stored: &StoredStatement| {
             stored.clock_proof.is_some_and(|(_, asked)| now - asked < 0.5 * CLOCK_PROOF_AGES * max_age)
         };
-        // Once enough accusations act no more are asked for: each author answers all members.
+        // Once enough accusations count, no more clocks are requested: each author answers all members.
         let accuses = |claim: &Claim| {
             claim.kind == ClaimKind::Silent
                 && disputed(claim.generation).is_some_and(|of| of.recent_accusers <= max_faulty + of.vouchers)
@@ -152,33 +158,39 @@
         unproven
     }
 
+    /// The stored statement of this author.
     pub fn get(&self, author: Id) -> Option<&Statement> {
         self.stored.get(&author).map(|stored| &stored.statement)
     }
 
+    /// The author's statement with its signature, as it was received.
     pub fn signed(&self, author: Id) -> Option<&SignedStatement> {
         self.stored.get(&author).map(|stored| &stored.signed)
     }
 
+    /// Removes the author's statement.
     pub fn forget(&mut self, author: Id) {
         self.stored.remove(&author);
     }
 
+    /// Ids of all authors.
     pub fn ids(&self) -> impl Iterator<Item = Id> {
         self.stored.keys().copied()
     }
 
+    /// All stored statements, in order of their authors' ids.
     pub fn iter(&self) -> impl Iterator<Item = &Statement> {
         self.stored.values().map(|stored| &stored.statement)
     }
 
-    /// What of the authors from `from` on is held, in order of ids: at most so many.
+    /// Up to `max` digests (author, incarnation, version) of the stored statements, in order of ids starting
+    /// at `from`.
     pub fn digests(&self, from: Id, max: usize) -> Vec<(Id, u64, u32)> {
         let stored = self.stored.range(from..).take(max);
         stored.map(|(&id, stored)| (id, stored.statement.incarnation, stored.statement.version)).collect()
     }
 
-    /// Authors from `from` to `to` of whom the peer has nothing, or an older statement.
+    /// Authors from `from` to `to` of whom the peer has no statement or an older one.
     pub fn missing_at_peer(&self, from: Id, to: Id, have: &[(Id, u64, u32)]) -> Vec<Id> {
         if from > to {
             return Vec::new();
@@ -191,7 +203,7 @@
             .collect()
     }
 
-    /// Whether the peer has something that is newer than what is held here.
+    /// Whether the peer has a newer statement than this store.
     pub fn is_behind(&self, have: &[(Id, u64, u32)]) -> bool {
         let stored = |id: &Id| self.stored.get(id).map(|stored| Self::version_key(&stored.statement));
         have.iter().any(|(id, incarnation, version)| {
@@ -199,8 +211,8 @@
         })
     }
 
-    /// Authors whose statements are still to be passed on: accusations of what is not believed yet and
-    /// vouching that is taken back first, then what was passed on least.
+    /// Authors whose statements are still to be sent on: first accusations that are not believed yet and
+    /// withdrawn vouching, then those sent least often.
     pub fn authors_to_send(&self, max_faulty: usize) -> Vec<Id> {
         let believed: Vec<Generation> = self
             .accused(0.0, max_faulty, f64::INFINITY, f64::INFINITY)
@@ -218,17 +230,19 @@
         queue.into_iter().map(|(_, _, id)| id).collect()
     }
 
-    /// The statement was passed on once more.
+    /// Counts one more transmission of the author's statement.
     pub fn mark_transmitted(&mut self, author: Id) {
         if let Some(stored) = self.stored.get_mut(&author) {
             stored.transmissions_left = stored.transmissions_left.saturating_sub(1);
         }
     }
 
-    /// Servers' lives that anybody accuses. `liars` is how many may lie; what came longer than `aged` ago is
-    /// passed over, and no accusation acts that may have been said longer ago (infinity for none).
+    /// All accused servers. `max_faulty` is the number of members that may make false statements. Statements
+    /// received longer than `max_age` ago are ignored, and no accusation counts that may have been made
+    /// longer ago (infinity for no bound).
     ///
-    /// Accusations that began after `ripe` are not believed yet: those who had answers are to be heard first.
+    /// Accusations that began after `begun_before` are not believed yet: members that had answers must be
+    /// heard first.
     pub fn accused(
         &self,
         now: f64,
@@ -251,8 +265,9 @@
         for (generation, (mut begun, recent_accusers)) in begun {
             begun.sort_by(f64::total_cmp);
             let since = begun[max_faulty.min(begun.len() - 1)];
-            // Each voucher itself holds its answer against when the accusations began, as far as it knows,
-            // and takes its word back; until that has come, what it says of the time is checked here.
+            // Each voucher itself compares its answer with the time when the accusations began, as far as it
+            // knows, and withdraws it if it is older. Until that arrives, the time that it states is checked
+            // here.
             let vouches = |stored: &&StoredStatement| {
                 let mut claims = stored.statement.claims.iter();
                 let after =
--- a/gossip/src/wire.rs
+++ b/gossip/src/wire.rs
@@ -1,7 +1,8 @@
-//! The form of datagrams: a packet in postcard's compact encoding, its sender's signature, the fleet's tag.
+//! The encoding of datagrams: a packet in postcard's compact encoding, its sender's signature and the fleet's
+//! tag.
 //!
-//! [`Packet::authenticate`] and [`verify`] are the two ways. What is opened has bounded lists and a sender that is
-//! proved; nothing else of it is.
+//! [`Packet::authenticate`] encodes and [`verify`] decodes. A verified packet has bounded lists and an
+//! authentic sender; nothing else in it is checked.
 
 use std::net::SocketAddr;
 
@@ -10,80 +11,86 @@
 
 use crate::keys::{Id, Roster, SIGNATURE_BYTES, Secrets, TAG_BYTES};
 
+/// Version of the packet format.
 pub const VERSION: u8 = 3;
-/// Bytes of the largest datagram, which fits any path without being cut up.
+/// Bytes of the largest datagram, which fits any path without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// The longest lists.
+/// Maximum number of claims in one statement.
 pub const MAX_CLAIMS: usize = 24;
+/// Maximum number of rumours in one packet.
 const MAX_RUMOURS: usize = 32;
+/// Maximum number of statements in one packet.
 const MAX_STATEMENTS: usize = 16;
+/// Maximum number of digests in one comparison.
 const MAX_DIGESTS: usize = 64;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DropReason {
-    #[error("shorter than any packet")]
+    #[error("datagram is shorter than a signature and a tag")]
     TooShort,
-    #[error("longer than any packet")]
+    #[error("datagram is longer than {MAX_DATAGRAM_BYTES} bytes")]
     TooLong,
-    #[error("not tagged by the fleet")]
+    #[error("tag: not made with a fleet key")]
     InvalidTag,
-    #[error("field version: not known")]
+    #[error("field version: unknown, wanted is {VERSION}")]
     UnknownVersion,
-    #[error("body: not of its form")]
+    #[error("body: not a well-formed packet")]
     Malformed,
-    #[error("field from: no member of the fleet")]
+    #[error("field from: not on the roster")]
     UnknownSender,
-    #[error("signature: not its sender's")]
+    #[error("signature: not made with the sender's key")]
     InvalidSignature,
-    #[error("field counter: seen before")]
+    #[error("field counter: already seen")]
     Replayed,
 }
 
-/// What is claimed of a server.
+/// What a claim says about a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ClaimKind {
-    /// Shots have gone unanswered since.
+    /// Attempts have been unanswered since then.
     Silent,
-    /// A shot was answered then.
+    /// An attempt was answered then.
     Answering,
 }
 
-/// One generation of a server: a hash of its name, and when its process started.
+/// One process of a server: a hash of the server's name, and when the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Generation {
     pub server: u64,
     pub started: u64,
 }
 
+/// What a member observed of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     pub generation: Generation,
     pub kind: ClaimKind,
-    /// On its author's clock, in milliseconds since it began.
+    /// Milliseconds since the author's process started, on its own clock.
     pub observed_at: u32,
-    /// How many shots it rests on.
+    /// Number of attempts that the claim is based on.
     pub attempts: u16,
 }
 
-/// All that a member says at present. A later one replaces it, so that what is no longer in it is withdrawn.
+/// Everything that a member states at present. A later statement replaces it, so claims that it no longer
+/// contains are withdrawn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Statement {
     pub author: Id,
-    /// Grows with each generation of the member, and when it refutes its own death.
+    /// Grows with each start of the member's process, and when the member refutes its own death.
     pub incarnation: u64,
     pub version: u32,
-    /// The incarnation that this process began with: its clock counts from there.
+    /// The incarnation that the author's process started with: its clock counts from that start.
     pub generation: u64,
     pub address: SocketAddr,
-    /// The author's clock when it said this.
+    /// The author's clock when it made the statement, in milliseconds.
     pub clock: u32,
-    /// It is about to go.
+    /// The member is about to leave.
     pub leaving: bool,
     pub claims: Vec<Claim>,
 }
 
-/// A statement as it travels, whoever passes it on.
+/// An encoded statement with its author's signature, as members pass it on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SignedStatement {
     pub body: Vec<u8>,
@@ -91,30 +98,32 @@
 }
 
 impl SignedStatement {
+    /// Encodes and signs a statement.
     pub fn new(statement: &Statement, secrets: &Secrets) -> Self {
         let body = postcard::to_stdvec(statement).expect("plain data");
         let signature = secrets.sign(&body).to_vec();
         Self { body, signature }
     }
 
-    /// The statement, if its lists are bounded; not yet proved to be its author's.
+    /// Decodes the statement if its lists are bounded. The signature is not verified.
     pub fn decode(&self) -> Option<Statement> {
         let (statement, remaining) = postcard::take_from_bytes::<Statement>(&self.body).ok()?;
         (remaining.is_empty() && statement.claims.len() <= MAX_CLAIMS).then_some(statement)
     }
 
-    /// Whether the author said it.
+    /// Whether the statement's author signed it.
     pub fn is_signed_by_author(&self, statement: &Statement, roster: &Roster) -> bool {
         let signature: Option<&[u8; SIGNATURE_BYTES]> = self.signature.as_slice().try_into().ok();
         signature.is_some_and(|signature| roster.verify_signature(statement.author, &self.body, signature))
     }
 
+    /// Upper bound of the encoded size in bytes.
     pub fn size(&self) -> usize {
         self.body.len() + SIGNATURE_BYTES + 4
     }
 }
 
-/// How a member is thought of.
+/// State of a member as another member sees it, from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
     Alive,
@@ -122,7 +131,7 @@
     Dead,
 }
 
-/// A word on a member, by whoever sends the packet.
+/// The state of a member, as reported by the packet's sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rumour {
     pub member: Id,
@@ -130,57 +139,40 @@
     pub state: MemberState,
 }
 
-/// Whose words a packet carries.
+/// The subsystem that a payload belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Subsystem {
     /// Permits of limits that hold for the whole fleet.
     Limits,
-    /// Decisions in one order.
+    /// Messages of the agreement on one order of decisions.
     Agreement,
-    /// What became of conversations, for the council to compare.
+    /// Outcomes of conversations, for the council to compare.
     Evidence,
     /// Decided state by scope, between a control machine and its subscribers.
     State,
 }
 
+/// What a packet asks for, answers or carries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    Ping {
-        nonce: u64,
-    },
-    /// Answers a ping; `of` is who was reached, with its generation and its clock then.
-    Ack {
-        nonce: u64,
-        member: Id,
-        generation: u64,
-        clock: u32,
-    },
-    /// Please ping that one for me.
-    PingRequest {
-        nonce: u64,
-        target: Id,
-    },
-    /// What the sender has of the authors from `from` to `to`: send what is newer. `asks` when the peer may
-    /// show what it has in turn.
-    Compare {
-        from: Id,
-        to: Id,
-        have: Vec<(Id, u64, u32)>,
-        reply_wanted: bool,
-    },
-    /// Nothing but what is carried along.
+    /// Requests an [`Message::Ack`] with the same nonce.
+    Ping { nonce: u64 },
+    /// Answers a ping: the member that was reached, with its generation and its clock at that time.
+    Ack { nonce: u64, member: Id, generation: u64, clock: u32 },
+    /// Requests the receiver to ping the target (SWIM's ping-req).
+    PingRequest { nonce: u64, target: Id },
+    /// What the sender has of the authors from `from` to `to`; the receiver sends what is newer. With
+    /// `reply_wanted` the receiver may answer with its own digests.
+    Compare { from: Id, to: Id, have: Vec<(Id, u64, u32)>, reply_wanted: bool },
+    /// No message: the packet only carries piggybacked rumours and statements.
     PiggybackOnly,
     /// A payload of another subsystem, for the receiver alone.
-    Payload {
-        subsystem: Subsystem,
-        bytes: Vec<u8>,
-    },
-    /// Please answer with your clock, and carry nothing else.
-    ClockRequest {
-        nonce: u64,
-    },
+    Payload { subsystem: Subsystem, bytes: Vec<u8> },
+    /// Requests the receiver's clock; the answer carries no statements.
+    ClockRequest { nonce: u64 },
 }
 
+/// One packet, before it is signed and tagged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
     pub version: u8,
@@ -194,6 +186,7 @@
 }
 
 impl Packet {
+    /// Encodes the packet with its sender's signature and the fleet's tag.
     pub fn authenticate(&self, secrets: &Secrets) -> Vec<u8> {
         let mut bytes = postcard::to_stdvec(self).expect("plain data");
         let signature = secrets.sign(&bytes);
@@ -203,7 +196,7 @@
         bytes
     }
 
-    /// Bytes that a packet with these parts has at the most, beside what it carries.
+    /// Upper bound in bytes of a packet with this message and number of rumours, without its statements.
     pub fn max_overhead(message: &Message, rumours: usize) -> usize {
         let digests = match message {
             Message::Compare { have, .. } => have.len() * 25,
@@ -215,18 +208,19 @@
     }
 }
 
-/// The packet that stands in some bytes, and what follows it; nothing of it is proved, nor its lists bounded.
+/// Decodes a packet and returns it with the bytes that follow. Neither the sender is authenticated nor the
+/// lists are bounded.
 pub fn unauthenticated(bytes: &[u8]) -> Option<(Packet, &[u8])> {
     postcard::take_from_bytes(bytes).ok()
 }
 
-/// Who a datagram names as its sender, by its first bytes; nothing of it is proved.
+/// The sender that a datagram names in its first bytes, not authenticated.
 pub fn sender(datagram: &[u8]) -> Option<Id> {
     let (&VERSION, remaining) = datagram.split_first()? else { return None };
     postcard::take_from_bytes::<Id>(remaining).ok().map(|(id, _)| id)
 }
 
-/// Takes a datagram apart, cheapest check first.
+/// Decodes and authenticates a datagram, cheapest check first.
 pub fn verify(datagram: &[u8], secrets: &Secrets, roster: &Roster) -> Result<Packet, DropReason> {
     if datagram.len() > MAX_DATAGRAM_BYTES {
         return Err(DropReason::TooLong);
--- a/gossip/tests/channel.rs
+++ b/gossip/tests/channel.rs
@@ -1,4 +1,5 @@
-//! Payloads between two ends that do not gossip: what is taken, what is dropped, and that memory is bounded.
+//! Payloads between two processes that do not gossip: what is accepted, what is dropped and counted, and that
+//! no datagram causes a panic.
 
 mod fleet;
 
@@ -53,7 +54,7 @@
     assert_eq!(b.counts().replayed, 1);
 }
 
-/// A datagram that is not taken, and where that is counted.
+/// Each case is a datagram that must be dropped, and the counter that it must raise.
 #[rstest]
 #[case::empty(Vec::new(), |counts: ChannelCounts| counts.malformed)]
 #[case::too_long(vec![3; MAX_DATAGRAM_BYTES + 1], |counts: ChannelCounts| counts.malformed)]
@@ -121,7 +122,7 @@
         let mut b = channel(1, 1e12);
         let mut datagram = datagram;
         if with_valid_tag {
-            // As a member that lies could send it: what stands inside is read.
+            // A faulty member could send this: it gets past the tag and the signature to the decoder.
             datagram.insert(0, wire::VERSION);
             let signature = secrets(0).sign(&datagram);
             datagram.extend(signature);
--- a/gossip/tests/fleet/mod.rs
+++ b/gossip/tests/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet of members and some servers on a virtual clock: datagrams are lost by chance, servers answer or don't.
+//! A fleet of members and some servers on a virtual clock: datagrams are lost at random, servers answer or
+//! stay silent.
 
 #![allow(dead_code)] // each file of tests uses some of it
 
@@ -36,7 +37,7 @@
 pub fn roster(members: usize) -> Roster {
     let names: Vec<String> = (0..members).map(|m| format!("p{m}")).collect();
     let keys = (0..members).map(|m| secrets(m).public_key());
-    Roster::new(names.iter().map(|n| &n[..]).zip(keys)).expect("sound keys")
+    Roster::new(names.iter().map(|n| &n[..]).zip(keys)).expect("valid keys")
 }
 
 pub fn node(member: usize, members: usize, max_faulty: usize, now: f64, wall_clock_ms: f64) -> Node {
@@ -54,13 +55,14 @@
 pub struct Fleet {
     pub nodes: Vec<Option<Node>>,
     pub servers: u64,
-    /// From when on a server is silent.
+    /// Servers that are silent, with the time since when.
     pub silent: BTreeMap<u64, f64>,
-    /// What a liar says: that all servers are silent, or that all answer.
+    /// Faulty members that claim that all servers are silent.
     pub accusers: Vec<usize>,
+    /// Faulty members that claim that all servers answer.
     pub vouchers: Vec<usize>,
     pub loss: f64,
-    /// Members that hear nothing of those on the other side.
+    /// Members below this index and the others cannot reach each other.
     pub cut: Option<usize>,
     pub now: f64,
     pub stalled: BTreeMap<usize, f64>,
@@ -73,7 +75,7 @@
     pub max_bytes_per_second: usize,
     /// When each member first believed a server silent.
     pub believed: BTreeMap<(usize, u64), f64>,
-    /// Shots a second that each member has at each server.
+    /// Attempts per second of each member at each server.
     pub attempts_per_second: f64,
 }
 
@@ -130,7 +132,7 @@
         let due = (now * 1000.0) as u64;
         let arrived = self.in_flight.range(..=(due, u64::MAX)).map(|(&key, _)| key).collect::<Vec<_>>();
         for key in arrived {
-            let (from, to, bytes) = self.in_flight.remove(&key).expect("just seen");
+            let (from, to, bytes) = self.in_flight.remove(&key).expect("listed above");
             if self.stalled.get(&to).is_some_and(|&until| now < until) {
                 let later = (self.stalled[&to] * 1000.0) as u64;
                 self.in_flight.insert((later, key.1), (from, to, bytes));
@@ -189,14 +191,14 @@
         }
     }
 
-    /// Honest members that are there and do not believe the server silent by now.
+    /// Honest running members that have not believed the server silent so far.
     pub fn members_not_believing(&self, server: u64) -> Vec<usize> {
-        let liar = |m: &usize| self.accusers.contains(m) || self.vouchers.contains(m);
-        let there = (0..self.nodes.len()).filter(|&m| self.nodes[m].is_some() && !liar(&m));
-        there.filter(|&m| !self.believed.contains_key(&(m, server))).collect()
+        let faulty = |m: &usize| self.accusers.contains(m) || self.vouchers.contains(m);
+        let running = (0..self.nodes.len()).filter(|&m| self.nodes[m].is_some() && !faulty(&m));
+        running.filter(|&m| !self.believed.contains_key(&(m, server))).collect()
     }
 
-    /// How long after `since` honest members came to believe it: in order.
+    /// Milliseconds after `since` at which members came to believe the server silent, in ascending order.
     pub fn detection_times(&self, server: u64, since: f64) -> Vec<f64> {
         let mut times: Vec<f64> =
             self.believed.iter().filter(|((_, s), _)| *s == server).map(|(_, at)| at - since).collect();
@@ -204,7 +206,7 @@
         times
     }
 
-    /// Members of whom a member thinks that they are there.
+    /// Number of members that this member believes alive.
     pub fn alive(&self, member: usize) -> usize {
         self.nodes[member].as_ref().map_or(0, |node| node.members.alive())
     }
--- a/gossip/tests/scenarios.rs
+++ b/gossip/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Stories of a fleet that gossips: silent servers, liars, losses, partitions, restarts.
+//! Scenarios of a fleet that gossips: silent servers, false statements, losses, partitions and restarts.
 
 mod fleet;
 
@@ -39,25 +39,25 @@
         fleet.max_bytes_per_second
     );
     assert!(times[times.len() - 1] <= 5_000.0, "{times:?}");
-    assert!(fleet.believed.keys().all(|(_, server)| *server == 3), "no healthy one");
+    assert!(fleet.believed.keys().all(|(_, server)| *server == 3), "no healthy server is believed silent");
     assert!(fleet.max_bytes_per_second as f64 <= CAP, "{} bytes in a second", fleet.max_bytes_per_second);
 }
 
 #[rstest]
 #[case::as_many_as_tolerated(2, false)]
 #[case::more_than_tolerated_and_nobody_vouches(3, true)]
-fn false_accusations_are_tolerated_up_to_the_bound(#[case] liars: usize, #[case] believed: bool) {
+fn false_accusations_are_tolerated_up_to_the_bound(#[case] faulty: usize, #[case] believed: bool) {
     let mut fleet = Fleet::new(20, 2, 2, 0.1, 3);
-    fleet.accusers = (0..liars).collect();
-    // Nobody else has anything to do with the servers: nobody can vouch.
+    fleet.accusers = (0..faulty).collect();
+    // No other member sends attempts to the servers, so nobody can vouch.
     fleet.attempts_per_second = 0.0;
     fleet.run(6_000.0);
-    for liar in 0..liars {
+    for member in 0..faulty {
         let now = fleet.now;
-        fleet.nodes[liar].as_mut().expect("there").evidence.attempt_sent(now, generation(0));
+        fleet.nodes[member].as_mut().expect("running").evidence.attempt_sent(now, generation(0));
     }
     fleet.run(6_000.0);
-    assert_eq!(fleet.believed.keys().any(|(m, _)| *m >= liars), believed);
+    assert_eq!(fleet.believed.keys().any(|(m, _)| *m >= faulty), believed);
 }
 
 #[test]
@@ -68,13 +68,14 @@
     fleet.attempts_per_second = 3.0;
     fleet.run(15_000.0);
     let believers = fleet.believed.keys().filter(|(m, _)| *m >= 10).count();
-    // What a member believes for an instant, before the first answers are told, is what is counted here.
+    // Members may believe it for a moment, before the first answers are stated; only what they believe at the
+    // end counts.
     let now: usize = (10..40)
         .map(|m| {
-            fleet.nodes[m].as_ref().expect("there").accused(fleet.now).iter().filter(|a| a.believed).count()
+            fleet.nodes[m].as_ref().expect("running").accused(fleet.now).iter().filter(|a| a.believed).count()
         })
         .sum();
-    assert_eq!(now, 0, "{believers} had believed it for a moment");
+    assert_eq!(now, 0, "{believers} believed it for a moment");
 }
 
 #[test]
@@ -96,7 +97,7 @@
     fleet.silent.clear();
     fleet.run(6_000.0);
     let believers = (0..40)
-        .filter(|&m| fleet.nodes[m].as_ref().expect("there").accused(fleet.now).iter().any(|a| a.believed));
+        .filter(|&m| fleet.nodes[m].as_ref().expect("running").accused(fleet.now).iter().any(|a| a.believed));
     assert_eq!(believers.count(), 0);
 }
 
@@ -120,7 +121,7 @@
     fleet.run(10_000.0);
     fleet.cut = Some(15);
     fleet.run(30_000.0);
-    assert!(fleet.alive(0) < 30, "each half takes the other for dead");
+    assert!(fleet.alive(0) < 30, "each half believes the other dead");
     fleet.cut = None;
     fleet.run(40_000.0);
     let alive: Vec<usize> = (0..30).map(|m| fleet.alive(m)).collect();
@@ -137,13 +138,13 @@
     fleet.nodes[5] = Some(node(5, 20, 1, now, wall_clock_ms));
     fleet.run(15_000.0);
     let heard = |m: usize| {
-        let node = fleet.nodes[m].as_ref().expect("there");
+        let node = fleet.nodes[m].as_ref().expect("running");
         let of = secrets(5).id();
         node.statements().find(|s| s.author == of).map(|s| s.clock)
     };
     assert!(
         heard(0).is_some_and(|clock| f64::from(clock) < 16_000.0),
-        "its new generation's clock: {:?}",
+        "the clock of its new process: {:?}",
         heard(0)
     );
     assert_eq!(fleet.alive(0), 20);
@@ -178,7 +179,8 @@
     (statement, signed)
 }
 
-/// Three members say at 5 s of their clocks that a server is silent; what they say comes at 61 s here.
+/// Three members state at 5 s of their clocks that a server is silent; their statements arrive at 61 s here.
+/// A statement that is held back must not act as if it were new.
 #[rstest]
 #[case::just_stated(Some(5_500), true)]
 #[case::held_back_for_a_minute(Some(60_000), false)]
@@ -195,7 +197,7 @@
     let accused = statements.accused(61_000.0, 2, 15_000.0, f64::INFINITY);
     assert_eq!((accused.len(), accused[0].accusers), (1, 3));
     assert_eq!(accused[0].believed, believed);
-    // And it ends by itself, though nobody takes it back.
+    // The belief also ends by itself, though no accusation is withdrawn.
     assert!(!statements.accused(76_000.0, 2, 15_000.0, f64::INFINITY).iter().any(|of| of.believed));
 }
 
@@ -265,12 +267,12 @@
     assert_eq!(wire::verify(&touched, &own, &all), Err(DropReason::InvalidTag));
     assert_eq!(wire::verify(&packet(8, 1, Vec::new()), &own, &all), Err(DropReason::UnknownSender));
     let other = gossip::keys::Secrets::new(fleet::secret(1), vec![[1; 32]]).expect("a key");
-    assert_eq!(wire::verify(&good, &other, &all), Err(DropReason::InvalidTag), "another fleet's");
+    assert_eq!(wire::verify(&good, &other, &all), Err(DropReason::InvalidTag), "a tag of another fleet");
     let both = gossip::keys::Secrets::new(fleet::secret(1), vec![[1; 32], [9; 32]]).expect("a key");
     assert!(wire::verify(&good, &both, &all).is_ok(), "the old key is accepted during a rotation");
 }
 
-/// All orders of a few rumours on one member, each also doubled: one view.
+/// All orders of a few rumours about one member, each also applied twice, must give one view.
 #[test]
 fn every_order_of_rumours_gives_the_same_view() {
     use MemberState::{Alive, Dead, Suspect};
@@ -351,7 +353,7 @@
 
 #[test]
 fn two_processes_with_one_key_notice_each_other_at_a_bounded_rate() {
-    // The third has the key and the address of the first; what is sent there reaches both.
+    // The third process has the key and the address of the first: datagrams to that address reach both.
     let mut nodes = [node(0, 3, 0, 0.0, 1e12), node(1, 3, 0, 0.0, 1e12), node(0, 3, 0, 0.0, 2e12)];
     let (mut now, duration) = (0.0, 40_000.0);
     while now < duration {
@@ -378,7 +380,7 @@
     let mut fleet = Fleet::new(3, 1, 0, 0.0, 5);
     fleet.silent.insert(0, 0.0);
     fleet.run(5_000.0);
-    let node = fleet.nodes[0].as_mut().expect("there");
+    let node = fleet.nodes[0].as_mut().expect("running");
     assert!(node.statements().any(|s| s.author == secrets(2).id()));
     node.rekey(secrets(0), roster(2));
     assert!(node.statements().all(|s| s.author != secrets(2).id()));
