--- a/fleet/src/fleet.rs
+++ b/fleet/src/fleet.rs
@@ -169,11 +169,11 @@
 
     /// Replaces the members of the fleet. Until all members know the change, no part may grow.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = Id>) {
-        let former = std::mem::replace(&mut self.members, members.into_iter().collect());
+        let previous = std::mem::replace(&mut self.members, members.into_iter().collect());
         self.members.sort_unstable();
         self.members.dedup();
         // A member that has joined may hold a loan of an earlier generation of this one under another roster.
-        let joined = self.members.iter().filter(|&member| former.binary_search(member).is_err());
+        let joined = self.members.iter().filter(|&member| previous.binary_search(member).is_err());
         self.uncleared.extend(joined.filter(|&&member| member != self.id));
         let members = self.members.clone();
         for (&id, limit) in &mut self.limits {
@@ -293,12 +293,12 @@
                 }
                 lenders.sort_unstable();
                 lenders.truncate(LENDERS_PER_REQUEST);
-                let each = (shortfall as usize).div_ceil(lenders.len().max(1));
+                let wanted_per_lender = (shortfall as usize).div_ceil(lenders.len().max(1));
                 // A later loan replaces an earlier one of the same lender, so the request includes the
                 // earlier one.
                 for (_, _, lender) in lenders {
                     requests.retain(|(other, _)| *other != lender);
-                    requests.push((lender, limit.ledger.borrowed_from(lender, now) + each));
+                    requests.push((lender, limit.ledger.borrowed_from(lender, now) + wanted_per_lender));
                 }
             }
             let no_permits = limit.ledger.has_no_permits(now);
@@ -413,13 +413,13 @@
     /// The state of all limits in force.
     pub fn limit_states(&mut self, now: f64) -> Vec<LimitState> {
         let active = self.limits.values_mut().filter(|limit| limit.removed_at.is_none());
-        let state = |limit: &mut Limit| LimitState {
+        let limit_state = |limit: &mut Limit| LimitState {
             name: limit.name.clone(),
             permits: limit.permits,
             window: limit.window,
             ledger: limit.ledger.status(now),
         };
-        active.map(state).collect()
+        active.map(limit_state).collect()
     }
 }
 
--- a/fleet/src/ledger.rs
+++ b/fleet/src/ledger.rs
@@ -315,9 +315,13 @@
         let cooled_down_at =
             self.used.front().into_iter().chain(self.borrowed.values().filter_map(|b| b.used.front()));
         let cooled_down_at = cooled_down_at.map(|at| at + self.cool_down);
-        let sure = [self.started_at + self.cool_down, self.recovered_at];
-        let lapses = self.lent.values().flatten().map(|loan| loan.expires_at + self.cool_down);
-        cooled_down_at.chain(sure).chain(lapses).filter(|&at| at > now).fold(f64::INFINITY, f64::min)
+        let recovery_times = [self.started_at + self.cool_down, self.recovered_at];
+        let expiry_times = self.lent.values().flatten().map(|loan| loan.expires_at + self.cool_down);
+        cooled_down_at
+            .chain(recovery_times)
+            .chain(expiry_times)
+            .filter(|&at| at > now)
+            .fold(f64::INFINITY, f64::min)
     }
 
     /// How many more permits would serve the recent demand with a spare; negative if there are more than
@@ -376,12 +380,12 @@
     /// lender.
     pub fn requests_to_resend(&mut self, now: f64, interval: f64) -> Vec<(Id, u64, usize)> {
         let max_age = 0.5 * self.terms.usable(self.terms.lease);
-        let late = |pending: &&mut PendingRequest| {
+        let is_overdue = |pending: &&mut PendingRequest| {
             now - pending.last_sent_at >= interval && now - pending.requested_at < max_age
         };
         let mut resends = Vec::new();
         for (&lender, pending) in &mut self.pending {
-            if let Some(pending) = Some(pending).filter(late) {
+            if let Some(pending) = Some(pending).filter(is_overdue) {
                 pending.last_sent_at = now;
                 resends.push((lender, pending.serial, pending.want));
             }
@@ -404,14 +408,14 @@
         if let Some(loan) = self.lent.get(&from).and_then(|loans| loans.iter().find(|l| l.serial == serial)) {
             return (loan.count, 0);
         }
-        let others: usize =
+        let lent_to_others: usize =
             self.lent.iter().filter(|(to, _)| **to != from).map(|(_, l)| Self::reserved_for(l)).sum();
-        let keep = self
+        let kept = self
             .floor()
             .max(self.used.len())
             .max(self.usual_demand().min(self.part - self.reserved_for_requesters()));
-        let available = if now >= self.recovered_at { self.part.saturating_sub(keep) } else { 0 };
-        let remaining = available.saturating_sub(others);
+        let available = if now >= self.recovered_at { self.part.saturating_sub(kept) } else { 0 };
+        let remaining = available.saturating_sub(lent_to_others);
         // Permits that many members want are shared evenly, but a loan in use is renewed, because an expired
         // one cools down before another member can have it. Only a member without any permit takes precedence
         // over that.
@@ -426,10 +430,13 @@
         let loans = self.lent.entry(from).or_default();
         let has = Self::reserved_for(loans);
         let is_renewal = has > 0;
-        let even = if no_permits_short == 0 { share.max(has) } else { share };
-        let is_turn = no_permits_short == 0 || !is_renewal || share < available;
-        let count =
-            if is_turn && loans.len() < MAX_LOANS_PER_BORROWER { want.min(remaining).min(even) } else { 0 };
+        let even_share = if no_permits_short == 0 { share.max(has) } else { share };
+        let may_lend = no_permits_short == 0 || !is_renewal || share < available;
+        let count = if may_lend && loans.len() < MAX_LOANS_PER_BORROWER {
+            want.min(remaining).min(even_share)
+        } else {
+            0
+        };
         if count > 0 {
             let expires_at = now + self.terms.lease;
             // Loans that end earlier and are not larger are covered by the new one.
--- a/fleet/tests/limit_sum.rs
+++ b/fleet/tests/limit_sum.rs
@@ -41,7 +41,7 @@
     /// The first message is held back: delivered after all others, perhaps after its lease.
     Delay,
     Lose,
-    Double,
+    Duplicate,
     GiveBack(usize),
     Acquire(usize),
     /// Killed and started again at once. A pause needs no step: it is a member that takes no steps.
@@ -55,7 +55,7 @@
     Step::Deliver,
     Step::Delay,
     Step::Lose,
-    Step::Double,
+    Step::Duplicate,
     Step::GiveBack(1),
     Step::Acquire(0),
     Step::Acquire(1),
@@ -107,10 +107,10 @@
         cluster
     }
 
-    fn ledger(&self, member: usize, began: f64) -> Ledger {
+    fn ledger(&self, member: usize, started_at: f64) -> Ledger {
         let drift = if self.fault == Fault::NoMargin { 0.0 } else { 0.1 };
         let terms = LoanTerms { lease: LEASE, drift, spread: 0.0, floor: 0.0 };
-        let mut ledger = Ledger::new(terms, WINDOW, began, 1000 * self.generations[member]);
+        let mut ledger = Ledger::new(terms, WINDOW, started_at, 1000 * self.generations[member]);
         ledger.set_part(if member == 0 { PERMITS } else { 0 });
         ledger
     }
@@ -133,7 +133,7 @@
                 }
                 self.messages.push(Message::Request { from: i, generation: self.generations[i], serial });
             }
-            Step::Deliver | Step::Lose | Step::Double | Step::Delay if self.messages.is_empty() => {
+            Step::Deliver | Step::Lose | Step::Duplicate | Step::Delay if self.messages.is_empty() => {
                 return (false, true);
             }
             Step::Delay if self.messages.len() < 2 => return (false, true),
@@ -143,7 +143,7 @@
             }
             Step::Delay => self.messages.rotate_left(1),
             Step::Lose => drop(self.messages.remove(0)),
-            Step::Double => self.messages.push(self.messages[0].clone()),
+            Step::Duplicate => self.messages.push(self.messages[0].clone()),
             Step::GiveBack(i) => {
                 let now = self.clock(i);
                 // The end of a loan that expired and cooled down is reported in the same way.
@@ -169,15 +169,15 @@
             Step::Restart(i) => {
                 self.generations[i] += 1;
                 let waits = self.fault != Fault::NoRecoveryWait;
-                let began = if waits { self.clock(i) } else { f64::NEG_INFINITY };
-                self.members[i] = self.ledger(i, began);
+                let started_at = if waits { self.clock(i) } else { f64::NEG_INFINITY };
+                self.members[i] = self.ledger(i, started_at);
                 if i == 0 {
                     self.cleared = [true, false, false];
                     let generation = self.generations[0];
                     self.messages.extend([2, 1].map(|to| Message::Started { to, generation }));
                 }
             }
-            Step::Wait(span) => self.now += span,
+            Step::Wait(duration) => self.now += duration,
         }
         (true, true)
     }
--- a/fleet/tests/scenarios.rs
+++ b/fleet/tests/scenarios.rs
@@ -137,12 +137,12 @@
     first.turn(200.0);
     let (generation, _) =
         wire::decode(&first.outgoing().expect("it announces its start").bytes).expect("its own message");
-    let rested = 300.0 + terms().loans.cool_down(WINDOW);
-    for (member, sure) in [(2, false), (3, true)] {
+    let cooled_down = 300.0 + terms().loans.cool_down(WINDOW);
+    for (member, recovered) in [(2, false), (3, true)] {
         first.receive(300.0, member, &wire::encode(7, &[Message::Cleared { generation: generation + 1 }]));
-        assert!(!first.is_recovered(rested, SERVER), "meant for another process");
+        assert!(!first.is_recovered(cooled_down, SERVER), "meant for another process");
         first.receive(300.0, member, &wire::encode(7, &[Message::Cleared { generation }]));
-        assert_eq!(first.is_recovered(rested, SERVER), sure);
+        assert_eq!(first.is_recovered(cooled_down, SERVER), recovered);
     }
 }
 
--- a/frames/src/lib.rs
+++ b/frames/src/lib.rs
@@ -1,4 +1,4 @@
-//! Framing of byte strings with length and checksum, without I/O. [`write`] frames a body, [`read`] finds all
+//! Framing of byte strings with length and checksum, without I/O. [`write()`] frames a body, [`read`] finds all
 //! valid frames.
 //!
 //! A frame is two magic bytes, two bytes of length, four bytes of CRC-32 over length and body, and the body.
--- a/gossip/src/budget.rs
+++ b/gossip/src/budget.rs
@@ -2,7 +2,7 @@
 //! nothing about gossip.
 //!
 //! Call [`Budget::try_spend`] before each piece of work; refused work waits for a later turn. Any one second,
-//! wherever it begins, holds at most the cap: the bucket holds [`BURST_FRACTION`] of the cap and refills at
+//! wherever it begins, holds at most the cap: the bucket holds `BURST_FRACTION` of the cap and refills at
 //! less than the remaining rate, so that packets which bunch up a little in transit do not exceed it either.
 
 /// Fraction of the cap that can be spent at once.
--- a/gossip/src/members.rs
+++ b/gossip/src/members.rs
@@ -138,11 +138,11 @@
         let transmissions = self.transmissions();
         // Nothing is known of a member that never made a statement, not even its address.
         let Some(member) = self.members.get_mut(&rumour.member) else { return false };
-        let former = (member.incarnation, member.state);
+        let previous = (member.incarnation, member.state);
         // Only the member itself may raise its incarnation: a rumour of a later one is ignored until the
         // member's own statement arrives.
         if rumour.incarnation == member.incarnation
-            && merge_states(former, (rumour.incarnation, rumour.state)) != former
+            && merge_states(previous, (rumour.incarnation, rumour.state)) != previous
         {
             (member.state, member.changed_at, member.transmissions_left) = (rumour.state, now, transmissions);
         }
@@ -198,7 +198,7 @@
         }
     }
 
-    /// The next member to probe: each in turn, in an order shuffled anew every round. Dead members are
+    /// The next member to probe: each in turn, in an order that is shuffled every round. Dead members are
     /// included in one round out of four on average, so that two partitioned halves of a fleet find each
     /// other again.
     pub fn next_probe_target(&mut self, rng: &mut impl Rng) -> Option<Id> {
--- a/gossip/src/node/mod.rs
+++ b/gossip/src/node/mod.rs
@@ -36,6 +36,8 @@
 const SEED_INTERVALS: u32 = 15;
 /// Rumours piggybacked on one packet.
 const RUMOURS_PER_PACKET: usize = 12;
+/// Statements piggybacked on one packet.
+const STATEMENTS_PER_PACKET: usize = 8;
 /// Probe intervals after which an unchanged statement is made again, so that it does not become too old.
 const RESTATE_INTERVALS: f64 = 25.0;
 /// An answer is claimed for an accused server if it is at most this many probe intervals old.
@@ -149,7 +151,7 @@
     ) -> Self {
         let id = secrets.id();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let first = rng.random::<f64>() * terms.probe_interval;
+        let first_probe_delay = rng.random::<f64>() * terms.probe_interval;
         let mut node = Self {
             members: Members::new(id, terms.probe_interval, roster.len()),
             evidence: Evidence::new(terms.resend_interval),
@@ -168,7 +170,7 @@
             pending_pings: BTreeMap::new(),
             replay_windows: BTreeMap::new(),
             send_queue: VecDeque::new(),
-            next_probe_at: now + first,
+            next_probe_at: now + first_probe_delay,
             probe_rounds: 0,
             compare_from: 0,
             leaving: false,
--- a/gossip/src/node/own_statement.rs
+++ b/gossip/src/node/own_statement.rs
@@ -5,6 +5,9 @@
 use crate::statements::AccusedServer;
 use crate::wire::{self, Generation, Message, SignedStatement, Statement};
 
+/// Accusers of one server that are enough, as a multiple of the number that belief needs.
+const ENOUGH_ACCUSERS_FACTOR: usize = 4;
+
 impl Node {
     /// Announces to other members that this one leaves.
     pub fn leave(&mut self, now: f64) {
@@ -70,7 +73,7 @@
                 previous.generation == claim.generation && previous.kind == wire::ClaimKind::Silent
             })
         };
-        let enough = 4 * (self.terms.max_faulty + 1);
+        let enough = ENOUGH_ACCUSERS_FACTOR * (self.terms.max_faulty + 1);
         claim.kind == wire::ClaimKind::Answering
             || self.last_claims.as_ref().is_some_and(stated)
             || accused
--- a/gossip/src/node/receive.rs
+++ b/gossip/src/node/receive.rs
@@ -69,10 +69,10 @@
             return;
         }
         let (author, incarnation) = (statement.author, statement.incarnation);
-        let (address, leaves) = (statement.address, statement.leaving);
+        let (address, leaving) = (statement.address, statement.leaving);
         let transmissions = self.members.transmissions();
         if self.statements.merge(now, statement, signed, transmissions) {
-            self.members.apply_statement(now, author, incarnation, address, leaves);
+            self.members.apply_statement(now, author, incarnation, address, leaving);
         }
     }
 
--- a/gossip/src/node/send.rs
+++ b/gossip/src/node/send.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::{Node, Outgoing, RUMOURS_PER_PACKET};
+use super::{Node, Outgoing, RUMOURS_PER_PACKET, STATEMENTS_PER_PACKET};
 use crate::budget::Priority;
 use crate::keys::Id;
 use crate::wire::{self, MAX_DATAGRAM_BYTES, Message, Packet};
@@ -50,7 +50,7 @@
             .chain(authors.iter().filter(|id| !introduces || **id != self.id))
         {
             let Some(signed) = self.statements.signed(*id) else { continue };
-            if size + signed.size() > MAX_DATAGRAM_BYTES || statements.len() >= 8 {
+            if size + signed.size() > MAX_DATAGRAM_BYTES || statements.len() >= STATEMENTS_PER_PACKET {
                 break;
             }
             size += signed.size();
--- a/gossip/src/node/turn.rs
+++ b/gossip/src/node/turn.rs
@@ -91,12 +91,12 @@
     fn request_clocks(&mut self, now: f64) {
         let max_age = MAX_AGE_INTERVALS * self.terms.probe_interval;
         let authors = self.statements.unproven_authors(now, self.terms.max_faulty, max_age);
-        let mut reply_wanted: Vec<(bool, u32, Id)> = Vec::new();
+        let mut requests: Vec<(bool, u32, Id)> = Vec::new();
         for (author, accuses) in authors.into_iter().filter(|(author, _)| *author != self.id) {
-            reply_wanted.push((!accuses, self.rng.random(), author));
+            requests.push((!accuses, self.rng.random(), author));
         }
-        reply_wanted.sort_unstable();
-        for (_, _, target) in reply_wanted.into_iter().take(CLOCK_REQUESTS) {
+        requests.sort_unstable();
+        for (_, _, target) in requests.into_iter().take(CLOCK_REQUESTS) {
             let nonce = self.rng.random();
             let Some(address) = self.members.get(target).map(|member| member.address) else { continue };
             if self.send_with(now, address, Message::ClockRequest { nonce }, Priority::Update, Vec::new()) {
--- a/gossip/src/statements.rs
+++ b/gossip/src/statements.rs
@@ -42,8 +42,8 @@
     /// Whether the statement is proved no older than `max_age`, by a clock that was requested recently
     /// enough.
     fn is_recent(&self, now: f64, max_age: f64) -> bool {
-        self.clock_proof.is_some_and(|(earliest, asked)| {
-            now - asked <= CLOCK_PROOF_AGES * max_age
+        self.clock_proof.is_some_and(|(earliest, requested_at)| {
+            now - requested_at <= CLOCK_PROOF_AGES * max_age
                 && now - earliest - f64::from(self.statement.clock) <= max_age
         })
     }
@@ -92,20 +92,27 @@
         transmissions_left: u32,
     ) -> bool {
         let clock_zero = now - f64::from(statement.clock);
-        let former = self.stored.get(&statement.author);
+        let previous = self.stored.get(&statement.author);
         if !self.is_newer(&statement) {
             return false;
         }
-        let stands = |claim: &Claim| {
-            statement.claims.iter().any(|now| (now.generation, now.kind) == (claim.generation, claim.kind))
+        let is_still_claimed = |claim: &Claim| {
+            statement
+                .claims
+                .iter()
+                .any(|current| (current.generation, current.kind) == (claim.generation, claim.kind))
         };
-        let withdraws_vouch = former.is_some_and(|former| {
-            former.statement.claims.iter().any(|claim| claim.kind == ClaimKind::Answering && !stands(claim))
+        let withdraws_vouch = previous.is_some_and(|previous| {
+            previous
+                .statement
+                .claims
+                .iter()
+                .any(|claim| claim.kind == ClaimKind::Answering && !is_still_claimed(claim))
         });
-        let same_life = former.filter(|stored| stored.statement.generation == statement.generation);
+        let same_generation = previous.filter(|stored| stored.statement.generation == statement.generation);
         // An author's clock may run slow or be false: the past that it states is never later than now.
-        let clock_zero = same_life.map_or(clock_zero, |stored| stored.clock_zero.min(clock_zero));
-        let clock_proof = same_life.and_then(|stored| stored.clock_proof);
+        let clock_zero = same_generation.map_or(clock_zero, |stored| stored.clock_zero.min(clock_zero));
+        let clock_proof = same_generation.and_then(|stored| stored.clock_proof);
         self.stored.insert(
             statement.author,
             StoredStatement {
@@ -121,13 +128,13 @@
         true
     }
 
-    /// Records the clock that the author itself answered with when asked at `asked`. It bounds not only how
+    /// Records the clock that the author itself answered with when it was requested at `requested_at`. It bounds not only how
     /// new but also how old its statement can be, whoever passed it on and however late.
-    pub fn record_clock(&mut self, author: Id, generation: u64, clock: u32, asked: f64, now: f64) {
+    pub fn record_clock(&mut self, author: Id, generation: u64, clock: u32, requested_at: f64, now: f64) {
         let stored = self.stored.get_mut(&author).filter(|stored| stored.statement.generation == generation);
         if let Some(stored) = stored {
             stored.clock_zero = stored.clock_zero.min(now - f64::from(clock));
-            stored.clock_proof = Some((asked - f64::from(clock), asked));
+            stored.clock_proof = Some((requested_at - f64::from(clock), requested_at));
         }
     }
 
@@ -136,20 +143,23 @@
     pub fn unproven_authors(&self, now: f64, max_faulty: usize, max_age: f64) -> Vec<(Id, bool)> {
         let accused = self.accused(now, max_faulty, max_age, f64::INFINITY);
         let disputed = |generation: Generation| {
-            accused.iter().find(|of| of.generation == generation && of.accusers > max_faulty)
+            accused.iter().find(|server| server.generation == generation && server.accusers > max_faulty)
         };
         // Requested again before it expires.
-        let asked = |stored: &StoredStatement| {
-            stored.clock_proof.is_some_and(|(_, asked)| now - asked < 0.5 * CLOCK_PROOF_AGES * max_age)
+        let is_clock_known = |stored: &StoredStatement| {
+            stored
+                .clock_proof
+                .is_some_and(|(_, requested_at)| now - requested_at < 0.5 * CLOCK_PROOF_AGES * max_age)
         };
         // Once enough accusations count, no more clocks are requested: each author answers all members.
         let accuses = |claim: &Claim| {
             claim.kind == ClaimKind::Silent
-                && disputed(claim.generation).is_some_and(|of| of.recent_accusers <= max_faulty + of.vouchers)
+                && disputed(claim.generation)
+                    .is_some_and(|server| server.recent_accusers <= max_faulty + server.vouchers)
         };
         let vouches = |claim: &Claim| claim.kind != ClaimKind::Silent && disputed(claim.generation).is_some();
         let mut unproven = Vec::new();
-        for (&id, stored) in self.stored.iter().filter(|(_, stored)| !asked(stored)) {
+        for (&id, stored) in self.stored.iter().filter(|(_, stored)| !is_clock_known(stored)) {
             let claims = &stored.statement.claims;
             if claims.iter().any(|claim| accuses(claim) || vouches(claim)) {
                 unproven.push((id, claims.iter().any(accuses)));
--- a/gossip/src/wire.rs
+++ b/gossip/src/wire.rs
@@ -23,6 +23,18 @@
 const MAX_STATEMENTS: usize = 16;
 /// Maximum number of digests in one comparison.
 const MAX_DIGESTS: usize = 64;
+/// Maximum encoded bytes of a packet's fixed fields and of its message without lists.
+const FIXED_FIELDS_BYTES: usize = 80;
+/// Maximum encoded bytes of one digest.
+const DIGEST_BYTES: usize = 25;
+/// Maximum encoded bytes of one rumour.
+const RUMOUR_BYTES: usize = 21;
+/// Maximum encoded bytes of a payload's length.
+const PAYLOAD_LENGTH_BYTES: usize = 2;
+/// Maximum encoded bytes that an [`Message::Ack`] has beyond a ping.
+const ACK_FIELDS_BYTES: usize = 16;
+/// Maximum encoded bytes of the two lengths in a [`SignedStatement`].
+const LIST_LENGTHS_BYTES: usize = 4;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
@@ -119,7 +131,7 @@
 
     /// Upper bound of the encoded size in bytes.
     pub fn size(&self) -> usize {
-        self.body.len() + SIGNATURE_BYTES + 4
+        self.body.len() + SIGNATURE_BYTES + LIST_LENGTHS_BYTES
     }
 }
 
@@ -199,12 +211,12 @@
     /// Upper bound in bytes of a packet with this message and number of rumours, without its statements.
     pub fn max_overhead(message: &Message, rumours: usize) -> usize {
         let digests = match message {
-            Message::Compare { have, .. } => have.len() * 25,
-            Message::Payload { bytes, .. } => bytes.len() + 2,
-            Message::Ack { .. } => 16,
+            Message::Compare { have, .. } => have.len() * DIGEST_BYTES,
+            Message::Payload { bytes, .. } => bytes.len() + PAYLOAD_LENGTH_BYTES,
+            Message::Ack { .. } => ACK_FIELDS_BYTES,
             _ => 0,
         };
-        80 + SIGNATURE_BYTES + TAG_BYTES + digests + rumours * 21
+        FIXED_FIELDS_BYTES + SIGNATURE_BYTES + TAG_BYTES + digests + rumours * RUMOUR_BYTES
     }
 }
 
--- a/gossip/tests/fleet/mod.rs
+++ b/gossip/tests/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! A fleet of members and some servers on a virtual clock: datagrams are lost at random, servers answer or
 //! stay silent.
 
-#![allow(dead_code)] // each file of tests uses some of it
+#![allow(dead_code)] // each test file uses a part of it
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
--- a/gossip/tests/scenarios.rs
+++ b/gossip/tests/scenarios.rs
@@ -137,15 +137,15 @@
     let now = fleet.now;
     fleet.nodes[5] = Some(node(5, 20, 1, now, wall_clock_ms));
     fleet.run(15_000.0);
-    let heard = |m: usize| {
+    let stated_clock = |m: usize| {
         let node = fleet.nodes[m].as_ref().expect("running");
-        let of = secrets(5).id();
-        node.statements().find(|s| s.author == of).map(|s| s.clock)
+        let author = secrets(5).id();
+        node.statements().find(|s| s.author == author).map(|s| s.clock)
     };
     assert!(
-        heard(0).is_some_and(|clock| f64::from(clock) < 16_000.0),
+        stated_clock(0).is_some_and(|clock| f64::from(clock) < 16_000.0),
         "the clock of its new process: {:?}",
-        heard(0)
+        stated_clock(0)
     );
     assert_eq!(fleet.alive(0), 20);
 }
@@ -293,8 +293,8 @@
     }
     assert_eq!(orders.len(), 120);
     for order in orders {
-        let doubled = order.iter().chain(&order).copied();
-        assert_eq!(doubled.reduce(merge_states), Some(wanted), "{order:?}");
+        let applied_twice = order.iter().chain(&order).copied();
+        assert_eq!(applied_twice.reduce(merge_states), Some(wanted), "{order:?}");
     }
 }
 
