--- a/frames/src/lib.rs
+++ b/frames/src/lib.rs
@@ -1,5 +1,5 @@
-//! Framing of byte strings with length and checksum, without I/O. [`write()`] frames a body, [`read`] finds all
-//! valid frames.
+//! Framing of byte strings with length and checksum, without I/O. [`write()`] frames a body, [`read`] finds
+//! all valid frames.
 //!
 //! A frame is two magic bytes, two bytes of length, four bytes of CRC-32 over length and body, and the body.
 //! A torn tail is reported as such. After damaged bytes reading goes on at the next valid frame, and the
--- a/gossip/src/statements.rs
+++ b/gossip/src/statements.rs
@@ -128,8 +128,9 @@
         true
     }
 
-    /// Records the clock that the author itself answered with when it was requested at `requested_at`. It bounds not only how
-    /// new but also how old its statement can be, whoever passed it on and however late.
+    /// Records the author's own answer to a clock request that was sent at `requested_at`. It bounds not only
+    /// how new but also how old the author's statement can be, however late and by whichever member it was
+    /// passed on.
     pub fn record_clock(&mut self, author: Id, generation: u64, clock: u32, requested_at: f64, now: f64) {
         let stored = self.stored.get_mut(&author).filter(|stored| stored.statement.generation == generation);
         if let Some(stored) = stored {
