--- a/fleet/src/fleet.rs
+++ b/fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! All limits at one member: whose part is how large, whom to ask when it does not do, what to answer.
+//! All limits at one member: each member's part, whom to request permits from, and the answers to requests.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::Hasher;
@@ -10,45 +10,52 @@
 use siphasher::sip::SipHasher13;
 
 use crate::ledger::{Id, Ledger, LedgerStatus, LoanTerms};
-use crate::wire::{self, LimitId, MOST_WORDS, Word};
+use crate::wire::{self, LimitId, MAX_MESSAGES, Message};
 
-/// Limits at most: a flood of names cannot grow the books.
-const MOST_LIMITS: usize = 512;
+/// Maximum number of limits: a flood of names must not grow memory.
+const MAX_LIMITS: usize = 512;
 /// Lenders that are asked at once for one limit.
-const ASKED: usize = 3;
-/// Members that are told at once, in a beat, that this one has started.
-const TOLD: usize = 16;
-/// What is missed is asked for after this part of a beat at the latest, not only at the next one.
-const SOON: f64 = 0.1;
+const LENDERS_PER_REQUEST: usize = 3;
+/// Members notified per tick that this one has started.
+const START_NOTICES_PER_TICK: usize = 16;
+/// A shortage brings the next tick forward to at most this fraction of a tick interval.
+const EARLY_TICK_FRACTION: f64 = 0.1;
 
-/// What is agreed for limits of the fleet.
+/// Configuration of the fleet's limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetTerms {
+    /// Configuration of loans between members.
     pub loans: LoanTerms,
-    /// How often a member looks at what it needs.
+    /// How often a member checks what it needs, in milliseconds.
     pub tick_interval: f64,
 }
 
-/// What is to be told to another member.
+/// A payload to another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
+    /// The receiver.
     pub to: Id,
     pub bytes: Vec<u8>,
 }
 
-/// What was done, and what was dropped.
+/// Counts of requests and loans, and of what was dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
+    /// Requests that this member sent.
     #[serde(rename = "asked")]
     pub requested: u64,
+    /// Permits lent to other members.
     pub lent: u64,
+    /// Permits borrowed from other members.
     pub borrowed: u64,
-    /// Of no form, of a limit or a member that is not known here, more than the limit, not asked for or too
-    /// late.
+    /// Payloads that are not well formed.
     pub malformed: u64,
+    /// Messages about an unknown limit or from an unknown member.
     pub unknown: u64,
+    /// Grants of more permits than the lender owns.
     #[serde(rename = "over")]
     pub over_limit: u64,
+    /// Grants that were not requested or came too late.
     #[serde(rename = "stray")]
     pub unexpected: u64,
     /// Set-ups that found no permit.
@@ -56,36 +63,42 @@
     pub without_permit: u64,
 }
 
-/// Where this member stands with a limit, for operators.
+/// State of a limit at this member, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitState {
     pub name: String,
-    /// Set-ups in any window, over all members, and the window.
+    /// Set-ups in any window over all members.
     pub permits: usize,
+    /// The window, in milliseconds.
     pub window: f64,
+    /// This member's permits.
     pub ledger: LedgerStatus,
 }
 
+/// One limit of the fleet, as this member holds it.
 struct Limit {
     name: String,
     permits: usize,
     window: f64,
     ledger: Ledger,
-    /// All members: the first of them have one permit more where the limit does not go up evenly.
-    ranks: Vec<Id>,
-    /// What lenders last said they could still lend, and when.
-    left: BTreeMap<Id, (usize, f64)>,
-    /// Withdrawn then: forgotten when nothing of it can be lent any more.
-    withdrawn: Option<f64>,
+    /// All members, in this limit's order: if the limit does not divide evenly, the first of them have one
+    /// more permit.
+    member_order: Vec<Id>,
+    /// How many more permits lenders last said they could lend, and when.
+    lendable: BTreeMap<Id, (usize, f64)>,
+    /// When the limit was removed. It is forgotten once no loan of it can be in use any more.
+    removed_at: Option<f64>,
 }
 
 impl Limit {
-    fn part(&self, member: Id) -> usize {
-        self.ranks.iter().position(|&id| id == member).map_or(0, |rank| self.part_at(rank))
+    /// How many permits a member owns.
+    fn part_of(&self, member: Id) -> usize {
+        self.member_order.iter().position(|&id| id == member).map_or(0, |rank| self.part_of_rank(rank))
     }
 
-    fn part_at(&self, rank: usize) -> usize {
-        let members = self.ranks.len().max(1);
+    /// How many permits the member at this place of the order owns.
+    fn part_of_rank(&self, rank: usize) -> usize {
+        let members = self.member_order.len().max(1);
         self.permits / members + usize::from(rank < self.permits % members)
     }
 }
@@ -93,23 +106,23 @@
 /// The limits of the fleet at one member.
 pub struct Fleet {
     id: Id,
-    /// This process, drawn by chance.
-    life: u64,
+    /// A random number that identifies this process.
+    generation: u64,
     terms: FleetTerms,
     members: Vec<Id>,
-    /// Who may still use what an earlier life of this member lent.
-    unclear: BTreeSet<Id>,
-    /// When all others had let go of that.
-    cleared: Option<f64>,
+    /// Members that may still use what an earlier generation of this member lent.
+    uncleared: BTreeSet<Id>,
+    /// When all other members had stopped using it.
+    cleared_at: Option<f64>,
     limits: BTreeMap<LimitId, Limit>,
-    chance: Pcg64Mcg,
-    began: f64,
-    beat_at: f64,
-    out: VecDeque<Outgoing>,
+    rng: Pcg64Mcg,
+    started_at: f64,
+    next_tick_at: f64,
+    send_queue: VecDeque<Outgoing>,
     counts: Counts,
 }
 
-/// The number that a limit goes by between members.
+/// The number that identifies a limit between members.
 pub fn limit_id(name: &str) -> LimitId {
     let mut hasher = SipHasher13::new();
     hasher.write(name.as_bytes());
@@ -117,8 +130,9 @@
 }
 
 impl Fleet {
-    /// `members` are all that belong to the fleet, this one too: the same at each of them. Start it with the
-    /// process, since it waits out what an earlier life of this member may have lent.
+    /// `members` are all members of the fleet including this one, the same list at each of them. Create it
+    /// when the process starts, since it waits until loans of an earlier generation of this member have
+    /// ended.
     pub fn new(
         id: Id,
         members: impl IntoIterator<Item = Id>,
@@ -129,212 +143,227 @@
         let mut members: Vec<Id> = members.into_iter().collect();
         members.sort_unstable();
         members.dedup();
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let beat_at = now + terms.tick_interval * chance.random::<f64>();
-        let unclear: BTreeSet<Id> = members.iter().copied().filter(|&member| member != id).collect();
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let next_tick_at = now + terms.tick_interval * rng.random::<f64>();
+        let uncleared: BTreeSet<Id> = members.iter().copied().filter(|&member| member != id).collect();
         Self {
             id,
-            life: chance.random(),
+            generation: rng.random(),
             terms,
-            cleared: unclear.is_empty().then_some(now),
-            unclear,
+            cleared_at: uncleared.is_empty().then_some(now),
+            uncleared,
             members,
             limits: BTreeMap::new(),
-            chance,
-            began: now,
-            beat_at,
-            out: VecDeque::new(),
+            rng,
+            started_at: now,
+            next_tick_at,
+            send_queue: VecDeque::new(),
             counts: Counts::default(),
         }
     }
 
+    /// The counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Who belongs to the fleet has changed. Until all members have been told, their parts may not go up.
+    /// Replaces the members of the fleet. Until all members know the change, no part may grow.
     pub fn set_members(&mut self, members: impl IntoIterator<Item = Id>) {
-        let former = std::mem::replace(&mut self.members, members.into_iter().collect());
+        let previous = std::mem::replace(&mut self.members, members.into_iter().collect());
         self.members.sort_unstable();
         self.members.dedup();
-        // Who has come may hold what an earlier life of this one lent under another roster.
-        let come = self.members.iter().filter(|&member| former.binary_search(member).is_err());
-        self.unclear.extend(come.filter(|&&member| member != self.id));
+        // A member that has joined may hold a loan of an earlier generation of this one under another roster.
+        let joined = self.members.iter().filter(|&member| previous.binary_search(member).is_err());
+        self.uncleared.extend(joined.filter(|&&member| member != self.id));
         let members = self.members.clone();
         for (&id, limit) in &mut self.limits {
-            limit.ranks = ranks(&members, id);
-            limit.ledger.set_part(limit.part(self.id));
+            limit.member_order = member_order(&members, id);
+            limit.ledger.set_part(limit.part_of(self.id));
         }
     }
 
-    /// A limit for the whole fleet: so many set-ups a second, whole ones in each window. False where there
-    /// are too many.
+    /// Sets a limit for the whole fleet of `rate` set-ups per second, rounded down to whole set-ups in each
+    /// window of `window` milliseconds. Returns false if there are too many limits.
     pub fn set_limit(&mut self, name: &str, rate: f64, window: f64) -> bool {
         let id = limit_id(name);
         let permits = (rate.max(0.0) * window / 1000.0).min(f64::from(u16::MAX)) as usize;
-        if !self.limits.contains_key(&id) && self.limits.len() >= MOST_LIMITS {
+        if !self.limits.contains_key(&id) && self.limits.len() >= MAX_LIMITS {
             return false;
         }
-        let (loans, began, serial) = (self.terms.loans, self.began, self.chance.random::<u64>() >> 1);
+        let (loans, started_at, serial) = (self.terms.loans, self.started_at, self.rng.random::<u64>() >> 1);
         let limit = self.limits.entry(id).or_insert_with(|| Limit {
             name: name.to_owned(),
             permits,
             window,
-            ledger: Ledger::new(loans, window, began, serial),
-            ranks: ranks(&self.members, id),
-            left: BTreeMap::new(),
-            withdrawn: None,
+            ledger: Ledger::new(loans, window, started_at, serial),
+            member_order: member_order(&self.members, id),
+            lendable: BTreeMap::new(),
+            removed_at: None,
         });
-        limit.withdrawn = None;
-        if let Some(at) = self.cleared {
-            limit.ledger.cleared(at);
+        limit.removed_at = None;
+        if let Some(at) = self.cleared_at {
+            limit.ledger.earlier_loans_cleared(at);
         }
         if limit.permits != permits || limit.ledger.part() == 0 {
             limit.permits = permits;
-            limit.ledger.set_part(limit.part(self.id));
+            limit.ledger.set_part(limit.part_of(self.id));
         }
         true
     }
 
-    /// The limit holds no more, as when its server has gone.
+    /// Removes a limit, as when its server is gone.
     pub fn remove_limit(&mut self, now: f64, name: &str) {
         if let Some(limit) = self.limits.get_mut(&limit_id(name)) {
-            limit.withdrawn.get_or_insert(now);
+            limit.removed_at.get_or_insert(now);
         }
     }
 
-    /// How many set-ups may go now; none told where there is no such limit.
+    /// How many set-ups may be sent now, or `None` if there is no such limit.
     pub fn free_permits(&mut self, now: f64, name: &str) -> Option<usize> {
-        let limit = self.limits.get_mut(&limit_id(name)).filter(|limit| limit.withdrawn.is_none())?;
+        let limit = self.limits.get_mut(&limit_id(name)).filter(|limit| limit.removed_at.is_none())?;
         Some(limit.ledger.free_permits(now))
     }
 
-    /// Whether this member knows for sure what it lent before it started.
+    /// Whether this member knows everything that it may have lent before it started.
     pub fn is_recovered(&self, now: f64, name: &str) -> bool {
         self.limits.get(&limit_id(name)).is_some_and(|limit| limit.ledger.is_recovered(now))
     }
 
-    /// A set-up goes. False where none may.
+    /// Uses a permit for a set-up. Returns false if none is free.
     pub fn try_acquire(&mut self, now: f64, name: &str) -> bool {
         self.limits.get_mut(&limit_id(name)).is_none_or(|limit| limit.ledger.try_acquire(now))
     }
 
-    /// So many set-ups more are held, or went elsewhere, for want of a permit; each is told once.
+    /// Records that `count` more set-ups wait or were sent elsewhere because there was no permit; each set-up
+    /// is reported once.
     pub fn record_shortage(&mut self, now: f64, name: &str, count: usize) {
         let Some(limit) = self.limits.get_mut(&limit_id(name)).filter(|_| count > 0) else { return };
         limit.ledger.record_shortage(now, count);
         self.counts.without_permit += count as u64;
-        let soon = now + SOON * self.terms.tick_interval * self.chance.random::<f64>();
-        self.beat_at = self.beat_at.min(soon);
+        let early_tick = now + EARLY_TICK_FRACTION * self.terms.tick_interval * self.rng.random::<f64>();
+        self.next_tick_at = self.next_tick_at.min(early_tick);
     }
 
-    /// When [`Fleet::turn`] is wanted, or more set-ups may go.
+    /// When [`Fleet::turn`] is to be called next, or more set-ups may be sent.
     pub fn due(&self, now: f64) -> f64 {
-        self.limits.values().map(|limit| limit.ledger.due(now)).fold(self.beat_at, f64::min)
+        self.limits.values().map(|limit| limit.ledger.due(now)).fold(self.next_tick_at, f64::min)
     }
 
-    /// The next message to another member.
+    /// The next payload to another member.
     pub fn outgoing(&mut self) -> Option<Outgoing> {
-        self.out.pop_front()
+        self.send_queue.pop_front()
     }
 
-    /// Does what has fallen due: gives back what is not needed, asks for what is.
+    /// Does everything that is due: gives back what is not needed and requests what is.
     pub fn turn(&mut self, now: f64) {
-        if now < self.beat_at {
+        if now < self.next_tick_at {
             return;
         }
-        self.beat_at = now + self.terms.tick_interval * (0.9 + 0.2 * self.chance.random::<f64>());
-        let known =
-            self.terms.loans.lease + self.limits.values().map(|l| l.ledger.rest()).fold(0.0, f64::max);
-        self.limits.retain(|_, limit| limit.withdrawn.is_none_or(|at| now - at < known));
-        let mut words: BTreeMap<Id, Vec<Word>> = BTreeMap::new();
+        self.next_tick_at = now + self.terms.tick_interval * (0.9 + 0.2 * self.rng.random::<f64>());
+        let removed_limit_lifetime =
+            self.terms.loans.lease + self.limits.values().map(|l| l.ledger.cool_down()).fold(0.0, f64::max);
+        self.limits.retain(|_, limit| limit.removed_at.is_none_or(|at| now - at < removed_limit_lifetime));
+        let mut messages: BTreeMap<Id, Vec<Message>> = BTreeMap::new();
         let lease = self.terms.loans.lease;
-        for (&id, limit) in self.limits.iter_mut().filter(|(_, limit)| limit.withdrawn.is_none()) {
-            for lender in limit.ledger.spare(now) {
+        for (&id, limit) in self.limits.iter_mut().filter(|(_, limit)| limit.removed_at.is_none()) {
+            for lender in limit.ledger.surplus_lenders(now) {
                 if let Some(serial) = limit.ledger.give_back(now, lender) {
-                    words.entry(lender).or_default().push(Word::Return { limit: id, serial });
+                    messages.entry(lender).or_default().push(Message::Return { limit: id, serial });
                 }
             }
-            for (lender, serial) in limit.ledger.ended(now) {
-                words.entry(lender).or_default().push(Word::Return { limit: id, serial });
+            for (lender, serial) in limit.ledger.take_ended_loans(now) {
+                messages.entry(lender).or_default().push(Message::Return { limit: id, serial });
             }
-            let need = limit.ledger.need(now);
-            let mut asks: Vec<(Id, usize)> = limit.ledger.ending(now);
-            asks.retain(|&(_, count)| need + count as isize > 0);
-            if need > 0 {
-                limit.left.retain(|_, (_, at)| now - *at < 0.5 * lease);
+            let shortfall = limit.ledger.shortfall(now);
+            let mut requests: Vec<(Id, usize)> = limit.ledger.expiring_loans(now);
+            requests.retain(|&(_, count)| shortfall + count as isize > 0);
+            if shortfall > 0 {
+                limit.lendable.retain(|_, (_, at)| now - *at < 0.5 * lease);
                 let mut lenders: Vec<(bool, u32, Id)> = Vec::new();
                 for (rank, &lender) in
-                    limit.ranks.iter().enumerate().filter(|(_, lender)| **lender != self.id)
+                    limit.member_order.iter().enumerate().filter(|(_, lender)| **lender != self.id)
                 {
-                    // Those that said they can, then those of whom nothing is known, in an order drawn by
-                    // chance.
-                    let left = limit.left.get(&lender).map(|&(left, _)| left);
-                    if limit.part_at(rank) > 0 && left != Some(0) && !limit.ledger.awaits(lender) {
-                        lenders.push((left.is_none(), self.chance.random(), lender));
+                    // First lenders that said they can lend, then those of which nothing is known, in random
+                    // order.
+                    let left = limit.lendable.get(&lender).map(|&(left, _)| left);
+                    if limit.part_of_rank(rank) > 0 && left != Some(0) && !limit.ledger.awaits_answer(lender)
+                    {
+                        lenders.push((left.is_none(), self.rng.random(), lender));
                     }
                 }
                 lenders.sort_unstable();
-                lenders.truncate(ASKED);
-                let each = (need as usize).div_ceil(lenders.len().max(1));
-                // A later loan takes the place of an earlier one of the same lender, so that is asked for
-                // with it.
+                lenders.truncate(LENDERS_PER_REQUEST);
+                let wanted_per_lender = (shortfall as usize).div_ceil(lenders.len().max(1));
+                // A later loan replaces an earlier one of the same lender, so the request includes the
+                // earlier one.
                 for (_, _, lender) in lenders {
-                    asks.retain(|(other, _)| *other != lender);
-                    asks.push((lender, limit.ledger.lent_by(lender, now) + each));
+                    requests.retain(|(other, _)| *other != lender);
+                    requests.push((lender, limit.ledger.borrowed_from(lender, now) + wanted_per_lender));
                 }
             }
-            let bare = limit.ledger.is_bare(now);
-            let again = limit.ledger.unanswered(now, 0.9 * self.terms.tick_interval);
-            for (lender, serial, want) in again {
+            let no_permits = limit.ledger.has_no_permits(now);
+            let resends = limit.ledger.requests_to_resend(now, 0.9 * self.terms.tick_interval);
+            for (lender, serial, want) in resends {
                 let want = want as u16;
-                words.entry(lender).or_default().push(Word::Ask { limit: id, serial, want, bare });
+                messages.entry(lender).or_default().push(Message::Request {
+                    limit: id,
+                    serial,
+                    want,
+                    no_permits,
+                });
             }
-            for (lender, want) in asks {
-                let want = if limit.ledger.is_mute(lender) { 0 } else { want.min(limit.permits) };
-                let serial = limit.ledger.ask(now, lender, want);
+            for (lender, want) in requests {
+                let want = if limit.ledger.is_unresponsive(lender) { 0 } else { want.min(limit.permits) };
+                let serial = limit.ledger.request(now, lender, want);
                 self.counts.requested += 1;
                 let want = want as u16;
-                words.entry(lender).or_default().push(Word::Ask { limit: id, serial, want, bare });
+                messages.entry(lender).or_default().push(Message::Request {
+                    limit: id,
+                    serial,
+                    want,
+                    no_permits,
+                });
             }
         }
-        // Once all that it may have lent has lapsed nobody need let go of it.
-        if self.cleared.is_none() && now < self.began + lease {
-            let mut unclear: Vec<Id> = self.unclear.iter().copied().collect();
-            let (told, _) = unclear.partial_shuffle(&mut self.chance, TOLD);
-            for &mut to in told {
-                words.entry(to).or_default().insert(0, Word::Started);
+        // After one lease all earlier loans have expired, and nobody needs to clear them.
+        if self.cleared_at.is_none() && now < self.started_at + lease {
+            let mut uncleared: Vec<Id> = self.uncleared.iter().copied().collect();
+            let (notified, _) = uncleared.partial_shuffle(&mut self.rng, START_NOTICES_PER_TICK);
+            for &mut to in notified {
+                messages.entry(to).or_default().insert(0, Message::Started);
             }
         }
-        for (to, words) in words {
-            for words in words.chunks(MOST_WORDS) {
-                self.out.push_back(Outgoing { to, bytes: wire::write(self.life, words) });
+        for (to, messages) in messages {
+            for messages in messages.chunks(MAX_MESSAGES) {
+                self.send_queue.push_back(Outgoing { to, bytes: wire::encode(self.generation, messages) });
             }
         }
     }
 
-    /// Another member's message. Anything may stand in it.
+    /// Handles an untrusted payload of another member.
     pub fn receive(&mut self, now: f64, from: Id, bytes: &[u8]) {
-        let Ok((life, words)) = wire::read(bytes) else {
+        let Ok((generation, messages)) = wire::decode(bytes) else {
             self.counts.malformed += 1;
             return;
         };
         if self.members.binary_search(&from).is_err() {
-            self.counts.unknown += words.len() as u64;
+            self.counts.unknown += messages.len() as u64;
             return;
         }
-        let mut answers = Vec::new();
-        for word in words {
-            let id = match word {
-                Word::Ask { limit, .. } | Word::Grant { limit, .. } | Word::Return { limit, .. } => limit,
-                Word::Started => {
-                    self.limits.values_mut().for_each(|limit| limit.ledger.forsake(from));
-                    answers.push(Word::Cleared { life });
+        let mut replies = Vec::new();
+        for message in messages {
+            let id = match message {
+                Message::Request { limit, .. }
+                | Message::Grant { limit, .. }
+                | Message::Return { limit, .. } => limit,
+                Message::Started => {
+                    self.limits.values_mut().for_each(|limit| limit.ledger.drop_loans_from(from));
+                    replies.push(Message::Cleared { generation });
                     continue;
                 }
-                Word::Cleared { life } => {
-                    if life == self.life {
-                        self.let_go(now, from);
+                Message::Cleared { generation } => {
+                    if generation == self.generation {
+                        self.member_cleared(now, from);
                     }
                     continue;
                 }
@@ -343,64 +372,66 @@
                 self.counts.unknown += 1;
                 continue;
             };
-            match word {
-                Word::Ask { serial, want, bare, .. } => {
+            match message {
+                Message::Request { serial, want, no_permits, .. } => {
                     let want = usize::from(want).min(limit.permits);
-                    let (count, left) = limit.ledger.asked(now, (from, life), serial, want, bare);
+                    let (count, left) =
+                        limit.ledger.handle_request(now, (from, generation), serial, want, no_permits);
                     self.counts.lent += count as u64;
                     let (count, left) = (count as u16, left as u16);
                     let lease = self.terms.loans.lease as u32;
-                    answers.push(Word::Grant { limit: id, serial, count, left, lease });
+                    replies.push(Message::Grant { limit: id, serial, count, left, lease });
                 }
-                Word::Grant { serial, count, left, lease, .. } => {
+                Message::Grant { serial, count, left, lease, .. } => {
                     let count = usize::from(count);
-                    if count > limit.part(from) {
+                    if count > limit.part_of(from) {
                         self.counts.over_limit += 1;
-                    } else if limit.ledger.granted(now, from, serial, count, f64::from(lease)) {
+                    } else if limit.ledger.accept_grant(now, from, serial, count, f64::from(lease)) {
                         self.counts.borrowed += count as u64;
-                        limit.left.insert(from, (usize::from(left), now));
+                        limit.lendable.insert(from, (usize::from(left), now));
                     } else {
                         self.counts.unexpected += 1;
                     }
                 }
-                Word::Return { serial, .. } => limit.ledger.returned(now, (from, life), serial),
-                Word::Started | Word::Cleared { .. } => {}
+                Message::Return { serial, .. } => limit.ledger.accept_return(now, (from, generation), serial),
+                Message::Started | Message::Cleared { .. } => {}
             }
         }
-        if !answers.is_empty() {
-            self.out.push_back(Outgoing { to: from, bytes: wire::write(self.life, &answers) });
+        if !replies.is_empty() {
+            self.send_queue.push_back(Outgoing { to: from, bytes: wire::encode(self.generation, &replies) });
         }
     }
 
-    /// A member uses nothing any more that an earlier life of this one lent.
-    fn let_go(&mut self, now: f64, member: Id) {
-        if self.unclear.remove(&member) && self.unclear.is_empty() {
-            self.cleared = Some(now);
-            self.limits.values_mut().for_each(|limit| limit.ledger.cleared(now));
+    /// A member no longer uses anything that an earlier generation of this one lent.
+    fn member_cleared(&mut self, now: f64, member: Id) {
+        if self.uncleared.remove(&member) && self.uncleared.is_empty() {
+            self.cleared_at = Some(now);
+            self.limits.values_mut().for_each(|limit| limit.ledger.earlier_loans_cleared(now));
         }
     }
 
+    /// The state of all limits in force.
     pub fn limit_states(&mut self, now: f64) -> Vec<LimitState> {
-        let held = self.limits.values_mut().filter(|limit| limit.withdrawn.is_none());
-        let state = |limit: &mut Limit| LimitState {
+        let active = self.limits.values_mut().filter(|limit| limit.removed_at.is_none());
+        let limit_state = |limit: &mut Limit| LimitState {
             name: limit.name.clone(),
             permits: limit.permits,
             window: limit.window,
             ledger: limit.ledger.status(now),
         };
-        held.map(state).collect()
+        active.map(limit_state).collect()
     }
 }
 
-/// The members in an order of their own for each limit, so that the odd permits of many limits do not all
-/// fall to the same ones.
-fn ranks(members: &[Id], limit: LimitId) -> Vec<Id> {
-    let drawn = |id: Id| {
+/// The members in an order of their own for each limit, so that the odd permits of many limits do not all go
+/// to the same members.
+fn member_order(members: &[Id], limit: LimitId) -> Vec<Id> {
+    let hash = |id: Id| {
         let mut hasher = SipHasher13::new_with_keys(limit, id);
         hasher.write_u64(id);
         hasher.finish()
     };
-    let mut ranks = members.to_vec();
-    ranks.sort_unstable_by_key(|&id| (drawn(id), id));
-    ranks
+    let mut member_order = members.to_vec();
+    member_order.sort_unstable_by_key(|&id| (hash(id), id));
+    member_order
 }
--- a/gossip/src/channel.rs
+++ b/gossip/src/channel.rs
@@ -1,43 +1,43 @@
-//! Signed packets between two that are not members of one gossip: the same form and keys, with words of other
-//! subsystems alone and nothing carried along.
+//! Authenticated packets between two processes that are not members of the same gossip: the same encoding and
+//! keys, with only other subsystems' payloads and nothing piggybacked.
 //!
-//! [`Channel::authenticate`] and [`Channel::verify`] are the two ways. Memory is bounded by the roster: one replay
-//! window for each that is named there.
+//! [`Channel::authenticate`] encodes and [`Channel::verify`] decodes. Memory is bounded by the roster: one
+//! replay window for each member on it.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
 use crate::keys::{Id, Roster, Secrets};
-use crate::node::Window;
-use crate::wire::{self, Dropped, MAX_DATAGRAM_BYTES, Message, Packet, Subsystem};
+use crate::node::ReplayWindow;
+use crate::wire::{self, DropReason, MAX_DATAGRAM_BYTES, Message, Packet, Subsystem};
 
-/// Bytes of the longest words that a packet has room for.
+/// Bytes of the longest payload that fits one packet.
 pub const MAX_PAYLOAD_BYTES: usize = 1_000;
 
-/// What was sent, taken and dropped.
+/// Packets sent, received and dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChannelCounts {
     pub sent: u64,
     pub sent_bytes: u64,
     pub received: u64,
     pub received_bytes: u64,
-    /// Not of the form of a packet, or longer than any.
+    /// Not a well-formed packet, or longer than any.
     pub malformed: u64,
-    /// Of a version that is not known.
+    /// Of an unknown version.
     pub version: u64,
-    /// Without the fleet's tag.
+    /// Not tagged with a fleet key.
     pub untagged: u64,
-    /// By nobody of the roster, or not signed by whom they name.
+    /// From a sender that is not on the roster or did not sign the packet.
     pub forged: u64,
-    /// Seen before, or of an earlier incarnation.
+    /// Already seen, or of an earlier incarnation.
     pub replayed: u64,
-    /// Packets of gossip, or words longer than [`MAX_PAYLOAD_BYTES`].
+    /// Own packets, gossip messages, or payloads longer than [`MAX_PAYLOAD_BYTES`].
     #[serde(rename = "stray")]
     pub unexpected: u64,
 }
 
-/// A payload that came, with who sent it.
+/// A received payload, with its sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Received {
     pub from: Id,
@@ -45,53 +45,56 @@
     pub bytes: Vec<u8>,
 }
 
-/// One end: its keys, and what it has seen of others.
+/// One end of a channel: its keys, and what it has seen of others.
 pub struct Channel {
     secrets: Secrets,
     roster: Roster,
     incarnation: u64,
     counter: u64,
-    windows: BTreeMap<Id, Window>,
+    replay_windows: BTreeMap<Id, ReplayWindow>,
     counts: ChannelCounts,
 }
 
 impl Channel {
-    /// `unix` is the wall clock in milliseconds: it orders this end's incarnations, so that packets of an
-    /// earlier one are not taken again.
-    pub fn new(secrets: Secrets, roster: Roster, unix: f64) -> Self {
+    /// `wall_clock_ms` is Unix time in milliseconds. It orders this end's incarnations, so that packets of an
+    /// earlier one are not accepted again.
+    pub fn new(secrets: Secrets, roster: Roster, wall_clock_ms: f64) -> Self {
         Self {
             secrets,
             roster,
-            incarnation: unix.max(1.0) as u64,
+            incarnation: wall_clock_ms.max(1.0) as u64,
             counter: 0,
-            windows: BTreeMap::new(),
+            replay_windows: BTreeMap::new(),
             counts: ChannelCounts::default(),
         }
     }
 
+    /// This end's id.
     pub fn id(&self) -> Id {
         self.secrets.id()
     }
 
+    /// The current roster.
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
 
+    /// The counters since the start.
     pub fn counts(&self) -> ChannelCounts {
         self.counts
     }
 
-    /// Goes on with other keys, as in a rotation. Its own key must be the same; whoever is no more in the
-    /// roster is forgotten.
+    /// Replaces the keys and the roster, as in a key rotation. The own key must be the same; members that are
+    /// no longer on the roster are forgotten.
     pub fn rekey(&mut self, secrets: Secrets, roster: Roster) {
         if secrets.id() != self.id() {
             return;
         }
-        self.windows.retain(|&id, _| roster.contains(id));
+        self.replay_windows.retain(|&id, _| roster.contains(id));
         (self.secrets, self.roster) = (secrets, roster);
     }
 
-    /// The datagram that carries some words. Nothing where they are longer than [`MAX_PAYLOAD_BYTES`].
+    /// The datagram that carries the payload, or `None` if it is longer than [`MAX_PAYLOAD_BYTES`].
     pub fn authenticate(&mut self, subsystem: Subsystem, bytes: Vec<u8>) -> Option<Vec<u8>> {
         if bytes.len() > MAX_PAYLOAD_BYTES {
             return None;
@@ -113,18 +116,18 @@
         Some(datagram)
     }
 
-    /// Who a datagram names as its sender. Nothing of it is proved: only to find out whom it is for.
+    /// The sender that a datagram names, not authenticated: only to find out whom the datagram is for.
     pub fn sender(datagram: &[u8]) -> Option<Id> {
         wire::sender(datagram)
     }
 
-    /// A datagram came. Anything may stand in it; gives the words of one that is proved and new.
+    /// Verifies an untrusted datagram and returns its payload if it is authentic and new.
     pub fn verify(&mut self, datagram: &[u8]) -> Option<Received> {
         self.counts.received_bytes += datagram.len() as u64;
         let packet = match wire::verify(datagram, &self.secrets, &self.roster) {
             Ok(packet) => packet,
-            Err(dropped) => {
-                *self.count_of(dropped) += 1;
+            Err(reason) => {
+                *self.counter_of(reason) += 1;
                 return None;
             }
         };
@@ -132,7 +135,7 @@
             self.counts.unexpected += 1;
             return None;
         }
-        if !self.windows.entry(packet.from).or_default().admit(packet.incarnation, packet.counter) {
+        if !self.replay_windows.entry(packet.from).or_default().admit(packet.incarnation, packet.counter) {
             self.counts.replayed += 1;
             return None;
         }
@@ -148,14 +151,14 @@
         }
     }
 
-    fn count_of(&mut self, dropped: Dropped) -> &mut u64 {
+    fn counter_of(&mut self, reason: DropReason) -> &mut u64 {
         let counts = &mut self.counts;
-        match dropped {
-            Dropped::Tag => &mut counts.untagged,
-            Dropped::Stranger | Dropped::Signature => &mut counts.forged,
-            Dropped::Version => &mut counts.version,
-            Dropped::Replayed => &mut counts.replayed,
-            Dropped::Short | Dropped::Oversized | Dropped::Form => &mut counts.malformed,
+        match reason {
+            DropReason::InvalidTag => &mut counts.untagged,
+            DropReason::UnknownSender | DropReason::InvalidSignature => &mut counts.forged,
+            DropReason::UnknownVersion => &mut counts.version,
+            DropReason::Replayed => &mut counts.replayed,
+            DropReason::TooShort | DropReason::TooLong | DropReason::Malformed => &mut counts.malformed,
         }
     }
 }
--- a/gossip/src/node/window.rs
+++ b/gossip/src/node/replay.rs
@@ -1,14 +1,15 @@
-//! Which of a peer's packets have been seen.
+//! Replay protection for the packets of one peer.
 
-/// Which of a peer's packets have been seen: the highest counter, and the 64 before it.
+/// Which of a peer's packets have been seen: the highest counter and the 64 counters up to it.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Window {
+pub(crate) struct ReplayWindow {
     incarnation: u64,
     highest: u64,
     seen: u64,
 }
 
-impl Window {
+impl ReplayWindow {
+    /// Whether the packet is new; marks it as seen. Packets more than 63 behind the highest are refused.
     pub(crate) fn admit(&mut self, incarnation: u64, counter: u64) -> bool {
         if incarnation < self.incarnation {
             return false;
@@ -25,8 +26,8 @@
         }
         let behind = self.highest - counter;
         let bit = if behind < 64 { 1u64 << behind } else { return false };
-        let fresh = self.seen & bit == 0;
+        let is_new = self.seen & bit == 0;
         self.seen |= bit;
-        fresh
+        is_new
     }
 }
--- a/gossip/src/node/sends.rs
+++ b/gossip/src/node/send.rs
@@ -1,19 +1,21 @@
-//! Packets out, each within the cap.
+//! Outgoing packets, each within the cap.
 
 use std::net::SocketAddr;
 
-use super::{Node, Outgoing, RUMOURS};
+use super::{Node, Outgoing, RUMOURS_PER_PACKET, STATEMENTS_PER_PACKET};
 use crate::budget::Priority;
 use crate::keys::Id;
 use crate::wire::{self, MAX_DATAGRAM_BYTES, Message, Packet};
 
 impl Node {
+    /// Sends a message to a known member.
     pub(super) fn send(&mut self, now: f64, to: Id, message: Message, priority: Priority) -> bool {
         let Some(address) = self.members.get(to).map(|member| member.address) else { return false };
         self.send_to(now, address, message, priority)
     }
 
-    /// Sends, with as much news as fits, unless the cap forbids.
+    /// Sends a message with as many pending statements as fit, unless the cap forbids it. Returns whether it
+    /// was sent.
     pub(super) fn send_to(
         &mut self,
         now: f64,
@@ -21,10 +23,11 @@
         message: Message,
         priority: Priority,
     ) -> bool {
-        let fresh = self.statements.fresh(self.terms.max_faulty);
-        self.send_with(now, peer, message, priority, fresh)
+        let authors = self.statements.authors_to_send(self.terms.max_faulty);
+        self.send_with(now, peer, message, priority, authors)
     }
 
+    /// Sends a message with the statements of these authors.
     pub(super) fn send_with(
         &mut self,
         now: f64,
@@ -33,12 +36,12 @@
         priority: Priority,
         authors: Vec<Id>,
     ) -> bool {
-        let mut rumours = self.members.rumours(RUMOURS);
-        rumours.extend(self.members.doubted_at(peer));
-        let mut size = Packet::overhead(&message, rumours.len());
+        let mut rumours = self.members.next_rumours(RUMOURS_PER_PACKET);
+        rumours.extend(self.members.doubt_about(peer));
+        let mut size = Packet::max_overhead(&message, rumours.len());
         let mut carried = Vec::new();
         let mut statements = Vec::new();
-        // Its own statement goes along wherever it may not be known.
+        // The own statement is included where the receiver may not know it.
         let own = [self.id];
         let introduces = matches!(message, Message::Ping { .. });
         for id in own
@@ -47,7 +50,7 @@
             .chain(authors.iter().filter(|id| !introduces || **id != self.id))
         {
             let Some(signed) = self.statements.signed(*id) else { continue };
-            if size + signed.size() > MAX_DATAGRAM_BYTES || statements.len() >= 8 {
+            if size + signed.size() > MAX_DATAGRAM_BYTES || statements.len() >= STATEMENTS_PER_PACKET {
                 break;
             }
             size += signed.size();
@@ -64,16 +67,16 @@
             rumours,
             statements,
         };
-        // Asked for at the most it can be, before the dearer sealing.
-        if !self.budget.take(now, size, priority) {
+        // Charged with the upper bound of the size, before the expensive signing.
+        if !self.budget.try_spend(now, size, priority) {
             return false;
         }
         let bytes = packet.authenticate(&self.secrets);
         debug_assert!(bytes.len() <= size, "{} over {size}", bytes.len());
-        carried.into_iter().for_each(|id| self.statements.passed(id));
+        carried.into_iter().for_each(|id| self.statements.mark_transmitted(id));
         self.counts.sent_bytes += bytes.len() as u64;
         self.counts.packets += 1;
-        self.out.push_back(Outgoing { peer, bytes });
+        self.send_queue.push_back(Outgoing { peer, bytes });
         true
     }
 }
