--- a/agree/src/agreement.rs
+++ b/agree/src/agreement.rs
@@ -7,34 +7,34 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::Id;
+use crate::bootstrap::Bootstrap;
 use crate::certificate::Signer;
 use crate::council::Council;
-use crate::disk::{DiskWrite, Pending, PersistedState, RecoveryError, Snapshot};
-use crate::election::Post;
-use crate::follow::Following;
-use crate::founding::Founding;
-use crate::fresh::Freshness;
+use crate::disk::{DiskWrite, PersistedState, RecoveryError, Snapshot, WriteQueue};
+use crate::dissemination::Dissemination;
+use crate::election::RoleState;
 use crate::freshness::FreshnessProof;
+use crate::freshness_requests::FreshnessRequests;
 use crate::log::{Entry, Hash, Index, Log, LogPosition, Payload};
 use crate::machine::{Machine, UnsupportedDecision};
 use crate::requests::Requests;
 use crate::status::Counts;
-use crate::wire::{self, Message, Stage, Unfit};
+use crate::wire::{self, DecodeError, Message, Stage};
 
 /// Messages that wait to be sent, or for the disk; past that the oldest are lost, as on the network.
-const MOST_OUT: usize = 256;
+const MAX_OUTGOING: usize = 256;
 /// A snapshot is taken at every so many entries, the same ones at each member: its digest is part of what is
 /// signed.
-pub(crate) const SNAPSHOT_EVERY: u64 = 128;
+pub(crate) const SNAPSHOT_INTERVAL: u64 = 128;
 /// Entries kept for those who are behind: those since the last snapshot but one.
-const SNAPSHOTS: usize = 2;
+const KEPT_SNAPSHOTS: usize = 2;
 /// Entries that are kept at most for members whose signatures a new council waits for.
-const MOST_LOG: u64 = 8 * SNAPSHOT_EVERY;
+const MAX_LOG_ENTRIES: u64 = 8 * SNAPSHOT_INTERVAL;
 /// Requests that are remembered as done, so that one asked for again is not done again.
-const RECENT: usize = 512;
+const MAX_RECENT_REQUESTS: usize = 512;
 /// The machine's roots that are kept, for statements on decisions that are not the newest: as far back as the
 /// snapshots that statements name.
-const ROOTS: usize = SNAPSHOTS * SNAPSHOT_EVERY as usize;
+const MAX_ROOTS: usize = KEPT_SNAPSHOTS * SNAPSHOT_INTERVAL as usize;
 
 /// What is agreed for the agreement itself.
 #[derive(Clone, Debug, PartialEq)]
@@ -56,9 +56,9 @@
 
 /// A message that waits for the disk.
 #[derive(Clone, Debug, Hash)]
-struct Held {
-    position: u64,
-    out: Outgoing,
+struct QueuedMessage {
+    disk_position: u64,
+    outgoing: Outgoing,
 }
 
 /// One proxy's part.
@@ -68,34 +68,34 @@
     pub(crate) terms: AgreementTerms,
     pub(crate) keys: S,
     pub(crate) machine: M,
-    pub(crate) chance: Pcg64Mcg,
+    pub(crate) rng: Pcg64Mcg,
     /// Others that are there, as far as is known.
     peers: Vec<Id>,
-    pub(crate) kept: PersistedState,
-    pub(crate) disk: Pending,
-    pub(crate) founding: Founding,
-    pub(crate) post: Post,
+    pub(crate) persisted: PersistedState,
+    pub(crate) disk: WriteQueue,
+    pub(crate) bootstrap: Bootstrap,
+    pub(crate) role_state: RoleState,
     /// Up to where decisions are known, and are carried out.
     pub(crate) decided: Index,
     pub(crate) applied: Index,
     pub(crate) stopped: Option<UnsupportedDecision>,
     /// The council whose proofs are believed, by the index since which it votes, and the one before it.
-    pub(crate) trust: (Index, Council),
-    pub(crate) former: Option<Council>,
+    pub(crate) trusted: (Index, Council),
+    pub(crate) former_council: Option<Council>,
     /// The council before the present one by what is carried out: the same at all that have come as far, while
     /// `trust` and `former` may be ahead by a proof.
-    applied_former: Option<Council>,
-    recent: VecDeque<u64>,
+    applied_former_council: Option<Council>,
+    recent_requests: VecDeque<u64>,
     /// The machine's roots after the latest decisions.
     roots: VecDeque<(Index, Hash)>,
     /// Snapshots that are still of use, the newest last, with their digests.
     pub(crate) snapshots: VecDeque<(Snapshot, [u8; 32])>,
-    pub(crate) following: Following,
-    pub(crate) fresh: Freshness,
+    pub(crate) dissemination: Dissemination,
+    pub(crate) freshness: FreshnessRequests,
     pub(crate) requests: Requests,
-    out: VecDeque<Held>,
-    beat_at: f64,
-    pub(crate) beats: u64,
+    outgoing: VecDeque<QueuedMessage>,
+    next_heartbeat_at: f64,
+    pub(crate) heartbeats: u64,
     pub(crate) counts: Counts,
     #[cfg(test)]
     pub(crate) fault: Option<crate::tests::Fault>,
@@ -113,53 +113,53 @@
         seed: u64,
         now: f64,
     ) -> Result<Self, UnsupportedDecision> {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let founders = Council::bootstrap(terms.bootstrap_members.iter().copied());
-        let kept = file.unwrap_or_else(|_| PersistedState {
-            stage: Stage::Fresh,
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let bootstrap_council = Council::bootstrap(terms.bootstrap_members.iter().copied());
+        let persisted = file.unwrap_or_else(|_| PersistedState {
+            stage: Stage::New,
             // 0 is a founder's.
-            disk_id: chance.random_range(1..=u64::MAX),
+            disk_id: rng.random_range(1..=u64::MAX),
             term: 0,
             voted: None,
-            log: Log::new(LogPosition::default(), 0, founders.clone()),
+            log: Log::new(LogPosition::default(), 0, bootstrap_council.clone()),
             snapshot: None,
-            links: Vec::new(),
+            council_proofs: Vec::new(),
         });
         let mut agreement = Self {
             id,
             machine,
             keys,
             peers: Vec::new(),
-            disk: Pending::default(),
-            founding: Founding::new(chance.random(), now),
-            post: Post::idle(now, 0.0),
+            disk: WriteQueue::default(),
+            bootstrap: Bootstrap::new(rng.random(), now),
+            role_state: RoleState::follower(now, 0.0),
             decided: 0,
             applied: 0,
             stopped: None,
-            trust: (0, founders),
-            former: None,
-            applied_former: None,
-            recent: VecDeque::new(),
+            trusted: (0, bootstrap_council),
+            former_council: None,
+            applied_former_council: None,
+            recent_requests: VecDeque::new(),
             roots: VecDeque::new(),
             snapshots: VecDeque::new(),
-            following: Following::default(),
-            fresh: Freshness::default(),
+            dissemination: Dissemination::default(),
+            freshness: FreshnessRequests::default(),
             requests: Requests::default(),
-            out: VecDeque::new(),
-            beat_at: now + terms.heartbeat * chance.random::<f64>(),
-            beats: 0,
+            outgoing: VecDeque::new(),
+            next_heartbeat_at: now + terms.heartbeat * rng.random::<f64>(),
+            heartbeats: 0,
             counts: Counts::default(),
             #[cfg(test)]
             fault: None,
-            chance,
+            rng,
             terms,
-            kept,
+            persisted,
         };
-        if let Some(snapshot) = agreement.kept.snapshot.clone() {
+        if let Some(snapshot) = agreement.persisted.snapshot.clone() {
             agreement.restore(&snapshot)?;
         }
-        agreement.believe_links();
-        agreement.idle(now);
+        agreement.trust_council_proofs();
+        agreement.become_follower(now);
         // A torn tail goes with it, and a disk that cannot be written shows at once.
         agreement.disk.replace_file();
         Ok(agreement)
@@ -176,7 +176,7 @@
 
     /// The decision since which the council votes that is believed here.
     pub fn council_since(&self) -> Index {
-        self.trust.0
+        self.trusted.0
     }
 
     pub fn machine(&self) -> &M {
@@ -202,79 +202,88 @@
     }
 
     /// Any other proxy, or any other of the council.
-    pub(crate) fn any_peer(&mut self) -> Option<Id> {
-        self.peers.choose(&mut self.chance).copied()
+    pub(crate) fn random_peer(&mut self) -> Option<Id> {
+        self.peers.choose(&mut self.rng).copied()
     }
 
-    pub(crate) fn any_voter(&mut self) -> Option<Id> {
-        let voters: Vec<Id> = self.trust.1.ids().filter(|&id| id != self.id).collect();
-        voters.choose(&mut self.chance).copied()
+    pub(crate) fn random_voter(&mut self) -> Option<Id> {
+        let voters: Vec<Id> = self.trusted.1.ids().filter(|&id| id != self.id).collect();
+        voters.choose(&mut self.rng).copied()
     }
 
     /// When [`Agreement::turn`] is wanted.
     pub fn due(&self) -> f64 {
-        self.beat_at.min(self.disk.due())
+        self.next_heartbeat_at.min(self.disk.due())
     }
 
     /// Does what has fallen due.
     pub fn turn(&mut self, now: f64) {
-        if now < self.beat_at {
+        if now < self.next_heartbeat_at {
             return;
         }
-        let next = self.beat_at + self.terms.heartbeat * (0.9 + 0.2 * self.chance.random::<f64>());
-        self.beat_at = if next > now { next } else { now + self.terms.heartbeat };
-        self.beats += 1;
-        self.found(now);
-        self.stand(now);
-        self.lead_on(now);
-        self.spread();
-        self.ask_again(now);
-        self.keep_fresh(now);
+        let next = self.next_heartbeat_at + self.terms.heartbeat * (0.9 + 0.2 * self.rng.random::<f64>());
+        self.next_heartbeat_at = if next > now { next } else { now + self.terms.heartbeat };
+        self.heartbeats += 1;
+        self.query_bootstrap_peers(now);
+        self.start_election_if_due(now);
+        self.leader_heartbeat(now);
+        self.disseminate();
+        self.resend_requests(now);
+        self.refresh_if_due(now);
     }
 
     /// A message of another proxy, proved to be its own. Anything may stand in it.
     pub fn receive(&mut self, now: f64, from: Id, bytes: &[u8]) {
-        let message = match wire::read(bytes) {
+        let message = match wire::decode(bytes) {
             Ok(message) => message,
-            Err(unfit) => {
+            Err(error) => {
                 let counts = &mut self.counts;
-                *(if unfit == Unfit::Version { &mut counts.unknown } else { &mut counts.malformed }) += 1;
+                *(if error == DecodeError::Version { &mut counts.unknown } else { &mut counts.malformed }) +=
+                    1;
                 return;
             }
         };
         if from == self.id {
-            self.counts.stray += 1;
+            self.counts.unexpected_sender += 1;
             return;
         }
         match message {
-            Message::Hello { nonce, stage, disk_id } => self.hello(from, nonce, stage, disk_id),
-            Message::Known { nonce, stage, term, acked } => self.known(now, from, nonce, stage, term, acked),
-            Message::Ask { term, trial, disk_id, index, of } => {
-                self.asked(now, from, term, trial, disk_id, index, of);
+            Message::Hello { nonce, stage, disk_id } => self.handle_hello(from, nonce, stage, disk_id),
+            Message::HelloResponse { nonce, stage, term, acked } => {
+                self.handle_hello_response(now, from, nonce, stage, term, acked)
             }
-            Message::Vote { term, trial, granted, disk_id } => {
-                self.voted(now, from, term, trial, granted, disk_id)
+            Message::RequestVote { term, pre_vote, disk_id, last_index, last_term } => {
+                self.handle_vote_request(now, from, term, pre_vote, disk_id, last_index, last_term);
+            }
+            Message::Vote { term, pre_vote, granted, disk_id } => {
+                self.handle_vote(now, from, term, pre_vote, granted, disk_id)
             }
             Message::Append { term, round, disk_id, prev, hash, entries, decided } => {
-                self.appended(now, from, term, round, disk_id, (prev, hash), entries, decided);
+                self.handle_append(now, from, term, round, disk_id, (prev, hash), entries, decided);
             }
-            Message::Have { term, round, disk_id, index, fits, signed } => {
-                self.has(now, from, term, round, disk_id, index, fits, signed);
+            Message::AppendResponse { term, round, disk_id, index, fits, signed } => {
+                self.handle_append_response(now, from, term, round, disk_id, index, fits, signed);
             }
-            Message::Tell { seal } => self.told(from, seal),
-            Message::Pull { index, hash, version, sealed, piece } => {
-                self.pulled(from, index, &hash, version, sealed, piece);
+            Message::Certificate { certificate } => self.handle_certificate(from, certificate),
+            Message::Pull { index, hash, council_version, certified, chunk } => {
+                self.handle_pull(from, index, &hash, council_version, certified, chunk);
             }
-            Message::Entries { prev, hash, entries } => self.entries(from, prev, &hash, entries),
-            Message::Council { link } => self.linked(from, *link),
-            Message::Piece { index, hash, term, at, of, bytes } => {
-                self.piece(from, LogPosition { index, term, hash }, at, of, &bytes);
+            Message::Entries { prev, hash, entries } => self.handle_entries(from, prev, &hash, entries),
+            Message::Council { proof } => self.handle_council_proof(from, *proof),
+            Message::SnapshotChunk { index, hash, term, offset, total_bytes, bytes } => {
+                self.handle_snapshot_chunk(
+                    from,
+                    LogPosition { index, term, hash },
+                    offset,
+                    total_bytes,
+                    &bytes,
+                );
             }
-            Message::Propose { request, payload } => self.proposed(now, from, request, payload),
-            Message::Refused { request, refusal } => self.refused(from, request, refusal),
-            Message::Fresh { nonce } => self.fresh_wanted(from, nonce),
-            Message::FreshIs { nonce, index, signature } => {
-                self.fresh_told(FreshnessProof { nonce, index, signer: from, signature });
+            Message::Propose { request, payload } => self.handle_propose(now, from, request, payload),
+            Message::Refused { request, refusal } => self.handle_refused(from, request, refusal),
+            Message::FreshnessRequest { nonce } => self.handle_freshness_request(from, nonce),
+            Message::FreshnessResponse { nonce, index, signature } => {
+                self.handle_freshness_response(FreshnessProof { nonce, index, signer: from, signature });
             }
         }
     }
@@ -282,8 +291,8 @@
     /// The next message to send.
     pub fn outgoing(&mut self) -> Option<Outgoing> {
         let synced = self.disk.synced();
-        let at = self.out.iter().position(|held| held.position <= synced)?;
-        self.out.remove(at).map(|held| held.out)
+        let ready = self.outgoing.iter().position(|message| message.disk_position <= synced)?;
+        self.outgoing.remove(ready).map(|message| message.outgoing)
     }
 
     pub(crate) fn send(&mut self, to: Id, message: &Message) {
@@ -291,72 +300,74 @@
     }
 
     /// Sends what rests on all that was written by now.
-    pub(crate) fn send_kept(&mut self, to: Id, message: &Message) {
+    pub(crate) fn send_after_sync(&mut self, to: Id, message: &Message) {
         self.send_after(self.disk.position(), to, message);
     }
 
-    fn send_after(&mut self, position: u64, to: Id, message: &Message) {
-        let bytes = wire::write(message);
-        debug_assert!(bytes.len() <= wire::LARGEST, "{} bytes: {message:?}", bytes.len());
-        if self.out.len() >= MOST_OUT {
-            self.out.pop_front();
-            self.counts.crowded += 1;
+    fn send_after(&mut self, disk_position: u64, to: Id, message: &Message) {
+        let bytes = wire::encode(message);
+        debug_assert!(bytes.len() <= wire::MAX_MESSAGE_BYTES, "{} bytes: {message:?}", bytes.len());
+        if self.outgoing.len() >= MAX_OUTGOING {
+            self.outgoing.pop_front();
+            self.counts.dropped_outgoing += 1;
         }
-        self.out.push_back(Held { position, out: Outgoing { to, bytes } });
+        self.outgoing.push_back(QueuedMessage { disk_position, outgoing: Outgoing { to, bytes } });
     }
 
     /// Whether anything of this proxy's must last: it was named as a founder, or has a seat.
-    pub(crate) fn keeps(&self) -> bool {
-        self.terms.bootstrap_members.contains(&self.id) || self.kept.log.council().contains(self.id)
+    pub(crate) fn persists_state(&self) -> bool {
+        self.terms.bootstrap_members.contains(&self.id) || self.persisted.log.council().contains(self.id)
     }
 
-    pub(crate) fn keep(&mut self, bytes: Vec<u8>) {
-        if self.keeps() {
-            self.disk.keep(&bytes);
+    pub(crate) fn persist(&mut self, bytes: Vec<u8>) {
+        if self.persists_state() {
+            self.disk.append(&bytes);
         }
     }
 
     /// Bytes for the disk: to be written and synced, in place of the whole file where they begin anew. The
     /// next ones come when these are told as [`Agreement::write_succeeded`] or [`Agreement::write_failed`].
     pub fn next_write(&mut self, now: f64) -> Option<DiskWrite> {
-        if !self.keeps() {
-            self.disk.skip();
+        if !self.persists_state() {
+            self.disk.discard();
             return None;
         }
-        self.disk.begin(now, || self.kept.whole())
+        self.disk.next_write(now, || self.persisted.encode_file())
     }
 
     pub fn write_succeeded(&mut self, now: f64) {
-        self.disk.done();
-        self.has_own(now);
-        self.tally(now);
+        self.disk.write_succeeded();
+        self.update_own_progress(now);
+        self.count_votes(now);
     }
 
     /// The disk refused: it is tried again after a while, with all that is to last.
     pub fn write_failed(&mut self, now: f64) {
-        self.disk.refused(now, self.terms.heartbeat);
-        self.idle(now);
+        self.disk.write_failed(now, self.terms.heartbeat);
+        self.become_follower(now);
     }
 
     /// Carries out what is decided.
     pub(crate) fn apply(&mut self) {
         while self.applied < self.decided && self.stopped.is_none() {
             let index = self.applied + 1;
-            let Some(Entry { request, payload, .. }) = self.kept.log.entry(index).cloned() else { return };
-            let done = request != 0 && self.recent.contains(&request);
+            let Some(Entry { request, payload, .. }) = self.persisted.log.entry(index).cloned() else {
+                return;
+            };
+            let done = request != 0 && self.recent_requests.contains(&request);
             let mut answer = Vec::new();
             let changes_council = matches!(payload, Payload::Council(_));
             match payload {
                 Payload::Begin => {}
                 Payload::Council(council) => {
-                    self.applied_former = Some(self.kept.log.council_at(index - 1).1.clone());
-                    self.trust_at_least((index, council), self.applied_former.clone());
+                    self.applied_former_council = Some(self.persisted.log.council_at(index - 1).1.clone());
+                    self.trust_logged_council((index, council), self.applied_former_council.clone());
                 }
                 Payload::Decide { part, command } if !done => {
                     match self.machine.decide(index, part, &command) {
-                        Ok(came_to) => answer = came_to,
-                        Err(unknown) => {
-                            self.stopped = Some(unknown);
+                        Ok(result) => answer = result,
+                        Err(unsupported) => {
+                            self.stopped = Some(unsupported);
                             return;
                         }
                     }
@@ -364,11 +375,11 @@
                 Payload::Decide { .. } => {}
             }
             self.applied = index;
-            self.note_root();
+            self.record_root();
             if request != 0 && !done {
-                self.recent.push_back(request);
-                if self.recent.len() > RECENT {
-                    self.recent.pop_front();
+                self.recent_requests.push_back(request);
+                if self.recent_requests.len() > MAX_RECENT_REQUESTS {
+                    self.recent_requests.pop_front();
                 }
                 if changes_council {
                     self.requests.council_decided(request, index);
@@ -376,17 +387,17 @@
                     self.requests.decided(request, index, answer);
                 }
             }
-            if index.is_multiple_of(SNAPSHOT_EVERY) {
-                self.snap();
+            if index.is_multiple_of(SNAPSHOT_INTERVAL) {
+                self.take_snapshot();
             }
         }
-        self.tell_proved();
-        self.arrive();
+        self.report_proved_councils();
+        self.complete_refresh();
     }
 
-    fn note_root(&mut self) {
+    fn record_root(&mut self) {
         self.roots.push_back((self.applied, self.machine.root()));
-        if self.roots.len() > ROOTS {
+        if self.roots.len() > MAX_ROOTS {
             self.roots.pop_front();
         }
     }
@@ -398,91 +409,93 @@
     }
 
     /// A council of the log takes the place of the trusted one, where no proof of a later one came before.
-    fn trust_at_least(&mut self, council: (Index, Council), former: Option<Council>) {
-        if council.0 >= self.trust.0 {
-            (self.trust, self.former) = (council, former);
+    fn trust_logged_council(&mut self, council: (Index, Council), former: Option<Council>) {
+        if council.0 >= self.trusted.0 {
+            (self.trusted, self.former_council) = (council, former);
         }
     }
 
     /// What the decisions so far came to: nothing in it may depend on the way they came here.
-    fn snap(&mut self) {
-        let mark = self.kept.log.mark(self.applied).expect("just carried out");
-        let council = self.kept.log.council_at(self.applied);
-        let state = (council, &self.applied_former, &self.recent, self.machine.state());
+    fn take_snapshot(&mut self) {
+        let log_position = self.persisted.log.position_at(self.applied).expect("just carried out");
+        let council = self.persisted.log.council_at(self.applied);
+        let state = (council, &self.applied_former_council, &self.recent_requests, self.machine.state());
         let bytes = postcard::to_stdvec(&state).expect("plain data");
-        self.hold(Snapshot { mark, bytes });
+        self.store_snapshot(Snapshot { log_position, bytes });
     }
 
-    fn hold(&mut self, snapshot: Snapshot) {
+    fn store_snapshot(&mut self, snapshot: Snapshot) {
         let digest = snapshot.digest();
         self.snapshots.push_back((snapshot.clone(), digest));
-        while self.snapshots.len() > SNAPSHOTS {
+        while self.snapshots.len() > KEPT_SNAPSHOTS {
             self.snapshots.pop_front();
         }
         // A member of the council before may have to sign for the present one, and is behind: it gets a snapshot
         // only by a proof that waits for its signature, so it must find the entries here.
-        let awaits_signatures =
-            !self.is_linked() && self.kept.log.last().index < self.kept.log.base().index + MOST_LOG;
-        if awaits_signatures && self.kept.snapshot.is_some() {
+        let awaits_signatures = !self.is_council_proved()
+            && self.persisted.log.last().index < self.persisted.log.base().index + MAX_LOG_ENTRIES;
+        if awaits_signatures && self.persisted.snapshot.is_some() {
             return;
         }
         // Not at the first one already: whoever is behind it gets it only once it is proved.
-        if self.snapshots.len() == SNAPSHOTS {
-            self.kept.log.fold(self.snapshots[0].0.mark.index);
+        if self.snapshots.len() == KEPT_SNAPSHOTS {
+            self.persisted.log.compact(self.snapshots[0].0.log_position.index);
         }
-        self.kept.snapshot = Some(snapshot);
+        self.persisted.snapshot = Some(snapshot);
         self.disk.replace_file();
     }
 
     /// Begins anew from a snapshot that is proved, or its own.
     pub(crate) fn restore(&mut self, snapshot: &Snapshot) -> Result<(), UnsupportedDecision> {
         type State = ((Index, Council), Option<Council>, VecDeque<u64>, Vec<u8>);
-        let mark = snapshot.mark;
-        let unread = |_| UnsupportedDecision {
-            index: mark.index,
+        let log_position = snapshot.log_position;
+        let unreadable = |_| UnsupportedDecision {
+            index: log_position.index,
             part: 0,
             reason: "a snapshot of no known form".to_owned(),
         };
         let (council, former, recent, state): State =
-            postcard::from_bytes(&snapshot.bytes).map_err(unread)?;
-        self.machine.restore(mark.index, &state)?;
+            postcard::from_bytes(&snapshot.bytes).map_err(unreadable)?;
+        self.machine.restore(log_position.index, &state)?;
         // Entries that follow it are kept: this member may have given its word for them.
         #[cfg(test)]
-        let goes_on =
-            self.kept.log.has(mark.index, &mark.hash) && !self.planted(crate::tests::Fault::SnapshotOver);
+        let log_continues = self.persisted.log.contains(log_position.index, &log_position.hash)
+            && !self.has_fault(crate::tests::Fault::SnapshotOverwritesEntries);
         #[cfg(not(test))]
-        let goes_on = self.kept.log.has(mark.index, &mark.hash);
-        if !goes_on {
-            self.kept.log = Log::new(mark, council.0, council.1.clone());
+        let log_continues = self.persisted.log.contains(log_position.index, &log_position.hash);
+        if !log_continues {
+            self.persisted.log = Log::new(log_position, council.0, council.1.clone());
         }
-        (self.applied_former, self.recent) = (former.clone(), recent);
-        self.trust_at_least(council, former);
-        (self.decided, self.applied) = (self.decided.max(mark.index), mark.index);
+        (self.applied_former_council, self.recent_requests) = (former.clone(), recent);
+        self.trust_logged_council(council, former);
+        (self.decided, self.applied) = (self.decided.max(log_position.index), log_position.index);
         self.roots.clear();
-        self.note_root();
-        self.requests.passed_over(&self.recent, mark.index);
+        self.record_root();
+        self.requests.skipped_by_snapshot(&self.recent_requests, log_position.index);
         self.snapshots.clear();
-        self.hold(snapshot.clone());
+        self.store_snapshot(snapshot.clone());
         self.apply();
         Ok(())
     }
 
     #[cfg(test)]
-    pub(crate) fn planted(&self, fault: crate::tests::Fault) -> bool {
+    pub(crate) fn has_fault(&self, fault: crate::tests::Fault) -> bool {
         self.fault == Some(fault)
     }
 
     /// Whether a request is done, or on its way in the log.
-    pub(crate) fn knows(&self, request: u64) -> bool {
-        let log = &self.kept.log;
+    pub(crate) fn knows_request(&self, request: u64) -> bool {
+        let log = &self.persisted.log;
         let open = (self.applied + 1..=log.last().index).filter_map(|index| log.entry(index));
-        self.recent.contains(&request) || open.into_iter().any(|entry| entry.request == request)
+        self.recent_requests.contains(&request) || open.into_iter().any(|entry| entry.request == request)
     }
 
     /// How far each of the council has come, for operators.
-    pub(crate) fn heard_of(&self) -> BTreeMap<Id, Index> {
-        match &self.post {
-            Post::Leading(lead) => lead.progress.iter().map(|(&id, progress)| (id, progress.has)).collect(),
+    pub(crate) fn follower_progress(&self) -> BTreeMap<Id, Index> {
+        match &self.role_state {
+            RoleState::Leader(lead) => {
+                lead.progress.iter().map(|(&id, progress)| (id, progress.matched)).collect()
+            }
             _ => BTreeMap::new(),
         }
     }
--- a/agree/src/certificate.rs
+++ b/agree/src/certificate.rs
@@ -11,14 +11,14 @@
 use crate::log::{Hash, Index};
 
 /// Bytes of a signature.
-pub const SIGNATURE: usize = gossip::keys::SIGNATURE;
+pub const SIGNATURE_BYTES: usize = gossip::keys::SIGNATURE;
 /// What a signature is for: nothing else that the key signs begins so.
 const DOMAIN: &[u8] = b"frostthread agree 2";
 
 /// How members sign, and who said what.
 pub trait Signer {
-    fn sign(&self, bytes: &[u8]) -> [u8; SIGNATURE];
-    fn verify(&self, by: Id, bytes: &[u8], signature: &[u8; SIGNATURE]) -> bool;
+    fn sign(&self, bytes: &[u8]) -> [u8; SIGNATURE_BYTES];
+    fn verify(&self, by: Id, bytes: &[u8], signature: &[u8; SIGNATURE_BYTES]) -> bool;
 }
 
 /// What a member says of the log: all up to `index` is decided, and comes to this.
@@ -63,12 +63,13 @@
     /// Whether a majority of the council signed it.
     pub fn is_valid(&self, council: &Council, keys: &impl Signer) -> bool {
         let bytes = self.statement.bytes();
-        let said = |id: Id| {
-            let mut of = self.signatures.iter().filter(|(by, _)| *by == id);
-            let signature = of.next().and_then(|(_, signature)| signature.as_slice().try_into().ok());
+        let has_signed = |id: Id| {
+            let mut own = self.signatures.iter().filter(|(by, _)| *by == id);
+            let signature = own.next().and_then(|(_, signature)| signature.as_slice().try_into().ok());
             signature.is_some_and(|signature| keys.verify(id, &bytes, signature))
         };
-        self.signatures.len() <= crate::council::MAX_VOTERS && council.is_majority(|voter| said(voter.id))
+        self.signatures.len() <= crate::council::MAX_VOTERS
+            && council.is_majority(|voter| has_signed(voter.id))
     }
 }
 
@@ -94,11 +95,11 @@
 }
 
 impl Signer for FleetKeys {
-    fn sign(&self, bytes: &[u8]) -> [u8; SIGNATURE] {
+    fn sign(&self, bytes: &[u8]) -> [u8; SIGNATURE_BYTES] {
         self.secrets.sign(bytes)
     }
 
-    fn verify(&self, by: Id, bytes: &[u8], signature: &[u8; SIGNATURE]) -> bool {
+    fn verify(&self, by: Id, bytes: &[u8], signature: &[u8; SIGNATURE_BYTES]) -> bool {
         self.roster.said(by, bytes, signature)
     }
 }
--- a/agree/src/council.rs
+++ b/agree/src/council.rs
@@ -68,10 +68,10 @@
 
     /// Whether it is fit to follow the other: one seat more or less, nobody twice, not empty, not too many.
     pub fn follows(&self, former: &Self) -> bool {
-        let gone = former.voters.iter().filter(|voter| !self.voters.contains(voter)).count();
-        let come = self.voters.iter().filter(|voter| !former.voters.contains(voter)).count();
+        let removed = former.voters.iter().filter(|voter| !self.voters.contains(voter)).count();
+        let added = self.voters.iter().filter(|voter| !former.voters.contains(voter)).count();
         let sorted = self.voters.windows(2).all(|pair| pair[0].id < pair[1].id);
-        gone + come == 1 && sorted && (1..=MAX_VOTERS).contains(&self.voters.len())
+        removed + added == 1 && sorted && (1..=MAX_VOTERS).contains(&self.voters.len())
     }
 
     pub fn digest(&self) -> Hash {
--- a/agree/src/disk.rs
+++ b/agree/src/disk.rs
@@ -19,18 +19,18 @@
 use crate::wire::Stage;
 
 /// Bytes of a snapshot in a frame.
-const PIECE: usize = 2048;
+const CHUNK_BYTES: usize = 2048;
 
 /// A snapshot of what the decisions up to a mark came to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
-    pub mark: LogPosition,
+    pub log_position: LogPosition,
     pub bytes: Vec<u8>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Record {
-    Voter {
+    DiskState {
         stage: Stage,
         disk_id: u64,
     },
@@ -44,13 +44,13 @@
         entries: Vec<Entry>,
     },
     /// The log begins after a snapshot.
-    Begins {
-        mark: LogPosition,
+    LogStart {
+        log_position: LogPosition,
         version: Index,
         council: Council,
         bytes: u32,
     },
-    Piece(Vec<u8>),
+    SnapshotChunk(Vec<u8>),
     CouncilProof(CouncilProof),
 }
 
@@ -64,7 +64,7 @@
     pub voted: Option<Id>,
     pub log: Log,
     pub snapshot: Option<Snapshot>,
-    pub links: Vec<CouncilProof>,
+    pub council_proofs: Vec<CouncilProof>,
 }
 
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
@@ -77,108 +77,116 @@
     Inconsistent,
 }
 
-fn frame(to: &mut Vec<u8>, record: &Record) {
+fn write_frame(to: &mut Vec<u8>, record: &Record) {
     frames::write(to, &postcard::to_stdvec(record).expect("plain data"));
 }
 
 /// The frame of a seat's standing.
-pub fn seat(stage: Stage, disk_id: u64) -> Vec<u8> {
+pub fn encode_disk_state(stage: Stage, disk_id: u64) -> Vec<u8> {
     let mut bytes = Vec::new();
-    frame(&mut bytes, &Record::Voter { stage, disk_id });
+    write_frame(&mut bytes, &Record::DiskState { stage, disk_id });
     bytes
 }
 
-pub fn vote(term: Term, voted: Option<Id>) -> Vec<u8> {
+pub fn encode_vote(term: Term, voted: Option<Id>) -> Vec<u8> {
     let mut bytes = Vec::new();
-    frame(&mut bytes, &Record::Vote { term, voted });
+    write_frame(&mut bytes, &Record::Vote { term, voted });
     bytes
 }
 
-pub fn link(link: &CouncilProof) -> Vec<u8> {
+pub fn encode_council_proof(proof: &CouncilProof) -> Vec<u8> {
     let mut bytes = Vec::new();
-    frame(&mut bytes, &Record::CouncilProof(link.clone()));
+    write_frame(&mut bytes, &Record::CouncilProof(proof.clone()));
     bytes
 }
 
-pub fn append(after: Index, entries: &[Entry]) -> Vec<u8> {
+pub fn encode_append(after: Index, entries: &[Entry]) -> Vec<u8> {
     let mut bytes = Vec::new();
     // A cut alone is written too.
-    let none: &[Entry] = &[];
-    let chunks = if entries.is_empty() { vec![none] } else { entries.chunks(4).collect() };
+    let no_entries: &[Entry] = &[];
+    let chunks = if entries.is_empty() { vec![no_entries] } else { entries.chunks(4).collect() };
     for (i, entries) in chunks.into_iter().enumerate() {
         let after = after + 4 * i as u64;
-        frame(&mut bytes, &Record::Append { after, entries: entries.to_vec() });
+        write_frame(&mut bytes, &Record::Append { after, entries: entries.to_vec() });
     }
     bytes
 }
 
 impl PersistedState {
     /// The whole file.
-    pub fn whole(&self) -> Vec<u8> {
-        let mut bytes = seat(self.stage, self.disk_id);
-        bytes.extend(vote(self.term, self.voted));
+    pub fn encode_file(&self) -> Vec<u8> {
+        let mut bytes = encode_disk_state(self.stage, self.disk_id);
+        bytes.extend(encode_vote(self.term, self.voted));
         let snapshot = self.snapshot.as_ref();
         // The log in memory may reach further back than the snapshot, for those who are behind.
-        let begins = snapshot.map_or(self.log.base(), |snapshot| snapshot.mark);
-        let (version, council) = self.log.council_at(begins.index).clone();
-        let body = snapshot.map_or(&[][..], |snapshot| &snapshot.bytes);
-        frame(&mut bytes, &Record::Begins { mark: begins, version, council, bytes: body.len() as u32 });
-        body.chunks(PIECE).for_each(|piece| frame(&mut bytes, &Record::Piece(piece.to_vec())));
-        bytes.extend(append(begins.index, &self.log.since(begins.index, usize::MAX)));
-        self.links.iter().for_each(|of| bytes.extend(link(of)));
+        let start = snapshot.map_or(self.log.base(), |snapshot| snapshot.log_position);
+        let (version, council) = self.log.council_at(start.index).clone();
+        let snapshot_bytes = snapshot.map_or(&[][..], |snapshot| &snapshot.bytes);
+        write_frame(
+            &mut bytes,
+            &Record::LogStart { log_position: start, version, council, bytes: snapshot_bytes.len() as u32 },
+        );
+        snapshot_bytes
+            .chunks(CHUNK_BYTES)
+            .for_each(|chunk| write_frame(&mut bytes, &Record::SnapshotChunk(chunk.to_vec())));
+        bytes.extend(encode_append(start.index, &self.log.entries_after(start.index, usize::MAX)));
+        self.council_proofs.iter().for_each(|proof| bytes.extend(encode_council_proof(proof)));
         bytes
     }
 }
 
 /// What a file holds.
 pub fn recover(bytes: &[u8]) -> Result<PersistedState, RecoveryError> {
-    let found = frames::read(bytes, |body| {
+    let frames_read = frames::read(bytes, |body| {
         let (record, rest) = postcard::take_from_bytes::<Record>(body).ok()?;
         rest.is_empty().then_some(record)
     });
-    if let Some(damage) = found.damage.iter().find(|damage| !damage.torn) {
+    if let Some(damage) = frames_read.damage.iter().find(|damage| !damage.torn) {
         return Err(RecoveryError::Damaged { offset: damage.at });
     }
-    let mut records = found.entries.into_iter();
-    let Some(Record::Voter { stage, disk_id }) = records.next() else { return Err(RecoveryError::Empty) };
-    let nowhere = Log::new(LogPosition::default(), 0, Council::default());
-    let mut kept = PersistedState {
+    let mut records = frames_read.entries.into_iter();
+    let Some(Record::DiskState { stage, disk_id }) = records.next() else { return Err(RecoveryError::Empty) };
+    let empty_log = Log::new(LogPosition::default(), 0, Council::default());
+    let mut persisted = PersistedState {
         stage,
         disk_id,
         term: 0,
         voted: None,
-        log: nowhere,
+        log: empty_log,
         snapshot: None,
-        links: Vec::new(),
+        council_proofs: Vec::new(),
     };
     // Bytes of the snapshot that are still to come.
-    let mut wanted = 0;
-    let mut begun = false;
+    let mut remaining_bytes = 0;
+    let mut log_started = false;
     for record in records {
         match record {
-            Record::Voter { stage, disk_id } => (kept.stage, kept.disk_id) = (stage, disk_id),
-            Record::Vote { term, voted } => (kept.term, kept.voted) = (term, voted),
-            Record::Begins { mark, version, council, bytes } => {
-                (kept.log, wanted, begun) = (Log::new(mark, version, council), bytes as usize, true);
-                kept.snapshot = (mark.index > 0).then(|| Snapshot { mark, bytes: Vec::new() });
+            Record::DiskState { stage, disk_id } => (persisted.stage, persisted.disk_id) = (stage, disk_id),
+            Record::Vote { term, voted } => (persisted.term, persisted.voted) = (term, voted),
+            Record::LogStart { log_position, version, council, bytes } => {
+                (persisted.log, remaining_bytes, log_started) =
+                    (Log::new(log_position, version, council), bytes as usize, true);
+                persisted.snapshot =
+                    (log_position.index > 0).then(|| Snapshot { log_position, bytes: Vec::new() });
             }
-            Record::Piece(piece) => {
-                let snapshot = kept.snapshot.as_mut().ok_or(RecoveryError::Inconsistent)?;
-                wanted = wanted.checked_sub(piece.len()).ok_or(RecoveryError::Inconsistent)?;
-                snapshot.bytes.extend(piece);
+            Record::SnapshotChunk(chunk) => {
+                let snapshot = persisted.snapshot.as_mut().ok_or(RecoveryError::Inconsistent)?;
+                remaining_bytes =
+                    remaining_bytes.checked_sub(chunk.len()).ok_or(RecoveryError::Inconsistent)?;
+                snapshot.bytes.extend(chunk);
             }
             Record::Append { after, entries } => {
-                if !begun || after > kept.log.last().index || after < kept.log.base().index {
+                if !log_started || after > persisted.log.last().index || after < persisted.log.base().index {
                     return Err(RecoveryError::Inconsistent);
                 }
-                kept.log.cut(after);
-                kept.log.extend(entries);
+                persisted.log.truncate_after(after);
+                persisted.log.extend(entries);
             }
-            Record::CouncilProof(link) => kept.links.push(link),
+            Record::CouncilProof(proof) => persisted.council_proofs.push(proof),
         }
     }
     // A file is written whole before it takes the place of another: a part of one is no torn tail.
-    if !begun || wanted > 0 { Err(RecoveryError::Inconsistent) } else { Ok(kept) }
+    if !log_started || remaining_bytes > 0 { Err(RecoveryError::Inconsistent) } else { Ok(persisted) }
 }
 
 impl Snapshot {
@@ -196,11 +204,11 @@
 }
 
 /// A disk that refused is tried again after so many beats.
-const RETRY_BEATS: f64 = 10.0;
+const RETRY_HEARTBEATS: f64 = 10.0;
 
 /// What is to be written, and how far it is. Positions count what was kept.
 #[derive(Clone, Debug, Default)]
-pub struct Pending {
+pub struct WriteQueue {
     bytes: Vec<u8>,
     replaces_file: bool,
     position: u64,
@@ -211,8 +219,8 @@
     retry_at: Option<f64>,
 }
 
-impl Pending {
-    pub(crate) fn keep(&mut self, bytes: &[u8]) {
+impl WriteQueue {
+    pub(crate) fn append(&mut self, bytes: &[u8]) {
         self.bytes.extend(bytes);
         self.position += 1;
     }
@@ -232,12 +240,12 @@
     }
 
     /// Whether it can be rested on.
-    pub(crate) fn is_sound(&self) -> bool {
+    pub(crate) fn is_writable(&self) -> bool {
         self.retry_at.is_none()
     }
 
     /// Nothing has to last.
-    pub(crate) fn skip(&mut self) {
+    pub(crate) fn discard(&mut self) {
         self.bytes.clear();
         self.synced = self.position;
     }
@@ -246,25 +254,29 @@
         self.retry_at.filter(|_| self.writing.is_none()).unwrap_or(f64::INFINITY)
     }
 
-    pub(crate) fn begin(&mut self, now: f64, whole: impl FnOnce() -> Vec<u8>) -> Option<DiskWrite> {
-        let waits = self.writing.is_some() || self.retry_at.is_some_and(|at| now < at);
-        if waits || (self.bytes.is_empty() && !self.replaces_file) {
+    pub(crate) fn next_write(
+        &mut self,
+        now: f64,
+        encode_file: impl FnOnce() -> Vec<u8>,
+    ) -> Option<DiskWrite> {
+        let busy = self.writing.is_some() || self.retry_at.is_some_and(|at| now < at);
+        if busy || (self.bytes.is_empty() && !self.replaces_file) {
             return None;
         }
         self.writing = Some(self.position);
         let replaces_file = std::mem::take(&mut self.replaces_file);
         let pending = std::mem::take(&mut self.bytes);
-        Some(DiskWrite { replaces_file, bytes: if replaces_file { whole() } else { pending } })
+        Some(DiskWrite { replaces_file, bytes: if replaces_file { encode_file() } else { pending } })
     }
 
-    pub(crate) fn done(&mut self) {
+    pub(crate) fn write_succeeded(&mut self) {
         self.synced = self.writing.take().unwrap_or(self.synced);
         self.retry_at = None;
     }
 
-    pub(crate) fn refused(&mut self, now: f64, heartbeat: f64) {
+    pub(crate) fn write_failed(&mut self, now: f64, heartbeat: f64) {
         (self.writing, self.replaces_file) = (None, true);
         self.bytes.clear();
-        self.retry_at = Some(now + RETRY_BEATS * heartbeat);
+        self.retry_at = Some(now + RETRY_HEARTBEATS * heartbeat);
     }
 }
--- a/agree/src/freshness.rs
+++ b/agree/src/freshness.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Id;
-use crate::certificate::{SIGNATURE, Signer};
+use crate::certificate::{SIGNATURE_BYTES, Signer};
 use crate::council::Council;
 use crate::log::Index;
 
@@ -33,7 +33,7 @@
 
     /// Whether a voter of the council signed it.
     pub fn is_valid(&self, council: &Council, keys: &impl Signer) -> bool {
-        let signature: Option<&[u8; SIGNATURE]> = self.signature.as_slice().try_into().ok();
+        let signature: Option<&[u8; SIGNATURE_BYTES]> = self.signature.as_slice().try_into().ok();
         let signed = |of| keys.verify(self.signer, &Self::bytes(&self.nonce, self.index), of);
         council.contains(self.signer) && signature.is_some_and(signed)
     }
--- a/agree/src/lib.rs
+++ b/agree/src/lib.rs
@@ -11,17 +11,17 @@
 #![forbid(unsafe_code)]
 
 mod agreement;
+mod bootstrap;
 pub mod certificate;
 pub mod council;
 pub mod disk;
+mod dissemination;
 mod election;
-mod follow;
-mod founding;
-mod fresh;
 pub mod freshness;
+mod freshness_requests;
 pub mod log;
 mod machine;
-mod replicate;
+mod replication;
 mod requests;
 mod status;
 #[cfg(test)]
--- a/agree/src/log.rs
+++ b/agree/src/log.rs
@@ -38,9 +38,9 @@
         postcard::experimental::serialized_size(self).expect("plain data")
     }
 
-    fn chained(&self, former: &Hash) -> Hash {
+    fn chain_hash(&self, previous: &Hash) -> Hash {
         let mut hasher = blake3::Hasher::new();
-        hasher.update(former);
+        hasher.update(previous);
         hasher.update(&postcard::to_stdvec(self).expect("plain data"));
         *hasher.finalize().as_bytes()
     }
@@ -81,31 +81,31 @@
         })
     }
 
-    fn place(&self, index: Index) -> Option<usize> {
+    fn offset_of(&self, index: Index) -> Option<usize> {
         index.checked_sub(self.base.index + 1).map(|at| at as usize)
     }
 
     pub fn entry(&self, index: Index) -> Option<&Entry> {
-        self.entries.get(self.place(index)?).map(|(entry, _)| entry)
+        self.entries.get(self.offset_of(index)?).map(|(entry, _)| entry)
     }
 
-    pub fn mark(&self, index: Index) -> Option<LogPosition> {
+    pub fn position_at(&self, index: Index) -> Option<LogPosition> {
         if index == self.base.index {
             return Some(self.base);
         }
-        let (entry, hash) = self.entries.get(self.place(index)?)?;
+        let (entry, hash) = self.entries.get(self.offset_of(index)?)?;
         Some(LogPosition { index, term: entry.term, hash: *hash })
     }
 
     /// Whether the log has that hash there.
-    pub fn has(&self, index: Index, hash: &Hash) -> bool {
-        self.mark(index).is_some_and(|mark| mark.hash == *hash)
+    pub fn contains(&self, index: Index, hash: &Hash) -> bool {
+        self.position_at(index).is_some_and(|log_position| log_position.hash == *hash)
     }
 
     pub fn append(&mut self, entry: Entry) -> LogPosition {
-        let former = self.last();
-        let hash = entry.chained(&former.hash);
-        let index = former.index + 1;
+        let previous = self.last();
+        let hash = entry.chain_hash(&previous.hash);
+        let index = previous.index + 1;
         if let Payload::Council(council) = &entry.payload {
             self.councils.push((index, council.clone()));
         }
@@ -121,7 +121,7 @@
     }
 
     /// Takes back all that follows an index.
-    pub fn cut(&mut self, after: Index) {
+    pub fn truncate_after(&mut self, after: Index) {
         let kept = after.saturating_sub(self.base.index) as usize;
         self.entries.truncate(kept);
         self.councils.retain({
@@ -131,20 +131,23 @@
     }
 
     /// Entries that follow an index, as many as fit into so many bytes; none of an index before the base.
-    pub fn since(&self, index: Index, mut room: usize) -> Vec<Entry> {
+    pub fn entries_after(&self, index: Index, mut max_bytes: usize) -> Vec<Entry> {
         let Some(from) = index.checked_sub(self.base.index) else { return Vec::new() };
         let mut entries = Vec::new();
         for (entry, _) in self.entries.iter().skip(from as usize) {
-            let Some(left) = room.checked_sub(entry.size()) else { break };
-            room = left;
+            let Some(remaining) = max_bytes.checked_sub(entry.size()) else { break };
+            max_bytes = remaining;
             entries.push(entry.clone());
         }
         entries
     }
 
     /// Lets go of what is in a snapshot, up to an index.
-    pub fn fold(&mut self, to: Index) {
-        let Some(base) = self.mark(to).filter(|mark| mark.index > self.base.index) else { return };
+    pub fn compact(&mut self, to: Index) {
+        let Some(base) = self.position_at(to).filter(|log_position| log_position.index > self.base.index)
+        else {
+            return;
+        };
         self.entries.drain(..(to - self.base.index) as usize);
         self.base = base;
         while self.councils.get(1).is_some_and(|(index, _)| *index <= to) {
@@ -157,7 +160,7 @@
         &self.councils.last().expect("the base's").1
     }
 
-    pub fn version(&self) -> Index {
+    pub fn council_version(&self) -> Index {
         self.councils.last().expect("the base's").0
     }
 
--- a/agree/src/requests.rs
+++ b/agree/src/requests.rs
@@ -10,17 +10,17 @@
 use crate::agreement::Agreement;
 use crate::certificate::Signer;
 use crate::council::Council;
-use crate::election::Post;
+use crate::election::RoleState;
 use crate::log::{Index, MAX_COMMAND_BYTES, Payload};
 use crate::machine::Machine;
 use crate::wire::Message;
 
 /// A request that is not decided is sent again after so many beats.
-const AGAIN_BEATS: u64 = 5;
+const RESEND_HEARTBEATS: u64 = 5;
 /// Entries that a leader takes before the first of them is decided.
-const MOST_OPEN: u64 = 64;
+const MAX_UNDECIDED_ENTRIES: u64 = 64;
 /// Requests of this proxy at once.
-const MOST_REQUESTS: usize = 64;
+const MAX_OPEN_REQUESTS: usize = 64;
 
 /// Why something is not put into the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -80,7 +80,7 @@
         }
     }
 
-    pub(crate) fn passed_over(&mut self, done: &VecDeque<u64>, by: Index) {
+    pub(crate) fn skipped_by_snapshot(&mut self, done: &VecDeque<u64>, by: Index) {
         for request in done {
             if self.open.remove(request).is_some() {
                 self.outcomes.push_back((*request, Outcome::Done { by }));
@@ -96,23 +96,23 @@
         if command.len() > MAX_COMMAND_BYTES {
             return Err(Refusal::TooLong);
         }
-        self.request(now, Payload::Decide { part, command })
+        self.submit(now, Payload::Decide { part, command })
     }
 
     /// Asks for another council.
     pub fn propose_council(&mut self, now: f64, council: Council) -> Result<u64, Refusal> {
-        if !council.follows(&self.trust.1) {
+        if !council.follows(&self.trusted.1) {
             return Err(Refusal::NotOneVoter);
         }
-        self.request(now, Payload::Council(council))
+        self.submit(now, Payload::Council(council))
     }
 
-    fn request(&mut self, now: f64, payload: Payload) -> Result<u64, Refusal> {
-        if self.requests.open.len() >= MOST_REQUESTS {
+    fn submit(&mut self, now: f64, payload: Payload) -> Result<u64, Refusal> {
+        if self.requests.open.len() >= MAX_OPEN_REQUESTS {
             return Err(Refusal::TooMany);
         }
-        let request = self.chance.random_range(1..=u64::MAX);
-        self.requests.open.insert(request, (payload, self.beats));
+        let request = self.rng.random_range(1..=u64::MAX);
+        self.requests.open.insert(request, (payload, self.heartbeats));
         self.send_request(now, request);
         Ok(request)
     }
@@ -127,77 +127,85 @@
         self.requests.outcomes.pop_front()
     }
 
-    pub(crate) fn ask_again(&mut self, now: f64) {
-        let beats = self.beats;
-        let late = self.requests.open.iter().filter(|(_, (_, at))| beats - at >= AGAIN_BEATS);
-        for request in late.map(|(&request, _)| request).collect::<Vec<_>>() {
+    pub(crate) fn resend_requests(&mut self, now: f64) {
+        let heartbeats = self.heartbeats;
+        let overdue =
+            self.requests.open.iter().filter(|(_, (_, sent_at))| heartbeats - sent_at >= RESEND_HEARTBEATS);
+        for request in overdue.map(|(&request, _)| request).collect::<Vec<_>>() {
             self.send_request(now, request);
         }
     }
 
     fn send_request(&mut self, now: f64, request: u64) {
-        let beats = self.beats;
-        let Some((payload, at)) = self.requests.open.get_mut(&request) else { return };
-        *at = beats;
+        let heartbeats = self.heartbeats;
+        let Some((payload, sent_at)) = self.requests.open.get_mut(&request) else { return };
+        *sent_at = heartbeats;
         let payload = payload.clone();
-        let to = self.leader().or_else(|| self.any_voter());
+        let to = self.leader().or_else(|| self.random_voter());
         match to {
-            Some(to) if to == self.id => self.proposed(now, to, request, payload),
+            Some(to) if to == self.id => self.handle_propose(now, to, request, payload),
             Some(to) => self.send(to, &Message::Propose { request, payload }),
             None => {}
         }
     }
 
-    pub(crate) fn proposed(&mut self, now: f64, from: Id, request: u64, payload: Payload) {
-        if !matches!(self.post, Post::Leading(_)) {
+    pub(crate) fn handle_propose(&mut self, now: f64, from: Id, request: u64, payload: Payload) {
+        if !matches!(self.role_state, RoleState::Leader(_)) {
             // Passed on once, and not between members that take each other for the leader.
             let leader =
-                self.leader().filter(|_| self.is_seated() && !self.kept.log.council().contains(from));
+                self.leader().filter(|_| self.is_voter() && !self.persisted.log.council().contains(from));
             if let Some(leader) = leader {
                 self.send(leader, &Message::Propose { request, payload });
             }
             return;
         }
-        if self.knows(request) || self.kept.log.last().index - self.decided >= MOST_OPEN {
+        if self.knows_request(request)
+            || self.persisted.log.last().index - self.decided >= MAX_UNDECIDED_ENTRIES
+        {
             return;
         }
         let refusal = match &payload {
             Payload::Begin => return,
             Payload::Decide { .. } => None,
-            Payload::Council(council) => self.unfit(now, council),
+            Payload::Council(council) => self.council_refusal(now, council),
         };
         match refusal {
             None => self.append(now, request, payload),
-            Some(refusal) if from == self.id => self.refused(from, request, refusal),
+            Some(refusal) if from == self.id => self.handle_refused(from, request, refusal),
             Some(refusal) => self.send(from, &Message::Refused { request, refusal }),
         }
     }
 
     /// Why a council may not follow now.
-    fn unfit(&self, now: f64, council: &Council) -> Option<Refusal> {
-        let log = &self.kept.log;
-        let knows = log.mark(self.decided).is_some_and(|mark| mark.term == self.kept.term);
-        let Post::Leading(lead) = &self.post else { return None };
+    fn council_refusal(&self, now: f64, council: &Council) -> Option<Refusal> {
+        let log = &self.persisted.log;
+        let own_term_decided = log
+            .position_at(self.decided)
+            .is_some_and(|log_position| log_position.term == self.persisted.term);
+        let RoleState::Leader(lead) = &self.role_state else { return None };
         // Whoever is behind this log gets on only by a proof, and the change itself must first be proved by a
         // majority of the present council.
-        let reached = log.base().index;
-        let votes = |id: Id| {
+        let log_start = log.base().index;
+        let can_vote = |id: Id| {
             let progress = lead.progress.get(&id);
-            progress.is_some_and(|of| of.counts && of.has >= reached && now - of.heard < self.patience())
+            progress.is_some_and(|of| {
+                of.disk_matches && of.matched >= log_start && now - of.last_heard_at < self.election_timeout()
+            })
         };
-        if !knows || log.version() > self.decided || !self.is_linked() {
+        if !own_term_decided || log.council_version() > self.decided || !self.is_council_proved() {
             Some(Refusal::ChangeUnderWay)
         } else if !council.follows(log.council()) {
             Some(Refusal::NotOneVoter)
         } else {
-            let enough = |of: &Council| of.is_majority(|voter| voter.id == self.id || votes(voter.id));
-            (!enough(council) || !enough(log.council())).then_some(Refusal::NoMajority)
+            let has_majority =
+                |council: &Council| council.is_majority(|voter| voter.id == self.id || can_vote(voter.id));
+            (!has_majority(council) || !has_majority(log.council())).then_some(Refusal::NoMajority)
         }
     }
 
-    pub(crate) fn refused(&mut self, from: Id, request: u64, refusal: Refusal) {
-        let told = from == self.id || self.trust.1.contains(from);
-        if told && self.requests.open.remove(&request).is_some() {
+    pub(crate) fn handle_refused(&mut self, from: Id, request: u64, refusal: Refusal) {
+        let trusted_sender = from == self.id || self.trusted.1.contains(from);
+        if trusted_sender && self.requests.open.remove(&request).is_some() {
             self.requests.outcomes.push_back((request, Outcome::Refused(refusal)));
         }
     }
--- a/agree/src/status.rs
+++ b/agree/src/status.rs
@@ -8,7 +8,7 @@
 use crate::agreement::Agreement;
 use crate::certificate::Signer;
 use crate::council::Council;
-use crate::election::Post;
+use crate::election::RoleState;
 use crate::log::{Hash, Index, Term};
 use crate::machine::Machine;
 use crate::wire::Stage;
@@ -22,16 +22,19 @@
     /// Of no form; of a version or a decision that is not known; of no member that may say so.
     pub malformed: u64,
     pub unknown: u64,
-    pub stray: u64,
+    #[serde(rename = "stray")]
+    pub unexpected_sender: u64,
     /// Proofs whose signatures are wanting, councils whose proofs are; logs and signatures that differ from
     /// what is decided.
     pub unproved: u64,
-    pub unlinked: u64,
+    #[serde(rename = "unlinked")]
+    pub missing_council_proof: u64,
     pub diverged: u64,
     /// Times that its disk was found to be an older copy.
     pub outdated: u64,
     /// Messages dropped because too many waited.
-    pub crowded: u64,
+    #[serde(rename = "crowded")]
+    pub dropped_outgoing: u64,
 }
 
 /// What a proxy is in the agreement.
@@ -79,42 +82,46 @@
 
 impl<M: Machine, S: Signer> Agreement<M, S> {
     pub fn role(&self) -> Role {
-        if !self.keeps() {
+        if !self.persists_state() {
             return Role::Outside;
         }
-        let named = self.voters().contains(self.id);
-        match &self.post {
-            _ if !named => Role::Outside,
-            _ if !self.is_seated() && self.kept.stage == Stage::Fresh => Role::Barred,
-            _ if !self.is_seated() || !self.founding.checked => Role::Starting,
-            _ if !self.disk.is_sound() => Role::Unwritten,
-            Post::Idle { .. } => Role::Follows,
-            Post::Asking { .. } => Role::Asks,
-            Post::Leading(_) => Role::Leads,
+        let is_in_council = self.voters().contains(self.id);
+        match &self.role_state {
+            _ if !is_in_council => Role::Outside,
+            _ if !self.is_voter() && self.persisted.stage == Stage::New => Role::Barred,
+            _ if !self.is_voter() || !self.bootstrap.disk_verified => Role::Starting,
+            _ if !self.disk.is_writable() => Role::Unwritten,
+            RoleState::Follower { .. } => Role::Follows,
+            RoleState::Candidate { .. } => Role::Asks,
+            RoleState::Leader(_) => Role::Leads,
         }
     }
 
     /// The decision at an index by its hash, where it is still in the log and carried out.
     pub fn hash_at(&self, index: Index) -> Option<Hash> {
-        self.kept.log.mark(index).filter(|_| index <= self.applied).map(|mark| mark.hash)
+        self.persisted
+            .log
+            .position_at(index)
+            .filter(|_| index <= self.applied)
+            .map(|log_position| log_position.hash)
     }
 
     pub fn status(&self, now: f64) -> AgreementStatus {
         AgreementStatus {
             role: self.role(),
-            term: self.kept.term,
+            term: self.persisted.term,
             leader: self.leader(),
             decided: self.decided,
             applied: self.applied,
             hash: self.hash_at(self.applied).unwrap_or_default(),
-            certified: self.sealed(),
-            council: self.trust.1.clone(),
-            council_since: self.trust.0,
-            council_proved: self.is_linked(),
+            certified: self.certified_index(),
+            council: self.trusted.1.clone(),
+            council_since: self.trusted.0,
+            council_proved: self.is_council_proved(),
             disk_id: self.disk_id(),
             age: self.age(now),
-            progress: self.heard_of(),
-            unadmitted_disks: self.founding.lives.clone(),
+            progress: self.follower_progress(),
+            unadmitted_disks: self.bootstrap.unadmitted_disks.clone(),
             stopped: self.stopped.as_ref().map(ToString::to_string),
             counts: self.counts,
         }
--- a/agree/src/tests/exhaustive.rs
+++ b/agree/src/tests/exhaustive.rs
@@ -9,66 +9,66 @@
 use rstest::rstest;
 
 use super::Fault;
-use super::parts::{Book, Disk, Keys};
-use super::world::{BEAT, LEASE, Proxy};
+use super::cluster::{HEARTBEAT_MS, LEASE_MS, Proxy};
+use super::fakes::{Disk, Keys, RecordingMachine};
 use crate::agreement::{Agreement, AgreementTerms};
 use crate::wire::Stage;
 use crate::{Hash, Id, Index, Role, Term, disk};
 
 const MEMBERS: usize = 3;
 /// Messages that wait on a link; older ones are lost.
-const WAITING: usize = 2;
+const MAX_QUEUED: usize = 2;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Deliver(usize, usize),
-    DeliverAndDie(usize, usize),
-    Lose(usize, usize),
-    Double(usize, usize),
-    Time(usize),
-    Ask(usize),
+    DeliverAndCrash(usize, usize),
+    Drop(usize, usize),
+    Duplicate(usize, usize),
+    AdvanceTime(usize),
+    Propose(usize),
     Restart(usize),
 }
 
 #[derive(Clone)]
-struct Three {
+struct ThreeNodes {
     proxies: Vec<Proxy>,
     disks: Vec<Disk>,
     clocks: Vec<f64>,
     links: BTreeMap<(usize, usize), VecDeque<Vec<u8>>>,
-    hashes: BTreeMap<Index, Hash>,
-    leaders: BTreeMap<Term, usize>,
+    decided_hashes: BTreeMap<Index, Hash>,
+    leaders_by_term: BTreeMap<Term, usize>,
     restarts: u64,
     fault: Option<Fault>,
 }
 
-impl Three {
+impl ThreeNodes {
     fn new(fault: Option<Fault>) -> Self {
         let disks = vec![Disk::default(); MEMBERS];
-        let mut three = Self {
-            proxies: (0..MEMBERS).map(|place| proxy(place, &disks[place], 0.0, 0)).collect(),
+        let mut nodes = Self {
+            proxies: (0..MEMBERS).map(|node| proxy(node, &disks[node], 0.0, 0)).collect(),
             disks,
             clocks: vec![0.0; MEMBERS],
             links: BTreeMap::new(),
-            hashes: BTreeMap::new(),
-            leaders: BTreeMap::new(),
+            decided_hashes: BTreeMap::new(),
+            leaders_by_term: BTreeMap::new(),
             restarts: 0,
             fault,
         };
-        for place in 0..MEMBERS {
-            three.proxies[place].fault = fault;
-            three.proxies[place].kept.stage = Stage::Founder;
-            three.proxies[place].founding.checked = true;
-            three.carry_on(place, true);
+        for node in 0..MEMBERS {
+            nodes.proxies[node].fault = fault;
+            nodes.proxies[node].persisted.stage = Stage::Voting;
+            nodes.proxies[node].bootstrap.disk_verified = true;
+            nodes.process_outputs(node, true);
         }
-        three
+        nodes
     }
 
-    fn carry_on(&mut self, place: usize, lives: bool) {
-        let (now, disk, proxy) = (self.clocks[place], &mut self.disks[place], &mut self.proxies[place]);
+    fn process_outputs(&mut self, node: usize, survives: bool) {
+        let (now, disk, proxy) = (self.clocks[node], &mut self.disks[node], &mut self.proxies[node]);
         while let Some(write) = proxy.next_write(now) {
             disk.writing = Some((write, now));
-            if lives {
+            if survives {
                 disk.sync();
             } else if self.fault != Some(Fault::Unsynced) {
                 break;
@@ -76,162 +76,179 @@
             proxy.write_succeeded(now);
         }
         while let Some(out) = proxy.outgoing() {
-            let link = self.links.entry((place, out.to as usize)).or_default();
+            let link = self.links.entry((node, out.to as usize)).or_default();
             link.push_back(out.bytes);
-            if link.len() > WAITING {
+            if link.len() > MAX_QUEUED {
                 link.pop_front();
             }
         }
-        if !lives {
-            self.restart(place);
+        if !survives {
+            self.restart(node);
         }
     }
 
-    fn restart(&mut self, place: usize) {
-        self.disks[place].crash(0.0);
+    fn restart(&mut self, node: usize) {
+        self.disks[node].crash(0.0);
         self.restarts += 1;
-        self.proxies[place] = proxy(place, &self.disks[place], self.clocks[place], self.restarts);
-        self.proxies[place].fault = self.fault;
+        self.proxies[node] = proxy(node, &self.disks[node], self.clocks[node], self.restarts);
+        self.proxies[node].fault = self.fault;
         // What others would say of its disk: it is not an older copy.
-        self.proxies[place].founding.checked = true;
-        self.carry_on(place, true);
+        self.proxies[node].bootstrap.disk_verified = true;
+        self.process_outputs(node, true);
     }
 
     fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         for (&(from, to), _) in self.links.iter().filter(|(_, waiting)| !waiting.is_empty()) {
-            steps.extend([Step::Deliver(from, to), Step::DeliverAndDie(from, to)]);
-            steps.extend([Step::Lose(from, to), Step::Double(from, to)]);
+            steps.extend([Step::Deliver(from, to), Step::DeliverAndCrash(from, to)]);
+            steps.extend([Step::Drop(from, to), Step::Duplicate(from, to)]);
         }
-        for place in 0..MEMBERS {
-            steps.extend([Step::Time(place), Step::Restart(place)]);
-            if self.proxies[place].role() == Role::Leads {
-                steps.push(Step::Ask(place));
+        for node in 0..MEMBERS {
+            steps.extend([Step::AdvanceTime(node), Step::Restart(node)]);
+            if self.proxies[node].role() == Role::Leads {
+                steps.push(Step::Propose(node));
             }
         }
         steps
     }
 
-    fn take(&mut self, step: Step) {
+    fn perform(&mut self, step: Step) {
         match step {
-            Step::Deliver(from, to) | Step::DeliverAndDie(from, to) | Step::Double(from, to) => {
+            Step::Deliver(from, to) | Step::DeliverAndCrash(from, to) | Step::Duplicate(from, to) => {
                 let link = self.links.get_mut(&(from, to)).expect("waits");
                 let bytes = link.pop_front().expect("waits");
-                if matches!(step, Step::Double(..)) {
+                if matches!(step, Step::Duplicate(..)) {
                     link.push_back(bytes.clone());
                 }
                 self.proxies[to].receive(self.clocks[to], from as Id, &bytes);
-                self.carry_on(to, !matches!(step, Step::DeliverAndDie(..)));
+                self.process_outputs(to, !matches!(step, Step::DeliverAndCrash(..)));
             }
-            Step::Lose(from, to) => drop(self.links.get_mut(&(from, to)).expect("waits").pop_front()),
-            Step::Time(place) => {
+            Step::Drop(from, to) => drop(self.links.get_mut(&(from, to)).expect("waits").pop_front()),
+            Step::AdvanceTime(node) => {
                 // A leader speaks; whoever hears none asks for votes.
-                let leads = self.proxies[place].role() == Role::Leads;
-                self.clocks[place] += if leads { 1.2 * BEAT } else { 21.0 * BEAT };
-                self.proxies[place].turn(self.clocks[place]);
-                self.carry_on(place, true);
+                let leads = self.proxies[node].role() == Role::Leads;
+                self.clocks[node] += if leads { 1.2 * HEARTBEAT_MS } else { 21.0 * HEARTBEAT_MS };
+                self.proxies[node].turn(self.clocks[node]);
+                self.process_outputs(node, true);
             }
-            Step::Ask(place) => {
-                let line = (self.restarts * 10 + place as u64).to_le_bytes().to_vec();
-                let _ = self.proxies[place].propose(self.clocks[place], 0, line);
-                self.carry_on(place, true);
+            Step::Propose(node) => {
+                let line = (self.restarts * 10 + node as u64).to_le_bytes().to_vec();
+                let _ = self.proxies[node].propose(self.clocks[node], 0, line);
+                self.process_outputs(node, true);
             }
-            Step::Restart(place) => self.restart(place),
+            Step::Restart(node) => self.restart(node),
         }
     }
 
-    fn broken(&mut self) -> Option<String> {
-        for (place, proxy) in self.proxies.iter().enumerate() {
+    fn violation(&mut self) -> Option<String> {
+        for (node, proxy) in self.proxies.iter().enumerate() {
             for index in 1..=proxy.applied {
                 let Some(hash) = proxy.hash_at(index) else { continue };
-                if *self.hashes.entry(index).or_insert(hash) != hash {
-                    return Some(format!("p{place} decided otherwise at {index}"));
+                if *self.decided_hashes.entry(index).or_insert(hash) != hash {
+                    return Some(format!("p{node} decided otherwise at {index}"));
                 }
             }
-            if proxy.role() == Role::Leads && *self.leaders.entry(proxy.kept.term).or_insert(place) != place {
-                return Some(format!("p{place} leads term {} too", proxy.kept.term));
+            if proxy.role() == Role::Leads
+                && *self.leaders_by_term.entry(proxy.persisted.term).or_insert(node) != node
+            {
+                return Some(format!("p{node} leads term {} too", proxy.persisted.term));
             }
         }
         None
     }
 
-    fn key(&self) -> u64 {
+    fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for (proxy, disk) in self.proxies.iter().zip(&self.disks) {
-            let (kept, last) = (&proxy.kept, proxy.kept.log.last());
-            (kept.term, kept.voted, last, proxy.decided, proxy.applied).hash(&mut hasher);
-            (format!("{:?}", proxy.post), &disk.holds).hash(&mut hasher);
+            let (persisted, last) = (&proxy.persisted, proxy.persisted.log.last());
+            (persisted.term, persisted.voted, last, proxy.decided, proxy.applied).hash(&mut hasher);
+            (format!("{:?}", proxy.role_state), &disk.contents).hash(&mut hasher);
         }
-        (&self.links, &self.hashes).hash(&mut hasher);
+        (&self.links, &self.decided_hashes).hash(&mut hasher);
         hasher.finish()
     }
 }
 
-fn proxy(place: usize, disk: &Disk, now: f64, restarts: u64) -> Proxy {
-    let terms =
-        AgreementTerms { bootstrap_members: (0..MEMBERS as Id).collect(), heartbeat: BEAT, lease: LEASE };
-    let (id, seed) = (place as Id, place as u64 + 10 * restarts);
-    let file = disk::recover(&disk.holds);
-    Agreement::new(id, terms, Keys(id), Book::default(), file, seed, now).expect("no snapshot")
+fn proxy(node: usize, disk: &Disk, now: f64, restarts: u64) -> Proxy {
+    let terms = AgreementTerms {
+        bootstrap_members: (0..MEMBERS as Id).collect(),
+        heartbeat: HEARTBEAT_MS,
+        lease: LEASE_MS,
+    };
+    let (id, seed) = (node as Id, node as u64 + 10 * restarts);
+    let file = disk::recover(&disk.contents);
+    Agreement::new(id, terms, Keys(id), RecordingMachine::default(), file, seed, now).expect("no snapshot")
 }
 
 /// Goes through all orders of so many steps; gives how many states there are, and the first break with its
 /// way there.
-fn search(start: Three, depth: usize) -> (usize, Option<String>) {
-    let mut known = HashSet::new();
+fn search(start: ThreeNodes, depth: usize) -> (usize, Option<String>) {
+    let mut visited = HashSet::new();
     let mut level = vec![(start, Vec::new())];
     for _ in 0..depth {
         let mut next = Vec::new();
-        for (three, way) in level {
-            for step in three.steps() {
-                let mut after = three.clone();
-                after.take(step);
-                let way: Vec<Step> = way.iter().copied().chain([step]).collect();
-                if let Some(broken) = after.broken() {
-                    return (known.len(), Some(format!("{broken}: {way:?}")));
+        for (nodes, path) in level {
+            for step in nodes.steps() {
+                let mut after = nodes.clone();
+                after.perform(step);
+                let path: Vec<Step> = path.iter().copied().chain([step]).collect();
+                if let Some(violation) = after.violation() {
+                    return (visited.len(), Some(format!("{violation}: {path:?}")));
                 }
-                if known.insert(after.key()) {
-                    next.push((after, way));
+                if visited.insert(after.fingerprint()) {
+                    next.push((after, path));
                 }
             }
         }
         level = next;
     }
-    (known.len(), None)
+    (visited.len(), None)
 }
 
 /// Somebody asks for votes, and gets as far as the steps say.
-fn begun(fault: Option<Fault>, steps: &[Step]) -> Three {
-    let mut three = Three::new(fault);
-    steps.iter().for_each(|&step| three.take(step));
-    three
+fn prepared(fault: Option<Fault>, steps: &[Step]) -> ThreeNodes {
+    let mut nodes = ThreeNodes::new(fault);
+    steps.iter().for_each(|&step| nodes.perform(step));
+    nodes
 }
 
 /// 0 has asked for a trial and has one more's word: the votes themselves are on their way.
-const VOTING: [Step; 3] = [Step::Time(0), Step::Deliver(0, 1), Step::Deliver(1, 0)];
+const VOTE_REQUESTED: [Step; 3] = [Step::AdvanceTime(0), Step::Deliver(0, 1), Step::Deliver(1, 0)];
 
 /// 0 leads, and is asked for an entry.
-const LEADING: [Step; 6] =
-    [VOTING[0], VOTING[1], VOTING[2], Step::Deliver(0, 1), Step::Deliver(1, 0), Step::Ask(0)];
+const LEADER_WITH_ENTRY: [Step; 6] = [
+    VOTE_REQUESTED[0],
+    VOTE_REQUESTED[1],
+    VOTE_REQUESTED[2],
+    Step::Deliver(0, 1),
+    Step::Deliver(1, 0),
+    Step::Propose(0),
+];
 
 /// 0 and 2 both ask 1 for its vote in the first term.
-const CONTEST: [Step; 6] =
-    [VOTING[0], VOTING[1], VOTING[2], Step::Time(2), Step::Deliver(2, 1), Step::Deliver(1, 2)];
+const CONTESTED_VOTE: [Step; 6] = [
+    VOTE_REQUESTED[0],
+    VOTE_REQUESTED[1],
+    VOTE_REQUESTED[2],
+    Step::AdvanceTime(2),
+    Step::Deliver(2, 1),
+    Step::Deliver(1, 2),
+];
 
 #[rstest]
 #[case::from_the_founding(&[], 5)]
-#[case::with_votes_on_their_way(&CONTEST, 4)]
-#[case::with_a_leader_and_an_entry(&LEADING, 4)]
+#[case::with_votes_on_their_way(&CONTESTED_VOTE, 4)]
+#[case::with_a_leader_and_an_entry(&LEADER_WITH_ENTRY, 4)]
 fn no_order_of_steps_gives_two_orders_of_decisions(#[case] steps: &[Step], #[case] depth: usize) {
-    let (states, broken) = search(begun(None, steps), depth);
-    assert_eq!(broken, None);
+    let (states, violation) = search(prepared(None, steps), depth);
+    assert_eq!(violation, None);
     eprintln!("{states} states");
     assert!(states > 10_000, "{states}");
 }
 
 #[test]
 fn a_vote_that_is_not_on_the_disk_when_it_leaves_is_found() {
-    let (_, broken) = search(begun(Some(Fault::Unsynced), &CONTEST), 4);
-    let broken = broken.expect("found");
-    assert!(broken.contains("leads term"), "{broken}");
+    let (_, violation) = search(prepared(Some(Fault::Unsynced), &CONTESTED_VOTE), 4);
+    let violation = violation.expect("found");
+    assert!(violation.contains("leads term"), "{violation}");
 }
--- a/agree/src/tests/parts.rs
+++ b/agree/src/tests/fakes.rs
@@ -21,25 +21,25 @@
         signature(self.0, bytes)
     }
 
-    fn verify(&self, by: Id, bytes: &[u8], said: &[u8; 64]) -> bool {
-        signature(by, bytes) == *said
+    fn verify(&self, by: Id, bytes: &[u8], claimed: &[u8; 64]) -> bool {
+        signature(by, bytes) == *claimed
     }
 }
 
 /// Keeps all that it is given, in order.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Book {
+pub struct RecordingMachine {
     pub lines: Vec<u64>,
     /// Makes it meet a command that it does not know.
-    pub old: bool,
+    pub rejects_other_parts: bool,
 }
 
-impl Machine for Book {
+impl Machine for RecordingMachine {
     fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, UnsupportedDecision> {
         let Ok(line) = <[u8; 8]>::try_from(command) else {
             return Err(UnsupportedDecision { index, part, reason: "no line".to_owned() });
         };
-        if self.old && part > 0 {
+        if self.rejects_other_parts && part > 0 {
             return Err(UnsupportedDecision { index, part, reason: "no such part".to_owned() });
         }
         self.lines.push(u64::from_le_bytes(line));
@@ -55,8 +55,8 @@
     }
 
     fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), UnsupportedDecision> {
-        let unread = |_| UnsupportedDecision { index, part: 0, reason: "no book".to_owned() };
-        self.lines = postcard::from_bytes(state).map_err(unread)?;
+        let unreadable = |_| UnsupportedDecision { index, part: 0, reason: "no book".to_owned() };
+        self.lines = postcard::from_bytes(state).map_err(unreadable)?;
         Ok(())
     }
 }
@@ -64,9 +64,9 @@
 /// A disk: what it holds for good, and what is on its way there.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
-    pub holds: Vec<u8>,
+    pub contents: Vec<u8>,
     pub writing: Option<(DiskWrite, f64)>,
-    pub refuses: bool,
+    pub fails_next_write: bool,
 }
 
 impl Disk {
@@ -74,9 +74,9 @@
     pub fn sync(&mut self) -> bool {
         let Some((write, _)) = self.writing.take() else { return false };
         if write.replaces_file {
-            self.holds = write.bytes;
+            self.contents = write.bytes;
         } else {
-            self.holds.extend(write.bytes);
+            self.contents.extend(write.bytes);
         }
         true
     }
@@ -84,11 +84,11 @@
     /// The power goes: a part of what was being written may have come, of a new file all or nothing.
     pub fn crash(&mut self, part: f64) {
         if let Some((write, _)) = self.writing.take() {
-            let come = (write.bytes.len() as f64 * part) as usize;
+            let written = (write.bytes.len() as f64 * part) as usize;
             if !write.replaces_file {
-                self.holds.extend(&write.bytes[..come]);
+                self.contents.extend(&write.bytes[..written]);
             } else if part > 0.9 {
-                self.holds = write.bytes;
+                self.contents = write.bytes;
             }
         }
     }
--- a/agree/src/tests/mod.rs
+++ b/agree/src/tests/mod.rs
@@ -1,11 +1,11 @@
 //! Stories, random runs and a search.
 
+mod cluster;
 mod exhaustive;
-mod parts;
+mod fakes;
 mod proofs;
 mod random;
-mod stories;
-mod world;
+mod scenarios;
 
 /// Faults put in on purpose, to see that the checks find them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,7 +15,7 @@
     /// A member answers how far decisions are without asking whether it still leads.
     StaleRead,
     /// A snapshot takes the place of entries that follow it.
-    SnapshotOver,
+    SnapshotOverwritesEntries,
     /// The disk says that it has what it has not (this one is the world's).
     Unsynced,
 }
--- a/agree/src/tests/random.rs
+++ b/agree/src/tests/random.rs
@@ -5,159 +5,162 @@
 use rstest::rstest;
 
 use super::Fault;
-use super::parts::Disk;
-use super::world::World;
+use super::cluster::Cluster;
+use super::fakes::Disk;
 use crate::{Id, Role};
 
 const PROXIES: usize = 7;
-const FOUNDERS: usize = 5;
-const SPELLS: usize = 24;
+const VOTERS: usize = 5;
+const ROUNDS: usize = 24;
 
 /// Plays one seed; gives what broke.
-fn play(seed: u64, fault: Option<Fault>) -> Vec<String> {
-    let mut world = World::new(PROXIES, FOUNDERS, seed);
-    world.fault = fault;
-    world.proxies.iter_mut().flatten().for_each(|proxy| proxy.fault = fault);
-    world.until("a leader", 10_000.0, |world| world.leader().is_some());
-    for _ in 0..SPELLS {
-        trouble(&mut world);
+fn run_seed(seed: u64, fault: Option<Fault>) -> Vec<String> {
+    let mut cluster = Cluster::new(PROXIES, VOTERS, seed);
+    cluster.fault = fault;
+    cluster.proxies.iter_mut().flatten().for_each(|proxy| proxy.fault = fault);
+    cluster.run_until("a leader", 10_000.0, |cluster| cluster.leader().is_some());
+    for _ in 0..ROUNDS {
+        inject_fault(&mut cluster);
         for _ in 0..4 {
-            let place = world.chance.random_range(0..PROXIES);
-            world.ask(place);
-            let place = world.chance.random_range(0..PROXIES);
-            world.read(place);
-            let span = 200.0 * world.chance.random::<f64>();
-            world.pass(span);
+            let node = cluster.rng.random_range(0..PROXIES);
+            cluster.propose_line(node);
+            let node = cluster.rng.random_range(0..PROXIES);
+            cluster.read(node);
+            let duration = 200.0 * cluster.rng.random::<f64>();
+            cluster.advance(duration);
         }
     }
     if fault.is_none() {
-        world.settles(20_000.0);
+        cluster.converge(20_000.0);
     }
-    world.is_linear();
-    world.broken
+    cluster.check_linearizability();
+    cluster.violations
 }
 
-fn trouble(world: &mut World) {
-    let place = world.chance.random_range(0..PROXIES);
-    let split = world.chance.random_range(1..PROXIES);
-    let (ones, others): (Vec<usize>, Vec<usize>) =
-        (0..PROXIES).partition(|&at| (at + place) % PROXIES < split);
-    match world.chance.random_range(0..13) {
-        0 => world.links.heal(),
-        1 => world.links.part(&ones, &others),
-        2 => world.links.cut(&ones, &others, true),
-        3 => world.links.cut(&[place], &others, true),
-        4 | 5 => world.restart(place),
+fn inject_fault(cluster: &mut Cluster) {
+    let node = cluster.rng.random_range(0..PROXIES);
+    let split = cluster.rng.random_range(1..PROXIES);
+    let (one_side, other_side): (Vec<usize>, Vec<usize>) =
+        (0..PROXIES).partition(|&at| (at + node) % PROXIES < split);
+    match cluster.rng.random_range(0..13) {
+        0 => cluster.links.heal(),
+        1 => cluster.links.part(&one_side, &other_side),
+        2 => cluster.links.cut(&one_side, &other_side, true),
+        3 => cluster.links.cut(&[node], &other_side, true),
+        4 | 5 => cluster.restart(node),
         6 => {
-            world.crash(place);
-            world.pass(300.0);
-            world.start(place);
+            cluster.crash(node);
+            cluster.advance(300.0);
+            cluster.start(node);
         }
         7 => {
-            let span = 4_000.0 * world.chance.random::<f64>();
-            world.stop(place, span);
+            let duration = 4_000.0 * cluster.rng.random::<f64>();
+            cluster.pause(node, duration);
         }
-        8 => (world.links.loss, world.links.double) = (0.3, 0.3),
-        9 => world.links.way = if world.links.way > 50.0 { 10.0 } else { 300.0 },
-        10 => world.disks[place].refuses = true,
+        8 => (cluster.links.loss, cluster.links.double) = (0.3, 0.3),
+        9 => cluster.links.way = if cluster.links.way > 50.0 { 10.0 } else { 300.0 },
+        10 => cluster.disks[node].fails_next_write = true,
         11 => {
             // All at once.
-            (0..PROXIES).for_each(|place| world.restart(place));
+            (0..PROXIES).for_each(|node| cluster.restart(node));
         }
         _ => {
-            let leader = world.leader().unwrap_or(place);
-            world.stop(leader, 1_500.0);
+            let leader = cluster.leader().unwrap_or(node);
+            cluster.pause(leader, 1_500.0);
         }
     }
-    world.let_in();
+    cluster.readmit_disks();
 }
 
 #[test]
 fn all_faults_together_never_give_two_orders() {
     let seeds = std::env::var("AGREE_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(120);
     for seed in 0..seeds {
-        let broken = play(seed, None);
-        assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
+        let violations = run_seed(seed, None);
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
     }
 }
 
 /// Whoever's votes count: it has a seat by its disk's life, and its disk is known to be no older copy.
-fn votes(world: &mut World, place: usize) -> bool {
-    let status = world.status(place);
-    let named = status.council.voter(place as Id).is_some_and(|voter| voter.disk_id == status.disk_id);
+fn is_voting(cluster: &mut Cluster, node: usize) -> bool {
+    let status = cluster.status(node);
+    let named = status.council.voter(node as Id).is_some_and(|voter| voter.disk_id == status.disk_id);
     named && matches!(status.role, Role::Follows | Role::Asks | Role::Leads)
 }
 
 /// No member is far behind: a disk more that is lost leaves a majority that holds what was decided.
-fn is_even(world: &mut World) -> bool {
-    let applied: Vec<_> = (0..FOUNDERS).map(|place| world.status(place).applied).collect();
+fn all_caught_up(cluster: &mut Cluster) -> bool {
+    let applied: Vec<_> = (0..VOTERS).map(|node| cluster.status(node).applied).collect();
     let newest = applied.iter().max().copied().unwrap_or(0);
     applied.iter().all(|applied| applied + 8 >= newest)
 }
 
 /// Members lose their disks one after the other, beside all other faults but older copies, and are let in
 /// anew. Gives what broke, and how many of them voted again before the faults were over.
-fn play_lost_disks(seed: u64) -> (Vec<String>, usize) {
-    let mut world = World::new(PROXIES, FOUNDERS, seed);
-    world.until("a leader", 10_000.0, |world| world.leader().is_some());
+fn run_seed_with_lost_disks(seed: u64) -> (Vec<String>, usize) {
+    let mut cluster = Cluster::new(PROXIES, VOTERS, seed);
+    cluster.run_until("a leader", 10_000.0, |cluster| cluster.leader().is_some());
     let mut lost = None;
-    let mut let_in = 0;
-    for _ in 0..2 * SPELLS {
-        if lost.is_none() && (0..FOUNDERS).all(|place| votes(&mut world, place)) && is_even(&mut world) {
-            let place = world.chance.random_range(0..FOUNDERS);
-            world.crash(place);
-            world.disks[place] = Disk::default();
-            world.start(place);
-            lost = Some(place);
+    let mut readmitted = 0;
+    for _ in 0..2 * ROUNDS {
+        if lost.is_none()
+            && (0..VOTERS).all(|node| is_voting(&mut cluster, node))
+            && all_caught_up(&mut cluster)
+        {
+            let node = cluster.rng.random_range(0..VOTERS);
+            cluster.crash(node);
+            cluster.disks[node] = Disk::default();
+            cluster.start(node);
+            lost = Some(node);
         }
-        trouble(&mut world);
+        inject_fault(&mut cluster);
         for _ in 0..8 {
-            let place = world.chance.random_range(0..PROXIES);
-            world.ask(place);
-            world.let_in();
-            let span = 100.0 * world.chance.random::<f64>();
-            world.pass(span);
+            let node = cluster.rng.random_range(0..PROXIES);
+            cluster.propose_line(node);
+            cluster.readmit_disks();
+            let duration = 100.0 * cluster.rng.random::<f64>();
+            cluster.advance(duration);
         }
-        if lost.take_if(|place| votes(&mut world, *place)).is_some() {
-            let_in += 1;
+        if lost.take_if(|node| is_voting(&mut cluster, *node)).is_some() {
+            readmitted += 1;
         }
-        for place in 0..PROXIES {
-            if world.status(place).counts.outdated > 0 {
-                world.broken.push(format!("p{place} took its disk for an older copy"));
+        for node in 0..PROXIES {
+            if cluster.status(node).counts.outdated > 0 {
+                cluster.violations.push(format!("p{node} took its disk for an older copy"));
             }
         }
     }
     // One whose seat was never decided comes to the same as the others before it is let in, too.
-    world.settles(20_000.0);
-    world.until("all vote", 20_000.0, |world| {
-        world.let_in();
-        (0..FOUNDERS).all(|place| votes(world, place))
+    cluster.converge(20_000.0);
+    cluster.run_until("all vote", 20_000.0, |cluster| {
+        cluster.readmit_disks();
+        (0..VOTERS).all(|node| is_voting(cluster, node))
     });
-    world.settles(20_000.0);
-    world.is_linear();
-    (world.broken, let_in)
+    cluster.converge(20_000.0);
+    cluster.check_linearizability();
+    (cluster.violations, readmitted)
 }
 
 #[test]
 fn lost_disks_beside_all_faults_never_give_two_orders_and_all_vote_again() {
     let seeds = std::env::var("AGREE_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
-    let mut all_let_in = 0;
+    let mut total_readmitted = 0;
     for seed in 0..seeds {
-        let (broken, let_in) = play_lost_disks(seed);
-        assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
-        all_let_in += let_in;
+        let (violations, readmitted) = run_seed_with_lost_disks(seed);
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
+        total_readmitted += readmitted;
     }
-    eprintln!("lost disks: {all_let_in} let in anew");
-    assert!(all_let_in > seeds as usize, "{all_let_in} let in anew in {seeds} plays");
+    eprintln!("lost disks: {total_readmitted} let in anew");
+    assert!(total_readmitted > seeds as usize, "{total_readmitted} let in anew in {seeds} plays");
 }
 
 #[rstest]
 #[case::a_vote_that_was_not_synced(Fault::Unsynced)]
 #[case::a_deposed_leader_that_answers_reads(Fault::StaleRead)]
 #[case::an_earlier_term_by_count(Fault::EarlierTerm)]
-#[case::a_snapshot_over_newer_entries(Fault::SnapshotOver)]
+#[case::a_snapshot_over_newer_entries(Fault::SnapshotOverwritesEntries)]
 fn a_fault_put_in_on_purpose_is_found(#[case] fault: Fault) {
-    let found = (0..200).find(|&seed| !play(seed, Some(fault)).is_empty());
+    let found = (0..200).find(|&seed| !run_seed(seed, Some(fault)).is_empty());
     eprintln!("{fault:?}: seed {found:?}");
     assert!(found.is_some(), "{fault:?} was not found in 200 seeds");
 }
--- a/agree/src/wire.rs
+++ b/agree/src/wire.rs
@@ -5,34 +5,34 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::certificate::{Certificate, CouncilProof, SIGNATURE};
+use crate::certificate::{Certificate, CouncilProof, SIGNATURE_BYTES};
 use crate::council::MAX_VOTERS;
 use crate::freshness::Nonce;
 use crate::log::{Entry, Hash, Index, MAX_COMMAND_BYTES, Payload, Term};
 
 pub const VERSION: u8 = 2;
 /// Bytes of the longest message: with all that a packet of gossip's takes along it stays a datagram.
-pub const LARGEST: usize = 780;
+pub const MAX_MESSAGE_BYTES: usize = 780;
 /// Bytes of entries in a message, of which a command of full length must find room.
-pub const ENTRIES: usize = 640;
+pub const MAX_ENTRIES_BYTES: usize = 640;
 /// Bytes of a snapshot in a message.
-pub const PIECE: usize = 640;
-const MOST_ENTRIES: usize = 64;
+pub const CHUNK_BYTES: usize = 640;
+const MAX_ENTRIES: usize = 64;
 
 /// Where a founder's seat stands with its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Stage {
     /// Its disk was empty, or not to be trusted: it has no vote.
-    Fresh,
+    New,
     /// It has heard that nobody has a vote yet.
     Ready,
     /// It votes.
-    Founder,
+    Voting,
 }
 
 /// Signed by its sender: it knows all up to `index` to be decided.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Signed {
+pub struct StatementSignature {
     pub index: Index,
     pub signature: Vec<u8>,
 }
@@ -46,23 +46,23 @@
         disk_id: u64,
     },
     /// Known of the life that asked: the latest term it spoke in, and up to where it said that it has the log.
-    Known {
+    HelloResponse {
         nonce: u64,
         stage: Stage,
         term: Term,
         acked: Index,
     },
     /// Please vote for me; `trial` where nobody is to be bound by it yet. `index` and `of` are my log's end.
-    Ask {
+    RequestVote {
         term: Term,
-        trial: bool,
+        pre_vote: bool,
         disk_id: u64,
-        index: Index,
-        of: Term,
+        last_index: Index,
+        last_term: Term,
     },
     Vote {
         term: Term,
-        trial: bool,
+        pre_vote: bool,
         granted: bool,
         disk_id: u64,
     },
@@ -77,26 +77,26 @@
         decided: Index,
     },
     /// Up to `index` my log is the leader's, on my disk; or, where it did not fit, where to begin anew.
-    Have {
+    AppendResponse {
         term: Term,
         round: u64,
         disk_id: u64,
         index: Index,
         fits: bool,
-        signed: Option<Signed>,
+        signed: Option<StatementSignature>,
     },
     /// The newest proof.
-    Tell {
-        seal: Certificate,
+    Certificate {
+        certificate: Certificate,
     },
     /// Please send what follows my log, or the proof of the council after mine, or a piece of the snapshot
     /// there; `sealed` is the newest proof that I have.
     Pull {
         index: Index,
         hash: Hash,
-        version: Index,
-        sealed: Index,
-        piece: Option<(Index, u32)>,
+        council_version: Index,
+        certified: Index,
+        chunk: Option<(Index, u32)>,
     },
     Entries {
         prev: Index,
@@ -104,15 +104,15 @@
         entries: Vec<Entry>,
     },
     Council {
-        link: Box<CouncilProof>,
+        proof: Box<CouncilProof>,
     },
     /// A piece of the snapshot at an index, of `of` bytes in all, from byte `at` on.
-    Piece {
+    SnapshotChunk {
         index: Index,
         hash: Hash,
         term: Term,
-        at: u32,
-        of: u32,
+        offset: u32,
+        total_bytes: u32,
         bytes: Vec<u8>,
     },
     /// Please have this decided.
@@ -126,11 +126,11 @@
         refusal: crate::Refusal,
     },
     /// How far were decisions, at any time after you heard this?
-    Fresh {
+    FreshnessRequest {
         nonce: Nonce,
     },
     /// The answer, signed as in [`crate::FreshnessProof`].
-    FreshIs {
+    FreshnessResponse {
         nonce: Nonce,
         index: Index,
         signature: Vec<u8>,
@@ -139,7 +139,7 @@
 
 /// Why a message was dropped.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Unfit {
+pub enum DecodeError {
     #[error("longer than any message")]
     Oversized,
     #[error("field version: not known")]
@@ -150,11 +150,11 @@
     Bounds,
 }
 
-pub fn write(message: &Message) -> Vec<u8> {
+pub fn encode(message: &Message) -> Vec<u8> {
     postcard::to_extend(message, vec![VERSION]).expect("plain data")
 }
 
-fn bounded(payload: &Payload) -> bool {
+fn within_bounds(payload: &Payload) -> bool {
     match payload {
         Payload::Begin => true,
         Payload::Council(council) => council.voters().len() <= MAX_VOTERS,
@@ -162,29 +162,29 @@
     }
 }
 
-pub fn read(bytes: &[u8]) -> Result<Message, Unfit> {
-    if bytes.len() > LARGEST {
-        return Err(Unfit::Oversized);
+pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
+    if bytes.len() > MAX_MESSAGE_BYTES {
+        return Err(DecodeError::Oversized);
     }
-    let (&version, body) = bytes.split_first().ok_or(Unfit::Form)?;
+    let (&version, body) = bytes.split_first().ok_or(DecodeError::Form)?;
     if version != VERSION {
-        return Err(Unfit::Version);
+        return Err(DecodeError::Version);
     }
-    let (message, rest) = postcard::take_from_bytes::<Message>(body).map_err(|_| Unfit::Form)?;
+    let (message, rest) = postcard::take_from_bytes::<Message>(body).map_err(|_| DecodeError::Form)?;
     if !rest.is_empty() {
-        return Err(Unfit::Form);
+        return Err(DecodeError::Form);
     }
-    let fits = match &message {
+    let is_bounded = match &message {
         Message::Append { entries, .. } | Message::Entries { entries, .. } => {
-            entries.len() <= MOST_ENTRIES && entries.iter().all(|entry| bounded(&entry.payload))
+            entries.len() <= MAX_ENTRIES && entries.iter().all(|entry| within_bounds(&entry.payload))
         }
-        Message::Propose { payload, .. } => bounded(payload),
-        Message::Tell { seal } => seal.signatures.len() <= MAX_VOTERS,
-        Message::Council { link } => {
-            link.certificate.signatures.len() <= MAX_VOTERS && link.council.voters().len() <= MAX_VOTERS
+        Message::Propose { payload, .. } => within_bounds(payload),
+        Message::Certificate { certificate } => certificate.signatures.len() <= MAX_VOTERS,
+        Message::Council { proof } => {
+            proof.certificate.signatures.len() <= MAX_VOTERS && proof.council.voters().len() <= MAX_VOTERS
         }
-        Message::FreshIs { signature, .. } => signature.len() <= SIGNATURE,
+        Message::FreshnessResponse { signature, .. } => signature.len() <= SIGNATURE_BYTES,
         _ => true,
     };
-    if fits { Ok(message) } else { Err(Unfit::Bounds) }
+    if is_bounded { Ok(message) } else { Err(DecodeError::Bounds) }
 }
