--- a/agree/src/agreement.rs
+++ b/agree/src/agreement.rs
@@ -1,4 +1,4 @@
-//! One proxy's part in the agreement: what it holds, what it is told, what is to be sent and written.
+//! One proxy's replica: its state, the messages it receives, and what it has to send and write.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -21,29 +21,32 @@
 use crate::status::Counts;
 use crate::wire::{self, DecodeError, Message, Stage};
 
-/// Messages that wait to be sent, or for the disk; past that the oldest are lost, as on the network.
+/// Messages that wait to be sent or for a disk write. Beyond that the oldest are dropped, as on the
+/// network.
 const MAX_OUTGOING: usize = 256;
-/// A snapshot is taken at every so many entries, the same ones at each member: its digest is part of what is
-/// signed.
+/// Entries between two snapshots. All members take them at the same indexes, since the digest is part of
+/// the signed statement.
 pub(crate) const SNAPSHOT_INTERVAL: u64 = 128;
-/// Entries kept for those who are behind: those since the last snapshot but one.
+/// Snapshots that are kept. The log keeps the entries since the last snapshot but one, for members that lag
+/// behind.
 const KEPT_SNAPSHOTS: usize = 2;
-/// Entries that are kept at most for members whose signatures a new council waits for.
+/// Most entries kept for members whose signatures a new council still needs.
 const MAX_LOG_ENTRIES: u64 = 8 * SNAPSHOT_INTERVAL;
-/// Requests that are remembered as done, so that one asked for again is not done again.
+/// Request numbers that are remembered after being decided, so that a resent request is not applied twice.
 const MAX_RECENT_REQUESTS: usize = 512;
-/// The machine's roots that are kept, for statements on decisions that are not the newest: as far back as the
+/// State roots that are kept, for statements on decisions other than the newest: as far back as the
 /// snapshots that statements name.
 const MAX_ROOTS: usize = KEPT_SNAPSHOTS * SNAPSHOT_INTERVAL as usize;
 
-/// What is agreed for the agreement itself.
+/// Settings of the replicated log. All proxies have to use the same values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgreementTerms {
-    /// Who votes at first.
+    /// The first voters.
     pub bootstrap_members: Vec<Id>,
-    /// How often a leader speaks, and anybody looks at what it needs: milliseconds.
+    /// How often the leader sends a heartbeat and each replica runs its periodic work, in milliseconds.
     pub heartbeat: f64,
-    /// How old the word may become by which a proxy acts: it is asked for well before.
+    /// How old, in milliseconds, a proxy's knowledge of the decisions may be when it acts on them. It is
+    /// refreshed well before.
     pub lease: f64,
 }
 
@@ -54,14 +57,14 @@
     pub bytes: Vec<u8>,
 }
 
-/// A message that waits for the disk.
+/// A message that is sent once the disk has synced up to a position.
 #[derive(Clone, Debug, Hash)]
 struct QueuedMessage {
     disk_position: u64,
     outgoing: Outgoing,
 }
 
-/// One proxy's part.
+/// One proxy's replica of the log and of the machine that the decisions apply to.
 #[derive(Clone)]
 pub struct Agreement<M, S> {
     pub(crate) id: Id,
@@ -69,26 +72,27 @@
     pub(crate) keys: S,
     pub(crate) machine: M,
     pub(crate) rng: Pcg64Mcg,
-    /// Others that are there, as far as is known.
+    /// The other proxies that are currently known to be there.
     peers: Vec<Id>,
     pub(crate) persisted: PersistedState,
     pub(crate) disk: WriteQueue,
     pub(crate) bootstrap: Bootstrap,
     pub(crate) role_state: RoleState,
-    /// Up to where decisions are known, and are carried out.
+    /// The last index known to be decided, and the last index that is applied.
     pub(crate) decided: Index,
     pub(crate) applied: Index,
     pub(crate) stopped: Option<UnsupportedDecision>,
-    /// The council whose proofs are believed, by the index since which it votes, and the one before it.
+    /// The council whose certificates are accepted, with the index since which it votes, and the council
+    /// before it.
     pub(crate) trusted: (Index, Council),
     pub(crate) former_council: Option<Council>,
-    /// The council before the present one by what is carried out: the same at all that have come as far, while
-    /// `trust` and `former` may be ahead by a proof.
+    /// The council before the current one, by the applied entries. It is the same on all replicas that have
+    /// applied as much, while `trusted` and `former_council` may be ahead by a council proof.
     applied_former_council: Option<Council>,
     recent_requests: VecDeque<u64>,
-    /// The machine's roots after the latest decisions.
+    /// The machine's state roots after the latest decisions.
     roots: VecDeque<(Index, Hash)>,
-    /// Snapshots that are still of use, the newest last, with their digests.
+    /// The snapshots that are still needed, the newest last, with their digests.
     pub(crate) snapshots: VecDeque<(Snapshot, [u8; 32])>,
     pub(crate) dissemination: Dissemination,
     pub(crate) freshness: FreshnessRequests,
@@ -102,8 +106,11 @@
 }
 
 impl<M: Machine, S: Signer> Agreement<M, S> {
-    /// `file` is what the disk gave, as [`crate::disk::recover`] reads it. An error only where the machine
-    /// makes nothing of its own snapshot.
+    /// Creates a replica from what [`crate::disk::recover`] read from its file.
+    ///
+    /// # Errors
+    ///
+    /// Fails only when the machine cannot read its own snapshot.
     pub fn new(
         id: Id,
         terms: AgreementTerms,
@@ -117,7 +124,7 @@
         let bootstrap_council = Council::bootstrap(terms.bootstrap_members.iter().copied());
         let persisted = file.unwrap_or_else(|_| PersistedState {
             stage: Stage::New,
-            // 0 is a founder's.
+            // 0 is reserved for bootstrap members.
             disk_id: rng.random_range(1..=u64::MAX),
             term: 0,
             voted: None,
@@ -160,39 +167,42 @@
         }
         agreement.trust_council_proofs();
         agreement.become_follower(now);
-        // A torn tail goes with it, and a disk that cannot be written shows at once.
+        // Rewriting the file removes a torn tail, and shows at once whether the disk can be written.
         agreement.disk.replace_file();
         Ok(agreement)
     }
 
+    /// This proxy's id.
     pub fn id(&self) -> Id {
         self.id
     }
 
-    /// Up to where decisions are carried out.
+    /// The last index that is applied.
     pub fn applied(&self) -> Index {
         self.applied
     }
 
-    /// The decision since which the council votes that is believed here.
+    /// The index of the decision since which the trusted council votes.
     pub fn council_since(&self) -> Index {
         self.trusted.0
     }
 
+    /// The machine that the decisions apply to.
     pub fn machine(&self) -> &M {
         &self.machine
     }
 
+    /// The machine, for calls that do not change the decided state.
     pub fn machine_mut(&mut self) -> &mut M {
         &mut self.machine
     }
 
-    /// Goes on with other keys, as in a rotation.
+    /// Replaces the keys, as in a key rotation.
     pub fn rekey(&mut self, keys: S) {
         self.keys = keys;
     }
 
-    /// Who else is there now.
+    /// Sets the other proxies that are currently there.
     pub fn set_peers(&mut self, peers: impl IntoIterator<Item = Id>) {
         self.peers = peers.into_iter().filter(|&peer| peer != self.id).collect();
     }
@@ -201,22 +211,23 @@
         &self.peers
     }
 
-    /// Any other proxy, or any other of the council.
+    /// A random other proxy.
     pub(crate) fn random_peer(&mut self) -> Option<Id> {
         self.peers.choose(&mut self.rng).copied()
     }
 
+    /// A random other member of the trusted council.
     pub(crate) fn random_voter(&mut self) -> Option<Id> {
         let voters: Vec<Id> = self.trusted.1.ids().filter(|&id| id != self.id).collect();
         voters.choose(&mut self.rng).copied()
     }
 
-    /// When [`Agreement::turn`] is wanted.
+    /// The time when [`Agreement::turn`] has to be called next.
     pub fn due(&self) -> f64 {
         self.next_heartbeat_at.min(self.disk.due())
     }
 
-    /// Does what has fallen due.
+    /// Runs the work that is due: one turn of the event loop.
     pub fn turn(&mut self, now: f64) {
         if now < self.next_heartbeat_at {
             return;
@@ -232,7 +243,8 @@
         self.refresh_if_due(now);
     }
 
-    /// A message of another proxy, proved to be its own. Anything may stand in it.
+    /// Handles a message of another proxy. The caller has authenticated the sender; the contents are
+    /// untrusted.
     pub fn receive(&mut self, now: f64, from: Id, bytes: &[u8]) {
         let message = match wire::decode(bytes) {
             Ok(message) => message,
@@ -299,7 +311,7 @@
         self.send_after(0, to, message);
     }
 
-    /// Sends what rests on all that was written by now.
+    /// Sends a message once everything that is written so far is synced to the disk.
     pub(crate) fn send_after_sync(&mut self, to: Id, message: &Message) {
         self.send_after(self.disk.position(), to, message);
     }
@@ -314,19 +326,21 @@
         self.outgoing.push_back(QueuedMessage { disk_position, outgoing: Outgoing { to, bytes } });
     }
 
-    /// Whether anything of this proxy's must last: it was named as a founder, or has a seat.
+    /// Whether this proxy has to persist state: it is a bootstrap member or in the council.
     pub(crate) fn persists_state(&self) -> bool {
         self.terms.bootstrap_members.contains(&self.id) || self.persisted.log.council().contains(self.id)
     }
 
+    /// Queues bytes to be appended to the file, if this proxy persists state.
     pub(crate) fn persist(&mut self, bytes: Vec<u8>) {
         if self.persists_state() {
             self.disk.append(&bytes);
         }
     }
 
-    /// Bytes for the disk: to be written and synced, in place of the whole file where they begin anew. The
-    /// next ones come when these are told as [`Agreement::write_succeeded`] or [`Agreement::write_failed`].
+    /// The next bytes to write and sync; they replace the whole file where [`DiskWrite::replaces_file`]
+    /// says so. The next write is only returned after [`Agreement::write_succeeded`] or
+    /// [`Agreement::write_failed`].
     pub fn next_write(&mut self, now: f64) -> Option<DiskWrite> {
         if !self.persists_state() {
             self.disk.discard();
@@ -335,19 +349,20 @@
         self.disk.next_write(now, || self.persisted.encode_file())
     }
 
+    /// Reports that the last write is synced.
     pub fn write_succeeded(&mut self, now: f64) {
         self.disk.write_succeeded();
         self.update_own_progress(now);
         self.count_votes(now);
     }
 
-    /// The disk refused: it is tried again after a while, with all that is to last.
+    /// Reports that the write failed. The whole state is written again after a while.
     pub fn write_failed(&mut self, now: f64) {
         self.disk.write_failed(now, self.terms.heartbeat);
         self.become_follower(now);
     }
 
-    /// Carries out what is decided.
+    /// Applies the decided entries.
     pub(crate) fn apply(&mut self) {
         while self.applied < self.decided && self.stopped.is_none() {
             let index = self.applied + 1;
@@ -402,25 +417,26 @@
         }
     }
 
-    /// The machine's root after a decision; none where that is too long ago.
+    /// The machine's state root after a decision, or `None` if that was too long ago.
     pub(crate) fn root_at(&self, index: Index) -> Option<Hash> {
         let found = self.roots.iter().rev().find(|(at, _)| *at == index);
         found.map(|(_, root)| *root)
     }
 
-    /// A council of the log takes the place of the trusted one, where no proof of a later one came before.
+    /// Trusts a council from the log, unless a proof of a later council came first.
     fn trust_logged_council(&mut self, council: (Index, Council), former: Option<Council>) {
         if council.0 >= self.trusted.0 {
             (self.trusted, self.former_council) = (council, former);
         }
     }
 
-    /// What the decisions so far came to: nothing in it may depend on the way they came here.
+    /// Takes a snapshot of the state after the applied decisions. It may only depend on the decisions, not
+    /// on how they came here.
     fn take_snapshot(&mut self) {
-        let log_position = self.persisted.log.position_at(self.applied).expect("just carried out");
+        let log_position = self.persisted.log.position_at(self.applied).expect("just applied");
         let council = self.persisted.log.council_at(self.applied);
         let state = (council, &self.applied_former_council, &self.recent_requests, self.machine.state());
-        let bytes = postcard::to_stdvec(&state).expect("plain data");
+        let bytes = postcard::to_stdvec(&state).expect("plain data can be encoded");
         self.store_snapshot(Snapshot { log_position, bytes });
     }
 
@@ -430,14 +446,16 @@
         while self.snapshots.len() > KEPT_SNAPSHOTS {
             self.snapshots.pop_front();
         }
-        // A member of the council before may have to sign for the present one, and is behind: it gets a snapshot
-        // only by a proof that waits for its signature, so it must find the entries here.
+        // A member of the previous council may have to sign for the current one while it lags behind. It
+        // can get a snapshot only with a certificate that waits for its own signature, so the entries have
+        // to stay in this log.
         let awaits_signatures = !self.is_council_proved()
             && self.persisted.log.last().index < self.persisted.log.base().index + MAX_LOG_ENTRIES;
         if awaits_signatures && self.persisted.snapshot.is_some() {
             return;
         }
-        // Not at the first one already: whoever is behind it gets it only once it is proved.
+        // The log is not compacted at the first snapshot: members that lag behind get that snapshot only
+        // once it is certified.
         if self.snapshots.len() == KEPT_SNAPSHOTS {
             self.persisted.log.compact(self.snapshots[0].0.log_position.index);
         }
@@ -445,19 +463,19 @@
         self.disk.replace_file();
     }
 
-    /// Begins anew from a snapshot that is proved, or its own.
+    /// Replaces the state with that of a certified snapshot, or of this replica's own.
     pub(crate) fn restore(&mut self, snapshot: &Snapshot) -> Result<(), UnsupportedDecision> {
         type State = ((Index, Council), Option<Council>, VecDeque<u64>, Vec<u8>);
         let log_position = snapshot.log_position;
         let unreadable = |_| UnsupportedDecision {
             index: log_position.index,
             part: 0,
-            reason: "a snapshot of no known form".to_owned(),
+            reason: "the snapshot has an unknown form".to_owned(),
         };
         let (council, former, recent, state): State =
             postcard::from_bytes(&snapshot.bytes).map_err(unreadable)?;
         self.machine.restore(log_position.index, &state)?;
-        // Entries that follow it are kept: this member may have given its word for them.
+        // Entries after the snapshot stay: this member may have acknowledged them.
         #[cfg(test)]
         let log_continues = self.persisted.log.contains(log_position.index, &log_position.hash)
             && !self.has_fault(crate::tests::Fault::SnapshotOverwritesEntries);
@@ -483,14 +501,14 @@
         self.fault == Some(fault)
     }
 
-    /// Whether a request is done, or on its way in the log.
+    /// Whether a request is already decided, or in the log and undecided.
     pub(crate) fn knows_request(&self, request: u64) -> bool {
         let log = &self.persisted.log;
         let open = (self.applied + 1..=log.last().index).filter_map(|index| log.entry(index));
         self.recent_requests.contains(&request) || open.into_iter().any(|entry| entry.request == request)
     }
 
-    /// How far each of the council has come, for operators.
+    /// The matched index of each other council member, for operators.
     pub(crate) fn follower_progress(&self) -> BTreeMap<Id, Index> {
         match &self.role_state {
             RoleState::Leader(lead) => {
--- a/agree/src/certificate.rs
+++ b/agree/src/certificate.rs
@@ -1,6 +1,7 @@
-//! The proof that something is decided, for those who have no vote. Each member of the council signs what it
-//! knows to be decided; a majority's signatures on the same statement are a [`Certificate`], which anybody can pass
-//! on. A council is proved by a seal of the one before it ([`CouncilProof`]).
+//! Quorum certificates, by which proxies without a vote verify decisions. Each council member signs a
+//! statement on what it knows to be decided; a majority's signatures on the same statement are a
+//! [`Certificate`], which anybody can pass on. A council is proved by a certificate of the council before
+//! it ([`CouncilProof`]).
 
 use std::collections::BTreeMap;
 
@@ -10,38 +11,42 @@
 use crate::council::Council;
 use crate::log::{Hash, Index};
 
-/// Bytes of a signature.
+/// Length of a signature.
 pub const SIGNATURE_BYTES: usize = gossip::keys::SIGNATURE;
-/// What a signature is for: nothing else that the key signs begins so.
+/// Domain separation: nothing else that the key signs starts with these bytes.
 const DOMAIN: &[u8] = b"frostthread agree 2";
 
-/// How members sign, and who said what.
+/// Signs statements and verifies the signatures of other members.
 pub trait Signer {
+    /// Signs with this member's key.
     fn sign(&self, bytes: &[u8]) -> [u8; SIGNATURE_BYTES];
+    /// Whether `by` signed the bytes.
     fn verify(&self, by: Id, bytes: &[u8], signature: &[u8; SIGNATURE_BYTES]) -> bool;
 }
 
-/// What a member says of the log: all up to `index` is decided, and comes to this.
+/// A member's statement that everything up to `index` is decided, and on the state that results.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Statement {
     pub index: Index,
     pub hash: Hash,
-    /// The newest snapshot at or before it, and the digest of that.
+    /// The newest snapshot at or before `index`, and its digest.
     pub snapshot_index: Index,
     pub snapshot_digest: Hash,
-    /// Since when its council votes, and the digest of that.
+    /// The index since which the council votes at `index`, and the council's digest.
     pub version: Index,
     pub council_digest: Hash,
-    /// The machine's root once all up to `index` is carried out.
+    /// The machine's state root after `index` is applied.
     pub state_root: Hash,
 }
 
 impl Statement {
+    /// The bytes that are signed.
     pub fn bytes(&self) -> Vec<u8> {
-        postcard::to_extend(self, DOMAIN.to_vec()).expect("plain data")
+        postcard::to_extend(self, DOMAIN.to_vec()).expect("plain data can be encoded")
     }
 }
 
+/// The signatures of a majority of a council on the same statement.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Certificate {
     pub statement: Statement,
@@ -49,7 +54,8 @@
 }
 
 impl Certificate {
-    /// Signatures of a majority of a council, and no more, where there are so many.
+    /// Builds a certificate from exactly a majority of the council's signatures; `None` if there are too
+    /// few.
     pub fn from_signatures(
         statement: &Statement,
         by: &BTreeMap<Id, Vec<u8>>,
@@ -73,7 +79,7 @@
     }
 }
 
-/// A council, proved by the one before it.
+/// A council with the certificate by which the council before it confirms it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CouncilProof {
     pub council: Council,
@@ -81,14 +87,14 @@
 }
 
 impl CouncilProof {
-    /// Whether the former council says that this one votes.
+    /// Whether the former council confirms that this one votes.
     pub fn is_valid(&self, former: &Council, keys: &impl Signer) -> bool {
         self.council.digest() == self.certificate.statement.council_digest
             && self.certificate.is_valid(former, keys)
     }
 }
 
-/// The keys of gossip, as they sign what is decided.
+/// Signs and verifies with the fleet's gossip keys.
 pub struct FleetKeys {
     pub secrets: gossip::keys::Secrets,
     pub roster: gossip::keys::Roster,
--- a/agree/src/disk.rs
+++ b/agree/src/disk.rs
@@ -1,13 +1,14 @@
-//! What lasts of one member: its seat's life, its votes, its log, its newest snapshot, the proofs of
-//! councils. A file of [`frames`]; [`recover`] reads it. The shell writes what [`crate::Agreement::next_write`]
-//! gives and tells [`crate::Agreement::write_succeeded`] once it is synced; what rests on it leaves only then.
+//! The persisted state of one member: its stage and disk id, its vote, its log, its newest snapshot, the
+//! council proofs. The file consists of [`frames`]; [`recover`] reads it. The caller writes what
+//! [`crate::Agreement::next_write`] returns and calls [`crate::Agreement::write_succeeded`] once it is
+//! synced. Messages that depend on a write are sent only after that.
 //!
-//! | the file | what comes of it |
+//! | the file | result |
 //! | --- | --- |
-//! | ends in the middle of a frame | cut there: nothing that rested on it has left |
-//! | is damaged before sound frames | not to be trusted: the member has no vote until it is let in anew |
-//! | is not there, or empty | a new disk: the same, but at the founding |
-//! | is an older copy | the same, where another member that answers knows of something newer |
+//! | ends in the middle of a frame | truncated there: no message that depended on it was sent |
+//! | is damaged before intact frames | not trusted: the member has no vote until it is readmitted |
+//! | does not exist, or is empty | a new disk: no vote until readmitted, except at the bootstrap |
+//! | is an older copy | no vote until readmitted, if another member that answers knows something newer |
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -18,10 +19,10 @@
 use crate::log::{Entry, Index, Log, LogPosition, Term};
 use crate::wire::Stage;
 
-/// Bytes of a snapshot in a frame.
+/// Bytes of a snapshot in one frame.
 const CHUNK_BYTES: usize = 2048;
 
-/// A snapshot of what the decisions up to a mark came to.
+/// The state after the decisions up to a log position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
     pub log_position: LogPosition,
@@ -38,12 +39,12 @@
         term: Term,
         voted: Option<Id>,
     },
-    /// The log goes on after an index with these; what followed it is taken back.
+    /// Entries after an index. Whatever followed that index before is removed.
     Append {
         after: Index,
         entries: Vec<Entry>,
     },
-    /// The log begins after a snapshot.
+    /// The log starts after a snapshot of `bytes` bytes, which follows in chunks.
     LogStart {
         log_position: LogPosition,
         version: Index,
@@ -54,11 +55,11 @@
     CouncilProof(CouncilProof),
 }
 
-/// What a member holds that must last.
+/// The state of a member that has to survive a restart.
 #[derive(Clone, Debug)]
 pub struct PersistedState {
     pub stage: Stage,
-    /// Drawn when the disk was new.
+    /// Drawn at random when the disk was new.
     pub disk_id: u64,
     pub term: Term,
     pub voted: Option<Id>,
@@ -67,42 +68,46 @@
     pub council_proofs: Vec<CouncilProof>,
 }
 
+/// Why a file holds no usable state.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum RecoveryError {
-    #[error("no state yet")]
+    #[error("the file holds no state")]
     Empty,
     #[error("damaged at byte {offset}")]
     Damaged { offset: usize },
-    #[error("sound frames that make no state")]
+    #[error("intact frames that form no complete state")]
     Inconsistent,
 }
 
 fn write_frame(to: &mut Vec<u8>, record: &Record) {
-    frames::write(to, &postcard::to_stdvec(record).expect("plain data"));
+    frames::write(to, &postcard::to_stdvec(record).expect("plain data can be encoded"));
 }
 
-/// The frame of a seat's standing.
+/// A frame with a member's stage and disk id.
 pub fn encode_disk_state(stage: Stage, disk_id: u64) -> Vec<u8> {
     let mut bytes = Vec::new();
     write_frame(&mut bytes, &Record::DiskState { stage, disk_id });
     bytes
 }
 
+/// A frame with a term and the vote in it.
 pub fn encode_vote(term: Term, voted: Option<Id>) -> Vec<u8> {
     let mut bytes = Vec::new();
     write_frame(&mut bytes, &Record::Vote { term, voted });
     bytes
 }
 
+/// A frame with a council proof.
 pub fn encode_council_proof(proof: &CouncilProof) -> Vec<u8> {
     let mut bytes = Vec::new();
     write_frame(&mut bytes, &Record::CouncilProof(proof.clone()));
     bytes
 }
 
+/// Frames with entries that follow an index.
 pub fn encode_append(after: Index, entries: &[Entry]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    // A cut alone is written too.
+    // A truncation without new entries is written too.
     let no_entries: &[Entry] = &[];
     let chunks = if entries.is_empty() { vec![no_entries] } else { entries.chunks(4).collect() };
     for (i, entries) in chunks.into_iter().enumerate() {
@@ -113,12 +118,12 @@
 }
 
 impl PersistedState {
-    /// The whole file.
+    /// The contents of a complete file.
     pub fn encode_file(&self) -> Vec<u8> {
         let mut bytes = encode_disk_state(self.stage, self.disk_id);
         bytes.extend(encode_vote(self.term, self.voted));
         let snapshot = self.snapshot.as_ref();
-        // The log in memory may reach further back than the snapshot, for those who are behind.
+        // The log in memory may reach further back than the snapshot, for members that lag behind.
         let start = snapshot.map_or(self.log.base(), |snapshot| snapshot.log_position);
         let (version, council) = self.log.council_at(start.index).clone();
         let snapshot_bytes = snapshot.map_or(&[][..], |snapshot| &snapshot.bytes);
@@ -135,7 +140,7 @@
     }
 }
 
-/// What a file holds.
+/// Reads the persisted state from the contents of a file.
 pub fn recover(bytes: &[u8]) -> Result<PersistedState, RecoveryError> {
     let frames_read = frames::read(bytes, |body| {
         let (record, rest) = postcard::take_from_bytes::<Record>(body).ok()?;
@@ -156,7 +161,7 @@
         snapshot: None,
         council_proofs: Vec::new(),
     };
-    // Bytes of the snapshot that are still to come.
+    // Bytes of the snapshot that are still to follow.
     let mut remaining_bytes = 0;
     let mut log_started = false;
     for record in records {
@@ -185,75 +190,83 @@
             Record::CouncilProof(proof) => persisted.council_proofs.push(proof),
         }
     }
-    // A file is written whole before it takes the place of another: a part of one is no torn tail.
+    // A file is written completely before it replaces the previous one, so an incomplete one is not a torn
+    // tail.
     if !log_started || remaining_bytes > 0 { Err(RecoveryError::Inconsistent) } else { Ok(persisted) }
 }
 
 impl Snapshot {
+    /// The BLAKE3 digest of the snapshot, as signed in statements.
     pub fn digest(&self) -> [u8; 32] {
-        *blake3::hash(&postcard::to_stdvec(self).expect("plain data")).as_bytes()
+        *blake3::hash(&postcard::to_stdvec(self).expect("plain data can be encoded")).as_bytes()
     }
 }
 
-/// What the shell is to write and sync.
+/// A write for the caller to do and sync.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DiskWrite {
-    /// In place of the whole file: beside it, synced, and then put in its place.
+    /// Whether the bytes replace the whole file: written to a new file beside it, synced, then renamed over
+    /// it.
     pub replaces_file: bool,
     pub bytes: Vec<u8>,
 }
 
-/// A disk that refused is tried again after so many beats.
+/// Heartbeats before a write is retried after a failure.
 const RETRY_HEARTBEATS: f64 = 10.0;
 
-/// What is to be written, and how far it is. Positions count what was kept.
+/// The bytes that are still to be written. Positions count the changes so far.
 #[derive(Clone, Debug, Default)]
 pub struct WriteQueue {
     bytes: Vec<u8>,
     replaces_file: bool,
     position: u64,
-    /// What is being written now reaches this.
+    /// The position that the current write reaches.
     writing: Option<u64>,
     synced: u64,
-    /// It refused: not before then.
+    /// The time before which a failed write is not retried.
     retry_at: Option<f64>,
 }
 
 impl WriteQueue {
+    /// Queues bytes to be appended.
     pub(crate) fn append(&mut self, bytes: &[u8]) {
         self.bytes.extend(bytes);
         self.position += 1;
     }
 
-    /// The whole file is to be written at the next write.
+    /// Requests that the next write replaces the whole file.
     pub(crate) fn replace_file(&mut self) {
         self.replaces_file = true;
         self.position += 1;
     }
 
+    /// The number of changes queued so far.
     pub(crate) fn position(&self) -> u64 {
         self.position
     }
 
+    /// The position up to which changes are synced.
     pub(crate) fn synced(&self) -> u64 {
         self.synced
     }
 
-    /// Whether it can be rested on.
+    /// Whether the last write did not fail.
     pub(crate) fn is_writable(&self) -> bool {
         self.retry_at.is_none()
     }
 
-    /// Nothing has to last.
+    /// Drops queued bytes, as nothing has to be persisted.
     pub(crate) fn discard(&mut self) {
         self.bytes.clear();
         self.synced = self.position;
     }
 
+    /// When a failed write is to be retried.
     pub(crate) fn due(&self) -> f64 {
         self.retry_at.filter(|_| self.writing.is_none()).unwrap_or(f64::INFINITY)
     }
 
+    /// The next write, unless one is under way or a failed one is not yet due.
     pub(crate) fn next_write(
         &mut self,
         now: f64,
--- a/agree/src/dissemination.rs
+++ b/agree/src/dissemination.rs
@@ -1,9 +1,9 @@
-//! Decisions on their way to those without a vote, and to members that are too far behind for their leader's
+//! Spreads decisions to proxies without a vote, and to members that lag too far behind for the leader's
 //! log.
 //!
-//! The leader puts signatures together into a [`Certificate`]; whoever gets a newer one passes it to a few others,
-//! and pulls what it lacks from whoever it came from. So decisions reach hundreds without one member telling
-//! them all, and nobody need be believed but a majority of the council.
+//! The leader combines signatures into a [`Certificate`]. A proxy that gets a newer one passes it on to a
+//! few others, and pulls what it lacks from the sender. So decisions reach hundreds of proxies without one
+//! member sending to all, and only a majority of the council has to be trusted.
 
 use std::collections::BTreeMap;
 
@@ -16,22 +16,23 @@
 use crate::machine::Machine;
 use crate::wire::{CHUNK_BYTES, MAX_ENTRIES_BYTES, Message, StatementSignature};
 
-/// Others that a new proof is passed to at each beat.
+/// Proxies that a new certificate is passed on to at each heartbeat.
 const FAN_OUT: usize = 2;
-/// Whoever knows of more than it has asks once in so many beats, beside whom it heard it from.
+/// Heartbeats between two pulls of a proxy that knows a newer certificate than it has applied, besides the
+/// pull from the certificate's sender.
 const PULL_HEARTBEATS: u64 = 2;
-/// Whoever has heard nothing new asks another once in so many beats.
+/// Heartbeats between two pulls of a proxy that knows of nothing newer.
 const REPAIR_HEARTBEATS: u64 = 10;
-/// Statements whose signatures are gathered at once.
+/// Statements whose signatures are collected at the same time.
 const MAX_OPEN_STATEMENTS: usize = 16;
-/// Proofs of councils that are kept: whoever is further behind needs newer settings.
+/// Council proofs that are kept. A proxy that lags further behind needs newer settings.
 const MAX_COUNCIL_PROOFS: usize = 64;
-/// Entries that wait for a proof: more than any log reaches back.
+/// Entries that wait for a certificate: more than any log reaches back.
 const MAX_STAGED_ENTRIES: u64 = 4 * SNAPSHOT_INTERVAL;
-/// Bytes of the largest snapshot.
+/// Largest snapshot that is accepted.
 const MAX_SNAPSHOT_BYTES: usize = 1 << 20;
 
-/// A snapshot that is being fetched.
+/// A snapshot that is being received.
 #[derive(Clone, Debug)]
 struct SnapshotTransfer {
     log_position: LogPosition,
@@ -42,20 +43,21 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Dissemination {
-    /// The newest proof.
+    /// The newest certificate.
     pub(crate) certificate: Option<Certificate>,
-    /// How often it is still passed on.
+    /// How many more times it is passed on.
     remaining_passes: u32,
-    /// Signatures that have come, by what they are of.
+    /// Signatures received so far, by the index of their statement.
     signatures: BTreeMap<Index, (Statement, BTreeMap<Id, Vec<u8>>)>,
     transfer: Option<SnapshotTransfer>,
-    /// Entries that follow what is decided here, until their end is that of a proof: none of them counts
+    /// Entries after the last decided one, until their end matches a certificate. None of them counts
     /// before.
     staged: Option<Log>,
 }
 
 impl<M: Machine, S: Signer> Agreement<M, S> {
-    /// What a member that knows all up to an index to be decided says of it; none where that is too long ago.
+    /// The statement of a member that has applied everything up to an index; `None` if that was too long
+    /// ago.
     fn statement(&self, index: Index) -> Option<Statement> {
         let log_position = self.persisted.log.position_at(index).filter(|_| index <= self.applied)?;
         let snapshot_index = index - index % SNAPSHOT_INTERVAL;
@@ -76,7 +78,7 @@
         })
     }
 
-    /// Its signature on the newest that it knows to be decided.
+    /// This member's signature on the newest index that it knows to be decided, if still needed.
     pub(crate) fn sign_latest(&self) -> Option<StatementSignature> {
         let statement =
             self.statement(self.applied).filter(|statement| statement.index > 0 && self.is_voter())?;
@@ -85,7 +87,7 @@
             .certificate
             .as_ref()
             .is_some_and(|certificate| certificate.statement.index >= statement.index);
-        // A proof of its council may be wanting though the statement has one.
+        // The council proof may still be missing although the statement is already certified.
         let has_council_proof = self
             .persisted
             .council_proofs
@@ -97,7 +99,7 @@
         })
     }
 
-    /// A member signed: once a majority has, that is a proof.
+    /// Records a member's signature. Once a majority has signed, they form a certificate.
     pub(crate) fn record_signature(&mut self, from: Id, signed: StatementSignature) {
         let Some(statement) = self.statement(signed.index) else { return };
         let bytes = statement.bytes();
@@ -129,7 +131,7 @@
         {
             self.store_certificate(certificate);
         }
-        // Where a majority of the council before signed too, that proves the council.
+        // If a majority of the previous council signed too, that proves the new council.
         let needs_proof = statement.version == self.trusted.0 && !self.is_council_proved();
         let former_council = self.former_council.as_ref().filter(|_| needs_proof);
         if let Some(certificate) =
@@ -143,6 +145,7 @@
         }
     }
 
+    /// Persists a council proof that is newer than all that are kept.
     fn store_council_proof(&mut self, proof: CouncilProof) {
         if !self
             .persisted
@@ -159,14 +162,14 @@
         }
     }
 
-    /// Tells those who asked for a council that it is proved.
+    /// Reports council changes as done to their requesters once the council is proved.
     pub(crate) fn report_proved_councils(&mut self) {
         if let Some(proof) = self.persisted.council_proofs.last() {
             self.requests.council_proved(proof.certificate.statement.version);
         }
     }
 
-    /// Whether the council that votes now is proved to those who only follow.
+    /// Whether the current council is proved to proxies that only follow.
     pub(crate) fn is_council_proved(&self) -> bool {
         let version = self.trusted.0;
         version == 0
@@ -177,7 +180,7 @@
                 .any(|proof| proof.certificate.statement.version == version)
     }
 
-    /// Goes from council to council by the proofs that it kept.
+    /// Advances the trusted council by the persisted council proofs.
     pub(crate) fn trust_council_proofs(&mut self) {
         for proof in self.persisted.council_proofs.clone() {
             if proof.certificate.statement.version > self.trusted.0
@@ -189,33 +192,35 @@
         }
     }
 
+    /// Keeps a certificate and passes it on about log2 of the number of proxies times.
     fn store_certificate(&mut self, certificate: Certificate) {
         self.dissemination.certificate = Some(certificate);
         self.dissemination.remaining_passes = (self.peers().len() as f64 + 2.0).log2().ceil() as u32;
     }
 
-    /// The newest proof, to be passed on.
+    /// The newest certificate, for passing it on.
     pub fn certificate(&self) -> Option<&Certificate> {
         self.dissemination.certificate.as_ref()
     }
 
-    /// The proofs of the councils since the founding, as far as they are kept, the oldest first.
+    /// The proofs of the councils since the bootstrap that are still kept, the oldest first.
     pub fn council_proofs(&self) -> &[CouncilProof] {
         &self.persisted.council_proofs
     }
 
-    /// Up to where a proof is known.
+    /// The index of the newest certificate, or 0.
     pub(crate) fn certified_index(&self) -> Index {
         self.dissemination.certificate.as_ref().map_or(0, |certificate| certificate.statement.index)
     }
 
+    /// Sends the newest certificate to a proxy.
     pub(crate) fn send_certificate(&mut self, to: Id) {
         if let Some(certificate) = self.dissemination.certificate.clone() {
             self.send(to, &Message::Certificate { certificate });
         }
     }
 
-    /// Passes on what is new, and asks for what may be missing.
+    /// Passes on the newest certificate, and pulls what may be missing.
     pub(crate) fn disseminate(&mut self) {
         if self.dissemination.remaining_passes > 0 {
             self.dissemination.remaining_passes -= 1;
@@ -227,7 +232,7 @@
         }
         let is_leader = matches!(self.role_state, RoleState::Leader(_));
         if self.certified_index() > self.applied && !is_leader {
-            // From anybody: what all pulled from the few that vote would be over their caps.
+            // From any proxy: if all pulled from the few voters, these would exceed their traffic caps.
             if self.heartbeats.is_multiple_of(PULL_HEARTBEATS)
                 && let Some(to) = self.random_peer()
             {
@@ -241,6 +246,7 @@
         }
     }
 
+    /// Requests the entries after the last decided or staged one, or a chunk of a snapshot.
     fn send_pull(&mut self, to: Id, chunk: Option<(Index, u32)>) {
         let decided = self.persisted.log.position_at(self.decided).unwrap_or_default();
         let staged =
@@ -250,7 +256,7 @@
         self.send(to, &Message::Pull { index, hash, council_version, certified, chunk });
     }
 
-    /// A proof came.
+    /// Handles a certificate from another proxy.
     pub(crate) fn handle_certificate(&mut self, from: Id, certificate: Certificate) {
         let statement = &certificate.statement;
         let held_index = self.dissemination.certificate.as_ref().map_or(0, |held| held.statement.index);
@@ -273,7 +279,7 @@
         self.catch_up(from);
     }
 
-    /// Carries out what the newest proof tells, or asks for what lacks.
+    /// Applies what the newest certificate covers, or requests what is missing.
     fn catch_up(&mut self, from: Id) {
         let Some(statement) =
             self.dissemination.certificate.as_ref().map(|certificate| certificate.statement.clone())
@@ -287,7 +293,7 @@
             self.decided = self.decided.max(statement.index);
             return self.apply();
         }
-        // It came past that snapshot by entries: no piece of it is wanted any more.
+        // Entries have gone past that snapshot: its chunks are no longer needed.
         self.dissemination.transfer.take_if(|transfer| transfer.log_position.index <= self.applied);
         let is_voter = self.is_voter();
         if let Some(staged) =
@@ -298,7 +304,7 @@
                 self.store_entries(self.decided, entries);
                 return self.catch_up(from);
             }
-            // Somebody sent what is not so: it is fetched again, from another.
+            // Some proxy sent wrong entries: they are fetched again from another.
             self.counts.diverged += 1;
             return;
         }
@@ -308,15 +314,16 @@
             .as_ref()
             .filter(|transfer| transfer.digest == statement.snapshot_digest);
         let chunk = transfer.map(|transfer| (transfer.log_position.index, transfer.bytes.len() as u32));
-        // A voter gets entries from its leader alone: what others send is not proved entry by entry.
+        // A voter takes entries only from its leader: entries of others are not certified one by one.
         if chunk.is_some() || !is_voter {
             self.send_pull(from, chunk);
         } else if statement.snapshot_index > self.applied {
-            // Also where its log is longer: what it holds there may be of a leader whose entries were not decided.
+            // Also if its own log is longer: that may hold undecided entries of an earlier leader.
             self.send_pull(from, Some((statement.snapshot_index, 0)));
         }
     }
 
+    /// Answers a proxy that lags behind.
     pub(crate) fn handle_pull(
         &mut self,
         from: Id,
@@ -360,6 +367,7 @@
         }
     }
 
+    /// Sends a chunk of a snapshot that is still kept.
     fn send_chunk(&mut self, to: Id, index: Index, offset: u32) {
         let Some((snapshot, _)) =
             self.snapshots.iter().find(|(snapshot, _)| snapshot.log_position.index == index)
@@ -373,6 +381,7 @@
         self.send(to, &Message::SnapshotChunk { index, hash, term, offset, total_bytes, bytes });
     }
 
+    /// Stages entries that a proxy without a vote has pulled.
     pub(crate) fn handle_entries(&mut self, from: Id, prev: Index, hash: &Hash, mut entries: Vec<Entry>) {
         let certified = self.certified_index();
         let Some(decided) = self.persisted.log.position_at(self.decided) else { return };
@@ -382,7 +391,7 @@
         let (version, council) = self.trusted.clone();
         let staged = self.dissemination.staged.get_or_insert_with(|| Log::new(decided, version, council));
         if staged.base().index < decided.index {
-            // Some of it has come another way since.
+            // Some of the entries have come another way in the meantime.
             self.dissemination.staged = None;
             return;
         }
@@ -396,11 +405,12 @@
         }
     }
 
-    /// The proof of a council came.
+    /// Handles the proof of a council.
     pub(crate) fn handle_council_proof(&mut self, from: Id, proof: CouncilProof) {
         let version = proof.certificate.statement.version;
         if version == self.trusted.0 {
-            // It votes here already by the log: the proof is kept for those who follow.
+            // The log has already made this council the current one: the proof is kept for proxies that
+            // follow.
             let proved =
                 self.former_council.as_ref().is_some_and(|former| proof.is_valid(former, &self.keys));
             if proved && !self.is_council_proved() && proof.council == self.trusted.1 {
@@ -421,6 +431,7 @@
         self.send_pull(from, None);
     }
 
+    /// Collects a snapshot and restores it once it is complete and its digest is certified.
     pub(crate) fn handle_snapshot_chunk(
         &mut self,
         from: Id,
--- a/agree/src/election.rs
+++ b/agree/src/election.rs
@@ -1,6 +1,6 @@
-//! Who leads: Raft's elections (Ongaro and Ousterhout), with a trial round before each, so that a member
-//! which was cut off does not disturb the others when it is back, and a leader that steps down when it hears
-//! no majority, so that one which others hear but do not reach makes room.
+//! Leader election as in Raft (Ongaro and Ousterhout), with a pre-vote round, so that a member that was cut
+//! off does not disturb the others when it returns. A leader that hears from no majority steps down, so
+//! that a leader whose messages arrive but who receives none makes way for another.
 
 use std::collections::BTreeSet;
 
@@ -15,17 +15,17 @@
 use crate::replication::LeaderState;
 use crate::wire::Message;
 
-/// A member that hears no leader for so many beats, up to twice as many by chance, asks for votes; a leader
-/// that hears no majority for so many steps down.
+/// Heartbeats without a message from the leader after which a member requests votes; a random extra delay
+/// of up to the same length is added. A leader that hears from no majority for that long steps down.
 pub(crate) const ELECTION_TIMEOUT_HEARTBEATS: f64 = 10.0;
 
-/// What a member does.
+/// A member's role in the current term.
 #[derive(Clone, Debug)]
 pub enum RoleState {
     Follower {
         leader: Option<Id>,
         last_heard_at: f64,
-        /// How much longer than the least it waits, as a part of it.
+        /// The extra delay, as a fraction of the election timeout.
         timeout_jitter: f64,
     },
     Candidate {
@@ -34,29 +34,32 @@
         votes: BTreeSet<Id>,
         started_at: f64,
         timeout_jitter: f64,
-        /// Its own vote counts once this is on the disk.
+        /// Its own vote counts once the disk is synced up to this position.
         disk_position: u64,
     },
     Leader(LeaderState),
 }
 
 impl RoleState {
+    /// A follower that has heard of no leader yet.
     pub fn follower(now: f64, timeout_jitter: f64) -> Self {
         Self::Follower { leader: None, last_heard_at: now, timeout_jitter }
     }
 }
 
 impl<M: Machine, S: Signer> Agreement<M, S> {
+    /// The election timeout without jitter, in milliseconds.
     pub(crate) fn election_timeout(&self) -> f64 {
         ELECTION_TIMEOUT_HEARTBEATS * self.terms.heartbeat
     }
 
-    /// Waits for a leader, as from now.
+    /// Becomes a follower without a leader, with a new election timeout from now on.
     pub(crate) fn become_follower(&mut self, now: f64) {
         self.role_state = RoleState::follower(now, self.rng.random());
         self.freshness.clear_waiting();
     }
 
+    /// The leader of the current term, if known.
     pub(crate) fn leader(&self) -> Option<Id> {
         match &self.role_state {
             RoleState::Follower { leader, .. } => *leader,
@@ -65,32 +68,32 @@
         }
     }
 
-    /// A leader was heard in the present term.
+    /// Follows a leader that was heard in the current term.
     pub(crate) fn follow(&mut self, now: f64, from: Id) {
         self.role_state =
             RoleState::Follower { leader: Some(from), last_heard_at: now, timeout_jitter: self.rng.random() };
     }
 
-    /// Goes into a later term, in which it has not voted.
+    /// Enters a later term, in which it has not voted.
     pub(crate) fn enter_term(&mut self, now: f64, term: Term) {
         (self.persisted.term, self.persisted.voted) = (term, None);
         self.persist(disk::encode_vote(term, None));
-        // Whoever merely waits does not begin to wait anew: that would put off its turn.
+        // A follower keeps its election timer: restarting it would delay its own candidacy.
         if !matches!(self.role_state, RoleState::Follower { .. }) {
             self.become_follower(now);
         }
     }
 
-    /// A later term was met in an answer. A member that still asks the others after its start waits for no
-    /// answer: what comes was meant for the process before it, and a term taken from there would hide that its
-    /// disk is an older copy.
+    /// Enters a later term that was seen in a response. A member that still queries the others after its
+    /// start expects no response: it was meant for the process before it, and adopting its term would hide
+    /// that the disk is an older copy.
     pub(crate) fn observe_term(&mut self, now: f64, term: Term) {
         if self.bootstrap.disk_verified && term > self.persisted.term {
             self.enter_term(now, term);
         }
     }
 
-    /// Asks for votes when its patience is over.
+    /// Requests votes when the election timeout is over.
     pub(crate) fn start_election_if_due(&mut self, now: f64) {
         let (started_at, timeout_jitter) = match &self.role_state {
             RoleState::Follower { last_heard_at, timeout_jitter, .. } => (*last_heard_at, *timeout_jitter),
@@ -107,6 +110,7 @@
         }
     }
 
+    /// Starts a pre-vote round, or an election in the next term.
     fn request_votes(&mut self, now: f64, pre_vote: bool) {
         let term = self.persisted.term + 1;
         if !pre_vote {
@@ -184,6 +188,7 @@
         self.send_after_sync(from, &Message::Vote { term, pre_vote, granted, disk_id });
     }
 
+    /// Handles the response to a vote request.
     pub(crate) fn handle_vote(
         &mut self,
         now: f64,
@@ -209,7 +214,7 @@
         }
     }
 
-    /// Counts votes; its own, too, only once it is on the disk.
+    /// Counts the votes, its own only once it is on the disk.
     pub(crate) fn count_votes(&mut self, now: f64) {
         let RoleState::Candidate { pre_vote, votes, disk_position, .. } = &self.role_state else { return };
         let own_vote_synced = self.disk.synced() >= *disk_position;
--- a/agree/src/freshness.rs
+++ b/agree/src/freshness.rs
@@ -1,5 +1,5 @@
-//! A voter's signed word on how far decisions were. Whoever asked for it can pass it on to others that have
-//! no vote: they need believe nobody but the voter.
+//! A voter's signed statement on how far decisions had come. The requester can pass it on to others that
+//! have no vote: they only have to trust that voter.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,14 +8,14 @@
 use crate::council::Council;
 use crate::log::Index;
 
-/// Drawn by whoever asks: an answer that holds it was given after it was drawn.
+/// Drawn at random by the requester: a response that contains it was given after it was drawn.
 pub type Nonce = [u8; 16];
 
-/// What such a signature is for: nothing else that the key signs begins so.
+/// Domain separation: nothing else that the key signs starts with these bytes.
 const DOMAIN: &[u8] = b"frostthread fresh 1";
 
-/// All decisions up to `index` were made by the time when `signer` answered; none of those that were made
-/// before it was asked is after `index`.
+/// A signed response to a nonce: all decisions up to `index` were made before `signer` answered, and every
+/// decision made before the request has an index of at most `index`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FreshnessProof {
     pub nonce: Nonce,
@@ -25,7 +25,7 @@
 }
 
 impl FreshnessProof {
-    /// The signed answer to a nonce.
+    /// Signs a response to a nonce.
     pub fn sign(signer: Id, nonce: Nonce, index: Index, keys: &impl Signer) -> Self {
         let signature = keys.sign(&Self::bytes(&nonce, index)).to_vec();
         Self { nonce, index, signer, signature }
@@ -39,6 +39,6 @@
     }
 
     fn bytes(nonce: &Nonce, index: Index) -> Vec<u8> {
-        postcard::to_extend(&(nonce, index), DOMAIN.to_vec()).expect("plain data")
+        postcard::to_extend(&(nonce, index), DOMAIN.to_vec()).expect("plain data can be encoded")
     }
 }
--- a/agree/src/freshness_requests.rs
+++ b/agree/src/freshness_requests.rs
@@ -1,7 +1,8 @@
-//! How old what a proxy knows can be. Whoever wants to act by it asks the council: a leader answers once a
-//! majority has answered a round that it began after it was asked, so that no later leader can have decided
-//! anything before. What was decided by the time of asking is then known, by the asker's own clock. Members
-//! gather the asks of many into one, so that hundreds do not all ask the leader.
+//! Bounds how old a proxy's knowledge is. A proxy that wants to act on the decisions asks the council. The
+//! leader answers once a majority has answered a heartbeat round that began after the request, so that no
+//! later leader can have decided anything before. Everything decided by the time of the request is then
+//! known, by the requester's own clock. Members combine the requests of many proxies into one, so that
+//! hundreds do not all ask the leader.
 
 use std::collections::VecDeque;
 
@@ -16,31 +17,34 @@
 use crate::machine::Machine;
 use crate::wire::Message;
 
-/// A proxy asks so many times in a lease.
+/// Requests of a proxy per lease.
 const REFRESHES_PER_LEASE: f64 = 3.0;
-/// Asks that wait at a member; more are dropped, and asked again.
+/// Requests that wait at a member. Further ones are dropped and sent again later.
 const MAX_WAITING: usize = 1024;
-/// Asks on others' behalf that are open at once, and their answers; the oldest are forgotten.
+/// Most open requests for a caller's nonce, and most proofs that wait to be taken; the oldest are dropped.
 const MAX_PROOFS: usize = 16;
 
+/// Requests for fresh knowledge of the decisions: this proxy's own and those of others.
 #[derive(Clone, Debug, Default)]
 pub struct FreshnessRequests {
-    /// Its own ask: nonce, and when it was made.
+    /// The proxy's own request: its nonce, and when it was sent.
     own_request: Option<(Nonce, f64)>,
-    /// What it will know to be decided as of when, once it has carried out so much.
+    /// The time as of which everything is known once the index is applied.
     confirmed: Option<(f64, Index)>,
-    /// All that was decided before then is carried out here.
+    /// Everything decided before this time is applied here.
     fresh_as_of: Option<f64>,
-    /// Asks of others that wait: at a leader with the round that answers them, elsewhere for the next ask.
+    /// Requests of others: at a leader with the round that answers them, elsewhere waiting for the next
+    /// request.
     waiting: VecDeque<(Id, Nonce, u64)>,
-    /// Those that the ask on its way answers.
+    /// The requests of others that the pending request answers.
     relayed: Vec<(Id, Nonce)>,
-    /// Nonces of the caller's own that are asked about, and what came of them.
+    /// Nonces of the caller's requests, and the proofs received for them.
     requested_nonces: VecDeque<Nonce>,
     proofs: VecDeque<FreshnessProof>,
 }
 
 impl FreshnessRequests {
+    /// Drops all waiting requests, as when the leader changes.
     pub(crate) fn clear_waiting(&mut self) {
         self.waiting.clear();
         self.relayed.clear();
@@ -49,20 +53,20 @@
 }
 
 impl<M: Machine, S: Signer> Agreement<M, S> {
-    /// How old what this proxy knows of the decisions can be, in milliseconds; infinity before it was ever
-    /// told.
+    /// How old this proxy's knowledge of the decisions can be, in milliseconds; infinite before the first
+    /// answer.
     pub fn age(&self, now: f64) -> f64 {
         self.freshness.fresh_as_of.map_or(f64::INFINITY, |at| now - at)
     }
 
-    /// Asks the council now, though there would be time: [`Agreement::age`] tells when it has answered.
+    /// Asks the council now, even if no request is due. [`Agreement::age`] shows when it has answered.
     pub fn refresh(&mut self, now: f64) {
         self.send_freshness_request(now);
     }
 
-    /// Asks the council how far decisions are, by a nonce of the caller's own. The answer can be passed on to
-    /// others: [`Agreement::next_freshness_proof`] gives it. Without one after a while it is to be asked again, by
-    /// another nonce.
+    /// Asks the council how far decisions have come, with a nonce of the caller. The proof, from
+    /// [`Agreement::next_freshness_proof`], can be passed on to others. Without an answer after a while the
+    /// caller has to ask again with another nonce.
     pub fn request_freshness(&mut self, nonce: Nonce) {
         self.freshness.requested_nonces.push_back(nonce);
         if self.freshness.requested_nonces.len() > MAX_PROOFS {
@@ -80,6 +84,7 @@
         self.freshness.proofs.pop_front()
     }
 
+    /// Sends a request when knowledge gets old or others wait, and drops one that was not answered.
     pub(crate) fn refresh_if_due(&mut self, now: f64) {
         self.complete_refresh();
         let interval = self.terms.lease / REFRESHES_PER_LEASE;
@@ -96,6 +101,7 @@
         }
     }
 
+    /// Sends the proxy's own request, which also covers the requests of others.
     fn send_freshness_request(&mut self, now: f64) {
         let nonce: Nonce = self.rng.random();
         if let RoleState::Leader(lead) = &self.role_state {
@@ -112,6 +118,7 @@
         self.send(to, &Message::FreshnessRequest { nonce });
     }
 
+    /// Queues the request of another proxy.
     pub(crate) fn handle_freshness_request(&mut self, from: Id, nonce: Nonce) {
         if !self.is_voter() || self.freshness.waiting.len() >= MAX_WAITING {
             return;
@@ -128,7 +135,7 @@
         }
     }
 
-    /// A leader answers those whose round a majority has answered.
+    /// As the leader, answers the requests whose round a majority has answered.
     pub(crate) fn answer_waiting(&mut self) {
         let RoleState::Leader(lead) = &self.role_state else { return };
         let council = self.persisted.log.council();
@@ -136,7 +143,7 @@
             |id: Id| lead.progress.get(&id).filter(|of| of.disk_matches).map_or(0, |of| of.round);
         let round_acknowledged =
             |round: u64| council.is_majority(|voter| voter.id == self.id || last_round(voter.id) >= round);
-        // Before an entry of its own term is decided it may not know what earlier leaders decided.
+        // Before an entry of its own term is decided, a leader may not know what earlier leaders decided.
         let own_term_decided = self
             .persisted
             .log
@@ -163,6 +170,7 @@
         self.send(to, &Message::FreshnessResponse { nonce, index, signature });
     }
 
+    /// Handles a signed answer to the proxy's own or its caller's request.
     pub(crate) fn handle_freshness_response(&mut self, proof: FreshnessProof) {
         let requested = self.freshness.requested_nonces.iter().position(|nonce| *nonce == proof.nonce);
         let own = self.freshness.own_request.filter(|(nonce, _)| *nonce == proof.nonce);
@@ -194,7 +202,7 @@
         self.complete_refresh();
     }
 
-    /// What it was told counts once all of it is carried out.
+    /// Counts a confirmed answer once its index is applied.
     pub(crate) fn complete_refresh(&mut self) {
         if let Some((at, _)) = self.freshness.confirmed.filter(|(_, index)| self.applied >= *index) {
             self.freshness.fresh_as_of = Some(self.freshness.fresh_as_of.map_or(at, |before| before.max(at)));
--- a/agree/src/lib.rs
+++ b/agree/src/lib.rs
@@ -1,12 +1,12 @@
-//! One order of decisions for all border proxies, without I/O.
+//! A replicated log: one order of decisions for all border proxies, without I/O.
 //!
-//! [`Agreement`] is one proxy's part in it. It is handed messages, the time and what its disk came to; it
-//! hands back messages, bytes for the disk, and gives each decision to its [`Machine`] in the one order.
-//! [`council`] is who votes, [`log`] the decisions, [`certificate`] the proof by which those outside the council
-//! believe them, [`disk`] what lasts, [`wire`] the form of messages. docs/agree.md weighs the ways and states
-//! the bounds.
+//! [`Agreement`] is one proxy's replica. It takes messages, the time and the results of disk writes; it
+//! returns messages and bytes to write, and applies each decision to its [`Machine`] in log order.
+//! [`council`] holds the voting members, [`log`] the decisions, [`certificate`] the quorum certificates by
+//! which proxies outside the council verify decisions, [`disk`] the persisted state, [`wire`] the encoding
+//! of messages. docs/agree.md compares the alternatives and states the bounds.
 //!
-//! Times are milliseconds on the proxy's clock, which only goes forward.
+//! Times are milliseconds on the proxy's own monotonic clock.
 
 #![forbid(unsafe_code)]
 
@@ -37,5 +37,5 @@
 pub use requests::{Outcome, Refusal};
 pub use status::{AgreementStatus, Counts, Role};
 
-/// A member of the fleet, as gossip knows it.
+/// A member of the fleet, as identified by gossip.
 pub type Id = gossip::keys::Id;
--- a/agree/src/log.rs
+++ b/agree/src/log.rs
@@ -1,5 +1,5 @@
-//! The decisions in their order. Each entry is chained to all before it by a hash, so that two logs that have
-//! the same hash at an index are the same up to there.
+//! The log of decisions. Each entry is chained to all entries before it by a hash, so that two logs with
+//! the same hash at an index are equal up to that index.
 
 use std::collections::VecDeque;
 
@@ -7,46 +7,52 @@
 
 use crate::council::Council;
 
+/// The index of a log entry; the first entry has index 1.
 pub type Index = u64;
+/// The term of a leader.
 pub type Term = u64;
+/// A BLAKE3 hash.
 pub type Hash = [u8; 32];
 
-/// Bytes of the longest command of a part.
+/// Longest command of a part of the machine.
 pub const MAX_COMMAND_BYTES: usize = 400;
 
-/// What an entry is for.
+/// The contents of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Payload {
-    /// A leader's first one: what earlier leaders left behind is decided with it.
+    /// The first entry of a leader. Deciding it also decides what earlier leaders left undecided.
     Begin,
-    /// Who votes from here on.
+    /// The council that votes from this entry on.
     Council(Council),
-    /// A command of one of the machine's parts.
+    /// A command for one of the machine's parts.
     Decide { part: u8, command: Vec<u8> },
 }
 
+/// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
     pub term: Term,
-    /// Drawn by who asks: asked for twice, it is done once. 0 where nobody asked.
+    /// A random number of the requester, by which a resent request is applied once; 0 if nobody requested
+    /// the entry.
     pub request: u64,
     pub payload: Payload,
 }
 
 impl Entry {
+    /// The encoded length in bytes.
     pub fn size(&self) -> usize {
-        postcard::experimental::serialized_size(self).expect("plain data")
+        postcard::experimental::serialized_size(self).expect("plain data can be encoded")
     }
 
     fn chain_hash(&self, previous: &Hash) -> Hash {
         let mut hasher = blake3::Hasher::new();
         hasher.update(previous);
-        hasher.update(&postcard::to_stdvec(self).expect("plain data"));
+        hasher.update(&postcard::to_stdvec(self).expect("plain data can be encoded"));
         *hasher.finalize().as_bytes()
     }
 }
 
-/// A place in the log.
+/// A position in the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LogPosition {
     pub index: Index,
@@ -54,24 +60,28 @@
     pub hash: Hash,
 }
 
-/// Entries after a base, whose own are folded into a snapshot.
+/// The entries after a base position. Entries up to the base are compacted into a snapshot.
 #[derive(Clone, Debug)]
 pub struct Log {
     base: LogPosition,
     entries: VecDeque<(Entry, Hash)>,
-    /// The councils of the log, with the index from which each votes; the first is the base's.
+    /// The councils of the log, with the index since which each votes; the first is the council at the
+    /// base.
     councils: Vec<(Index, Council)>,
 }
 
 impl Log {
+    /// An empty log after a base, with the council that votes there and the index since which it votes.
     pub fn new(base: LogPosition, version: Index, council: Council) -> Self {
         Self { base, entries: VecDeque::new(), councils: vec![(version, council)] }
     }
 
+    /// The position after which the entries start.
     pub fn base(&self) -> LogPosition {
         self.base
     }
 
+    /// The position of the last entry, or the base.
     pub fn last(&self) -> LogPosition {
         let index = self.base.index + self.entries.len() as u64;
         self.entries.back().map_or(self.base, |(entry, hash)| LogPosition {
@@ -85,10 +95,12 @@
         index.checked_sub(self.base.index + 1).map(|at| at as usize)
     }
 
+    /// The entry at an index.
     pub fn entry(&self, index: Index) -> Option<&Entry> {
         self.entries.get(self.offset_of(index)?).map(|(entry, _)| entry)
     }
 
+    /// The position at an index, if the log still has it.
     pub fn position_at(&self, index: Index) -> Option<LogPosition> {
         if index == self.base.index {
             return Some(self.base);
@@ -97,11 +109,12 @@
         Some(LogPosition { index, term: entry.term, hash: *hash })
     }
 
-    /// Whether the log has that hash there.
+    /// Whether the log has an entry with this hash at the index.
     pub fn contains(&self, index: Index, hash: &Hash) -> bool {
         self.position_at(index).is_some_and(|log_position| log_position.hash == *hash)
     }
 
+    /// Appends an entry and returns its position.
     pub fn append(&mut self, entry: Entry) -> LogPosition {
         let previous = self.last();
         let hash = entry.chain_hash(&previous.hash);
@@ -114,13 +127,14 @@
         LogPosition { index, term, hash }
     }
 
+    /// Appends several entries.
     pub fn extend(&mut self, entries: impl IntoIterator<Item = Entry>) {
         for entry in entries {
             self.append(entry);
         }
     }
 
-    /// Takes back all that follows an index.
+    /// Removes all entries after an index.
     pub fn truncate_after(&mut self, after: Index) {
         let kept = after.saturating_sub(self.base.index) as usize;
         self.entries.truncate(kept);
@@ -130,7 +144,7 @@
         });
     }
 
-    /// Entries that follow an index, as many as fit into so many bytes; none of an index before the base.
+    /// Entries after an index, as many as fit into `max_bytes`; none if the index is before the base.
     pub fn entries_after(&self, index: Index, mut max_bytes: usize) -> Vec<Entry> {
         let Some(from) = index.checked_sub(self.base.index) else { return Vec::new() };
         let mut entries = Vec::new();
@@ -142,7 +156,7 @@
         entries
     }
 
-    /// Lets go of what is in a snapshot, up to an index.
+    /// Removes the entries up to an index, which a snapshot covers.
     pub fn compact(&mut self, to: Index) {
         let Some(base) = self.position_at(to).filter(|log_position| log_position.index > self.base.index)
         else {
@@ -155,16 +169,17 @@
         }
     }
 
-    /// Who votes by the newest entry, decided or not, and since which one.
+    /// The council by the newest entry, whether that is decided or not.
     pub fn council(&self) -> &Council {
-        &self.councils.last().expect("the base's").1
+        &self.councils.last().expect("the base has a council").1
     }
 
+    /// The index since which the newest council votes.
     pub fn council_version(&self) -> Index {
-        self.councils.last().expect("the base's").0
+        self.councils.last().expect("the base has a council").0
     }
 
-    /// Who votes at an index, and since which one.
+    /// The council at an index, with the index since which it votes.
     pub fn council_at(&self, index: Index) -> &(Index, Council) {
         self.councils.iter().rfind(|(from, _)| *from <= index).unwrap_or(&self.councils[0])
     }
--- a/agree/src/machine.rs
+++ b/agree/src/machine.rs
@@ -1,11 +1,11 @@
-//! What the decisions are about: a machine that comes to the same state wherever it is given the same ones.
+//! The deterministic state machine that the decisions apply to.
 
 use thiserror::Error;
 
 use crate::log::{Hash, Index};
 
-/// A decision or a state that this program does not know: made by a newer one, or for another machine.
-/// Whoever meets it stops there, rather than guess.
+/// A decision or a state that this program does not know, because a newer program or one for another
+/// machine made it. A replica that meets one stops there.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("decision {index}: part {part}: {reason}")]
 pub struct UnsupportedDecision {
@@ -14,23 +14,31 @@
     pub reason: String,
 }
 
-/// The parts that decisions are given to. Nothing but what it is given may sway it: no clock, no chance, no
-/// hash order.
+/// A state machine with several parts. Its state may only depend on the decisions: not on a clock, random
+/// numbers or the iteration order of a hash map.
 pub trait Machine {
-    /// Carries a decision out. Gives what it came to, for whoever asked: a refusal by the machine's own rules
-    /// too.
+    /// Applies a decision. The returned bytes are the answer for the requester; that includes a refusal by
+    /// the machine's own rules.
+    ///
+    /// # Errors
+    ///
+    /// [`UnsupportedDecision`] if this program does not know the part or the command.
     fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, UnsupportedDecision>;
 
-    /// A digest of what the decisions so far came to, the same wherever they are the same. It is signed with
-    /// them, so that a part of the state can be proved to whoever does not follow the log. All zero for a
-    /// machine of which nothing is proved so.
+    /// A digest of the state, the same on all replicas. It is signed with the decisions, so that a part of
+    /// the state can be proved to proxies that do not follow the log. All zero for a machine that proves
+    /// nothing this way.
     fn root(&self) -> Hash {
         Hash::default()
     }
 
-    /// All that is to be known of it, to begin anew from.
+    /// The complete state, as [`Machine::restore`] takes it.
     fn state(&self) -> Vec<u8>;
 
-    /// Takes a state that [`Machine::state`] gave, in place of its own.
+    /// Replaces the state with one from [`Machine::state`].
+    ///
+    /// # Errors
+    ///
+    /// [`UnsupportedDecision`] if this program cannot read the state.
     fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), UnsupportedDecision>;
 }
--- a/agree/src/replication.rs
+++ b/agree/src/replication.rs
@@ -1,5 +1,5 @@
-//! The log from its leader to the others, and when an entry is decided: a majority has it on the disk, and
-//! it, or one after it, is of the leader's own term.
+//! Replicates the leader's log and decides its entries: an entry is decided once a majority has it on disk
+//! and it, or a later entry on a majority of disks, is of the leader's own term.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,32 +12,33 @@
 use crate::machine::Machine;
 use crate::wire::{MAX_ENTRIES_BYTES, Message, StatementSignature};
 
-/// How far another is, as its leader knows.
+/// The leader's view of another member.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
-    /// What it is sent next, and what it has on its disk.
+    /// The index to send next, and the last index that the member has on its disk.
     pub next: Index,
     pub matched: Index,
-    /// The latest round that it answered, and when.
+    /// The latest heartbeat round that it answered, and when.
     pub round: u64,
     pub last_heard_at: f64,
-    /// The life under which it said what it has, and whether that is the one that its seat names.
+    /// The disk id under which it acknowledged, and whether the council has it as a voter under that id.
     pub disk_id: u64,
     pub disk_matches: bool,
 }
 
-/// What a leader knows.
+/// The state of a leader.
 #[derive(Clone, Debug)]
 pub struct LeaderState {
     pub progress: BTreeMap<Id, Progress>,
     pub round: u64,
-    /// Up to where its own log is on its own disk; what is on its way there, by the position that it waits
-    /// for.
+    /// The last index that is synced to the leader's own disk, and those being written, by the disk
+    /// position that each waits for.
     own_synced: Index,
     unsynced: VecDeque<(u64, Index)>,
 }
 
 impl<M: Machine, S: Signer> Agreement<M, S> {
+    /// Becomes the leader and appends the first entry of its term.
     pub(crate) fn become_leader(&mut self, now: f64) {
         let last = self.persisted.log.last().index;
         let initial = Progress {
@@ -50,7 +51,7 @@
         };
         let others = self.persisted.log.council().ids().filter(|&id| id != self.id);
         let progress = others.map(|id| (id, initial)).collect();
-        // All that this log holds was kept before the vote for it was.
+        // The whole log was persisted before this member's vote for itself was.
         self.role_state = RoleState::Leader(LeaderState {
             progress,
             round: 0,
@@ -61,7 +62,7 @@
         self.append(now, 0, Payload::Begin);
     }
 
-    /// Puts an entry into the log that this member leads, and sends it.
+    /// Appends an entry to the log that this member leads, and sends it.
     pub(crate) fn append(&mut self, now: f64, request: u64, payload: Payload) {
         let entry = Entry { term: self.persisted.term, request, payload };
         let log_position = self.persisted.log.append(entry.clone());
@@ -93,13 +94,15 @@
         }
     }
 
+    /// Sends a member the entries that it lacks.
     fn send_append(&mut self, to: Id) {
         let RoleState::Leader(lead) = &self.role_state else { return };
         let Some(progress) = lead.progress.get(&to) else { return };
         let (next, round) = (progress.next, lead.round);
         let log_position = self.persisted.log.position_at(next - 1).unwrap_or_else(|| {
-            // What it knows to be decided is further behind than the log reaches. It may still hold the log's
-            // base undecided; where it does not, it gets a snapshot by the proof, and says when it has it.
+            // What the member knows to be decided is before the start of this log. It may still have the
+            // entry at the log's base undecided; if not, it gets a snapshot by the certificate and reports
+            // when it has it.
             self.send_certificate(to);
             self.persisted.log.base()
         });
@@ -110,7 +113,7 @@
         self.send(to, &Message::Append { term, round, disk_id, prev, hash, entries, decided });
     }
 
-    /// A leader's beat: speaks to all, and steps down where it hears no majority.
+    /// Sends the leader's heartbeat to all, and steps down if no majority was heard.
     pub(crate) fn leader_heartbeat(&mut self, now: f64) {
         let timeout = self.election_timeout();
         let RoleState::Leader(lead) = &mut self.role_state else { return };
@@ -123,7 +126,7 @@
         self.send_append_to_all();
     }
 
-    /// A leader speaks: `prev` is where its entries follow.
+    /// Handles the leader's entries, which follow `prev`.
     #[allow(clippy::too_many_arguments)] // the fields of the message
     pub(crate) fn handle_append(
         &mut self,
@@ -140,8 +143,8 @@
             self.counts.unexpected_sender += 1;
             return;
         }
-        // Who cannot write can neither follow a term nor hold entries; nor can one that is not known to be
-        // sound.
+        // A member that cannot write can neither enter a term nor store entries; nor can one whose disk is
+        // not verified.
         let is_new_member = !self.persisted.log.council().contains(self.id);
         if !self.disk.is_writable() || !(self.bootstrap.disk_verified || is_new_member) {
             return;
@@ -174,7 +177,7 @@
         self.send_after_sync(from, &Message::AppendResponse { term, round, disk_id, index, fits, signed });
     }
 
-    /// Puts entries behind an index: what is there already stays, what differs is taken back. Gives the last
+    /// Stores entries after an index: equal entries stay, conflicting ones are removed. Returns the last
     /// index.
     pub(crate) fn store_entries(&mut self, prev: Index, entries: Vec<Entry>) -> Index {
         let last = prev + entries.len() as u64;
@@ -188,7 +191,7 @@
         if !new_entries.is_empty() {
             let after = prev + known as u64;
             if after < self.decided {
-                // What is decided never changes: somebody lies, or a disk does.
+                // Decided entries never change: another member is faulty, or a disk is.
                 self.counts.diverged += 1;
                 return after;
             }
@@ -222,7 +225,7 @@
             return;
         };
         if progress.disk_id != disk_id {
-            // What another life of it had is not on this one's disk.
+            // What another disk of this member held does not count for this one.
             (progress.disk_id, progress.matched) = (disk_id, 0);
         }
         (progress.last_heard_at, progress.disk_matches) = (now, voter.disk_id == disk_id);
@@ -234,7 +237,8 @@
             progress.matched = progress.matched.max(index.min(last));
             progress.next = progress.next.max(progress.matched + 1);
         } else {
-            // What it knows to be decided it has: more than was thought, where it came by a snapshot.
+            // The member has what it knows to be decided, which may be more than assumed if it came by a
+            // snapshot.
             progress.next = index.min(last) + 1;
         }
         let behind = progress.next <= last;
@@ -242,7 +246,7 @@
             self.record_signature(from, signed);
         }
         let decided_more = self.advance_decided(now);
-        // Only what is decided can never be taken back by a later leader.
+        // Only decided entries can never be removed by a later leader.
         self.record_history(from, disk_id, term, if fits { index.min(self.decided) } else { 0 });
         if behind && !decided_more {
             self.send_append(from);
@@ -250,7 +254,7 @@
         self.answer_waiting();
     }
 
-    /// More of the leader's own log is on its disk.
+    /// Updates how much of the leader's own log is synced to its disk.
     pub(crate) fn update_own_progress(&mut self, now: f64) {
         let synced = self.disk.synced();
         let RoleState::Leader(lead) = &mut self.role_state else { return };
@@ -261,7 +265,7 @@
         self.advance_decided(now);
     }
 
-    /// Moves on what is decided; gives whether it did.
+    /// Advances the decided index. Returns whether it did.
     fn advance_decided(&mut self, now: f64) -> bool {
         let RoleState::Leader(lead) = &self.role_state else { return false };
         let (log, council) = (&self.persisted.log, self.persisted.log.council());
@@ -271,7 +275,7 @@
                 index <= if voter.id == self.id { lead.own_synced } else { matched(voter.id) }
             })
         };
-        // Of an earlier leader's entries a majority may be in vain: another one's may still take their place.
+        // A majority is not enough for entries of an earlier term: another leader may still replace them.
         #[cfg(test)]
         let any_term = self.has_fault(crate::tests::Fault::EarlierTerm);
         #[cfg(not(test))]
@@ -289,7 +293,7 @@
         if !self.persisted.log.council().contains(self.id)
             && self.decided >= self.persisted.log.council_version()
         {
-            // It has no seat any more by what is decided: the others choose among themselves.
+            // This member is no longer a voter by what is decided: the others elect a new leader.
             self.become_follower(now);
         }
         true
--- a/agree/src/requests.rs
+++ b/agree/src/requests.rs
@@ -1,5 +1,5 @@
-//! What is asked to be decided. A request is asked again until its decision has come here, whoever leads
-//! meanwhile; by its number it is done once.
+//! Requests for decisions. A request is resent until its decision is known here, whoever leads in the
+//! meantime; its number ensures that it is applied once.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,71 +15,77 @@
 use crate::machine::Machine;
 use crate::wire::Message;
 
-/// A request that is not decided is sent again after so many beats.
+/// Heartbeats after which an undecided request is sent again.
 const RESEND_HEARTBEATS: u64 = 5;
-/// Entries that a leader takes before the first of them is decided.
+/// Most entries that a leader appends before the first of them is decided.
 const MAX_UNDECIDED_ENTRIES: u64 = 64;
-/// Requests of this proxy at once.
+/// Most open requests of this proxy.
 const MAX_OPEN_REQUESTS: usize = 64;
 
-/// Why something is not put into the log.
+/// Why a request is not put into the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
-    /// A council changes by one seat at a time, and keeps one at least.
+    /// A council changes by one voter at a time, and keeps at least one.
     NotOneVoter,
-    /// The change before it is not decided, or not proved to those who follow.
+    /// The previous change is not decided yet, or not proved to proxies that follow.
     ChangeUnderWay,
-    /// Of that council too few would vote now: it could decide nothing, and not be changed back.
+    /// Too few of that council could vote now: it could decide nothing, not even to change back.
     NoMajority,
+    /// The command is longer than [`MAX_COMMAND_BYTES`].
     TooLong,
+    /// This proxy has too many open requests.
     TooMany,
 }
 
-/// What a request came to.
+/// The result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Decided there, with what the machine says to it.
+    /// Decided at an index, with the machine's answer.
     Decided {
         index: Index,
         answer: Vec<u8>,
     },
-    /// Decided in a stretch that this proxy knows only by its snapshot.
+    /// Decided at or before an index that this proxy knows only by a snapshot, so the answer is not known.
     Done {
         by: Index,
     },
     Refused(Refusal),
 }
 
+/// The requests of this proxy.
 #[derive(Clone, Debug, Default)]
 pub struct Requests {
+    /// Undecided requests, with the heartbeat at which each was last sent.
     open: BTreeMap<u64, (Payload, u64)>,
-    /// Changes of the council that are decided, and not yet proved to those who follow.
+    /// Council changes that are decided, but not yet proved to proxies that follow.
     unproved: VecDeque<(u64, Index)>,
     outcomes: VecDeque<(u64, Outcome)>,
 }
 
 impl Requests {
+    /// Reports a request as decided.
     pub(crate) fn decided(&mut self, request: u64, index: Index, answer: Vec<u8>) {
         if self.open.remove(&request).is_some() {
             self.outcomes.push_back((request, Outcome::Decided { index, answer }));
         }
     }
 
-    /// A change of the council is told as decided only once it is proved: were its leader gone before, those who
-    /// follow could believe nothing that the new council decides.
+    /// A council change is reported as decided only once it is proved: if its leader failed before that,
+    /// proxies that follow could not verify anything that the new council decides.
     pub(crate) fn council_decided(&mut self, request: u64, index: Index) {
         if self.open.remove(&request).is_some() {
             self.unproved.push_back((request, index));
         }
     }
 
-    /// Councils are proved up to the one that votes since an index.
+    /// Reports the council changes up to an index as decided: their councils are proved.
     pub(crate) fn council_proved(&mut self, version: Index) {
         while let Some((request, index)) = self.unproved.pop_front_if(|(_, index)| *index <= version) {
             self.outcomes.push_back((request, Outcome::Decided { index, answer: Vec::new() }));
         }
     }
 
+    /// Reports the requests that a snapshot covers.
     pub(crate) fn skipped_by_snapshot(&mut self, done: &VecDeque<u64>, by: Index) {
         for request in done {
             if self.open.remove(request).is_some() {
@@ -90,8 +96,8 @@
 }
 
 impl<M: Machine, S: Signer> Agreement<M, S> {
-    /// Asks for a command of a part to be decided. What it comes to is an [`Agreement::outcome`] with the
-    /// number that this gives.
+    /// Requests a decision on a command for a part of the machine. Returns the request's number, under
+    /// which [`Agreement::outcome`] reports the result.
     pub fn propose(&mut self, now: f64, part: u8, command: Vec<u8>) -> Result<u64, Refusal> {
         if command.len() > MAX_COMMAND_BYTES {
             return Err(Refusal::TooLong);
@@ -99,7 +105,7 @@
         self.submit(now, Payload::Decide { part, command })
     }
 
-    /// Asks for another council.
+    /// Requests a change of the council.
     pub fn propose_council(&mut self, now: f64, council: Council) -> Result<u64, Refusal> {
         if !council.follows(&self.trusted.1) {
             return Err(Refusal::NotOneVoter);
@@ -117,16 +123,18 @@
         Ok(request)
     }
 
-    /// No longer wants to know what a request comes to. It may still be decided.
+    /// Stops waiting for the result of a request. It may still be decided.
     pub fn forget(&mut self, request: u64) {
         self.requests.open.remove(&request);
         self.requests.unproved.retain(|(unproved, _)| *unproved != request);
     }
 
+    /// The next result, with its request's number.
     pub fn outcome(&mut self) -> Option<(u64, Outcome)> {
         self.requests.outcomes.pop_front()
     }
 
+    /// Resends the requests that are not decided in time.
     pub(crate) fn resend_requests(&mut self, now: f64) {
         let heartbeats = self.heartbeats;
         let overdue =
@@ -149,9 +157,10 @@
         }
     }
 
+    /// Appends a proposal as the leader, or forwards it.
     pub(crate) fn handle_propose(&mut self, now: f64, from: Id, request: u64, payload: Payload) {
         if !matches!(self.role_state, RoleState::Leader(_)) {
-            // Passed on once, and not between members that take each other for the leader.
+            // Forwarded only once, and not between members that take each other for the leader.
             let leader =
                 self.leader().filter(|_| self.is_voter() && !self.persisted.log.council().contains(from));
             if let Some(leader) = leader {
@@ -176,15 +185,15 @@
         }
     }
 
-    /// Why a council may not follow now.
+    /// Why a council change is refused now.
     fn council_refusal(&self, now: f64, council: &Council) -> Option<Refusal> {
         let log = &self.persisted.log;
         let own_term_decided = log
             .position_at(self.decided)
             .is_some_and(|log_position| log_position.term == self.persisted.term);
         let RoleState::Leader(lead) = &self.role_state else { return None };
-        // Whoever is behind this log gets on only by a proof, and the change itself must first be proved by a
-        // majority of the present council.
+        // A member that lags behind this log can only catch up with a certificate, and the change itself
+        // first has to be certified by a majority of the current council.
         let log_start = log.base().index;
         let can_vote = |id: Id| {
             let progress = lead.progress.get(&id);
@@ -203,6 +212,7 @@
         }
     }
 
+    /// Reports a refused request, if the refusal is this proxy's own or a council member's.
     pub(crate) fn handle_refused(&mut self, from: Id, request: u64, refusal: Refusal) {
         let trusted_sender = from == self.id || self.trusted.1.contains(from);
         if trusted_sender && self.requests.open.remove(&request).is_some() {
--- a/agree/src/status.rs
+++ b/agree/src/status.rs
@@ -1,4 +1,4 @@
-//! How one proxy stands with the decisions, for operators and tests.
+//! The status of one replica, for operators and tests.
 
 use std::collections::BTreeMap;
 
@@ -13,74 +13,81 @@
 use crate::machine::Machine;
 use crate::wire::Stage;
 
-/// What was done and what was dropped.
+/// Counters of events and of dropped messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Terms that it led, and times that it stepped down for want of a majority.
+    /// Terms that this member led, and times that it stepped down without a majority.
     pub led: u64,
     pub stepped_down: u64,
-    /// Of no form; of a version or a decision that is not known; of no member that may say so.
+    /// Malformed messages; messages of an unknown version; messages of a sender that may not send them.
     pub malformed: u64,
     pub unknown: u64,
     #[serde(rename = "stray")]
     pub unexpected_sender: u64,
-    /// Proofs whose signatures are wanting, councils whose proofs are; logs and signatures that differ from
-    /// what is decided.
+    /// Certificates without enough valid signatures; requests for a council proof that is no longer kept;
+    /// logs or signatures that contradict what is decided.
     pub unproved: u64,
     #[serde(rename = "unlinked")]
     pub missing_council_proof: u64,
     pub diverged: u64,
-    /// Times that its disk was found to be an older copy.
+    /// Times that the disk was found to be an older copy.
     pub outdated: u64,
-    /// Messages dropped because too many waited.
+    /// Messages dropped because too many were queued.
     #[serde(rename = "crowded")]
     pub dropped_outgoing: u64,
 }
 
-/// What a proxy is in the agreement.
+/// A proxy's role in the council.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// It has no seat.
+    /// Not a council member.
     Outside,
-    /// It is named in the council, but has no vote by its disk: new, damaged or an older copy.
+    /// A council member without a vote, because its disk is new, damaged or an older copy.
     Barred,
-    /// It waits for the others' word before it votes.
+    /// Waits for the responses of the other members before it votes.
     Starting,
-    /// Its disk refuses.
+    /// Cannot write to its disk.
     Unwritten,
+    /// A follower.
     Follows,
+    /// A candidate that requests votes.
     Asks,
+    /// The leader.
     Leads,
 }
 
+/// A read-only summary of a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgreementStatus {
+    /// The role in the council.
     pub role: Role,
     pub term: Term,
     pub leader: Option<Id>,
     pub decided: Index,
     pub applied: Index,
     pub hash: Hash,
-    /// Up to where a proof is known.
+    /// The index of the newest certificate.
     pub certified: Index,
-    /// The council, since which decision it votes, and whether that is proved to those who follow.
+    /// The council, the index since which it votes, and whether it is proved to proxies that follow.
     pub council: Council,
     pub council_since: Index,
     pub council_proved: bool,
-    /// The number that this proxy's disk drew; 0 where it votes as a founder.
+    /// This proxy's disk id; 0 for a bootstrap member with its first disk.
     pub disk_id: u64,
-    /// How old what it knows can be, in milliseconds.
+    /// How old this proxy's knowledge can be, in milliseconds.
     pub age: f64,
-    /// How far each other member is, where this one leads.
+    /// The matched index of each other member, if this proxy is the leader.
     pub progress: BTreeMap<Id, Index>,
-    /// Numbers of members that have no vote by their disks, to be let in by.
+    /// Disk ids of members that have no vote, for readmitting them.
     pub unadmitted_disks: BTreeMap<Id, u64>,
+    /// Why this replica stopped applying decisions, if it did.
     pub stopped: Option<String>,
     pub counts: Counts,
 }
 
 impl<M: Machine, S: Signer> Agreement<M, S> {
+    /// This proxy's role in the council.
     pub fn role(&self) -> Role {
         if !self.persists_state() {
             return Role::Outside;
@@ -97,7 +104,7 @@
         }
     }
 
-    /// The decision at an index by its hash, where it is still in the log and carried out.
+    /// The hash of an applied entry, if the log still has it.
     pub fn hash_at(&self, index: Index) -> Option<Hash> {
         self.persisted
             .log
@@ -106,6 +113,7 @@
             .map(|log_position| log_position.hash)
     }
 
+    /// The current status.
     pub fn status(&self, now: f64) -> AgreementStatus {
         AgreementStatus {
             role: self.role(),
--- a/agree/src/tests/cluster.rs
+++ b/agree/src/tests/cluster.rs
@@ -1,5 +1,5 @@
-//! A few proxies on one virtual clock, each with a clock and a disk of its own, and what is checked of them
-//! at every step: no two come to different decisions at an index, nor two lead in one term.
+//! A test cluster of a few proxies on one virtual time, each with its own clock rate and disk. After every
+//! step it checks that no two proxies decide differently at an index and that no two lead in the same term.
 
 use std::collections::BTreeMap;
 
@@ -19,8 +19,8 @@
 
 pub type Proxy = Agreement<RecordingMachine, Keys>;
 
-/// Something that was asked for: when, and when its answer came, with the index it was decided at or that was
-/// read.
+/// A write or a read: when it started, and when its answer came, with the index at which it was decided or
+/// up to which it read.
 #[derive(Clone, Copy, Debug)]
 pub struct Operation {
     pub line: Option<u64>,
@@ -28,20 +28,21 @@
     pub completed: Option<(f64, Index)>,
 }
 
+/// The proxies, their disks and the network between them.
 pub struct Cluster {
     pub now: f64,
     pub proxies: Vec<Option<Proxy>>,
     pub disks: Vec<Disk>,
-    /// Turns of one that is stopped do not come, until then.
+    /// The virtual time until which a paused proxy gets no turns and no messages.
     pub paused_until: Vec<f64>,
     clock_rates: Vec<f64>,
     voters: usize,
     pub links: Links<Vec<u8>>,
-    /// Bytes of messages, without what carries them.
+    /// Bytes of messages, without the overhead of the carrier.
     pub bytes: u64,
     pub rng: Pcg64Mcg,
     pub fault: Option<Fault>,
-    /// How long a write takes at the most.
+    /// Longest time that a disk write takes.
     pub max_write_ms: f64,
     decided_hashes: BTreeMap<Index, Hash>,
     checked_up_to: Vec<Index>,
@@ -50,12 +51,13 @@
     pending_requests: BTreeMap<(usize, u64), usize>,
     pub history: Vec<Operation>,
     line_count: u64,
-    /// Reads that wait, by proxy: which in the history, and since when by the proxy's own clock.
+    /// Reads that wait for fresh knowledge: the proxy, the operation in the history, and the start by the
+    /// proxy's own clock.
     reads: Vec<(usize, usize, f64)>,
 }
 
 impl Cluster {
-    /// So many proxies, the first of them founders of the council; all have started just now.
+    /// A cluster whose first `voters` proxies are the bootstrap members; all have just started.
     pub fn new(proxies: usize, voters: usize, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let clock_rates = (0..proxies).map(|_| 0.95 + 0.1 * rng.random::<f64>()).collect();
@@ -84,10 +86,12 @@
         cluster
     }
 
+    /// The time by a proxy's own clock.
     pub fn clock(&self, node: usize) -> f64 {
         self.now * self.clock_rates[node]
     }
 
+    /// Starts a proxy from its disk.
     pub fn start(&mut self, node: usize) {
         let terms = AgreementTerms {
             bootstrap_members: (0..self.voters as Id).collect(),
@@ -97,13 +101,14 @@
         let file = disk::recover(&self.disks[node].contents);
         let (id, seed, now) = (node as Id, self.rng.random(), self.clock(node));
         let created = Agreement::new(id, terms, Keys(id), RecordingMachine::default(), file, seed, now);
-        let mut proxy = created.expect("its own snapshot");
+        let mut proxy = created.expect("its own snapshot is readable");
         proxy.set_peers(0..self.proxies.len() as Id);
         proxy.fault = self.fault;
         self.checked_up_to[node] = 0;
         self.proxies[node] = Some(proxy);
     }
 
+    /// Stops a proxy with a power failure.
     pub fn crash(&mut self, node: usize) {
         let part = self.rng.random();
         self.disks[node].crash(part);
@@ -117,13 +122,13 @@
         self.start(node);
     }
 
-    /// Stops turns for a while, as with SIGSTOP: what comes meanwhile waits.
+    /// Pauses a proxy for a while, as with SIGSTOP. Its messages wait in the meantime.
     pub fn pause(&mut self, node: usize, duration: f64) {
         self.paused_until[node] = self.now + duration;
     }
 
     pub fn proxy(&mut self, node: usize) -> &mut Proxy {
-        self.proxies[node].as_mut().expect("runs")
+        self.proxies[node].as_mut().expect("the proxy runs")
     }
 
     pub fn status(&mut self, node: usize) -> AgreementStatus {
@@ -131,7 +136,7 @@
         self.proxy(node).status(now)
     }
 
-    /// Asks at a proxy for a line to be written.
+    /// Proposes a line at a proxy.
     pub fn propose_line(&mut self, node: usize) {
         let now = self.clock(node);
         self.line_count += 1;
@@ -143,16 +148,17 @@
         }
     }
 
-    /// Asks at a proxy for another council; gives its place in the history, as of a read of its index.
+    /// Proposes a council at a proxy. Returns the operation's place in the history, where it counts as a
+    /// read of its index.
     pub fn propose_council(&mut self, node: usize, council: Council) -> usize {
         let now = self.clock(node);
-        let request = self.proxy(node).propose_council(now, council).expect("one seat more or less");
+        let request = self.proxy(node).propose_council(now, council).expect("changes one voter");
         self.pending_requests.insert((node, request), self.history.len());
         self.history.push(Operation { line: None, started_at: self.now, completed: None });
         self.history.len() - 1
     }
 
-    /// Reads at a proxy, as of now at the earliest.
+    /// Starts a read at a proxy.
     pub fn read(&mut self, node: usize) {
         let now = self.clock(node);
         let Some(proxy) = &mut self.proxies[node] else { return };
@@ -161,7 +167,8 @@
         self.history.push(Operation { line: None, started_at: self.now, completed: None });
     }
 
-    /// An operator lets those in anew that have lost their votes, one step at a time.
+    /// Readmits one member that lost its vote, one step of a council change at a time, as an operator
+    /// would.
     pub fn readmit_disks(&mut self) {
         let Some(leader) = self.leader() else { return };
         let now = self.clock(leader);
@@ -178,12 +185,14 @@
         let _ = self.proxy(leader).propose_council(now, council);
     }
 
+    /// The proxy that leads in the latest term, among those that are not paused.
     pub fn leader(&self) -> Option<usize> {
         let leads = |node: &usize| self.proxies[*node].as_ref().is_some_and(|p| p.role() == Role::Leads);
         let all = (0..self.proxies.len()).filter(|&node| self.paused_until[node] <= self.now);
         all.filter(leads).max_by_key(|&node| self.proxies[node].as_ref().map(|p| p.persisted.term))
     }
 
+    /// Advances the virtual time.
     pub fn advance(&mut self, duration: f64) {
         let end = self.now + duration;
         while self.now < end {
@@ -192,7 +201,7 @@
         }
     }
 
-    /// Lets time pass until something holds.
+    /// Advances the time until a condition holds; panics after `max_ms`. Returns how long it took.
     pub fn run_until(&mut self, what: &str, max_ms: f64, condition: impl Fn(&mut Self) -> bool) -> f64 {
         let started_at = self.now;
         while !condition(self) {
@@ -200,7 +209,7 @@
                 let all: Vec<_> =
                     (0..self.proxies.len()).filter(|&node| self.proxies[node].is_some()).collect();
                 let all: Vec<_> = all.into_iter().map(|node| self.status(node)).collect();
-                panic!("{what}: not within {max_ms} ms; broken: {:?}; {all:#?}", self.violations);
+                panic!("{what}: not within {max_ms} ms; violations: {:?}; {all:#?}", self.violations);
             }
             self.advance(STEP_MS);
         }
@@ -210,7 +219,8 @@
     fn step(&mut self) {
         while let Some((from, to, bytes)) = self.links.arrived(self.now) {
             if self.paused_until[to] > self.now {
-                // It waits in the socket.
+                // The message waits in the paused proxy's socket: it arrives without loss, duplication or
+                // delay when the proxy resumes.
                 let way = std::mem::replace(&mut self.links.way, 0.0);
                 let (loss, double) = (self.links.loss, self.links.double);
                 (self.links.loss, self.links.double) = (0.0, 0.0);
@@ -236,12 +246,12 @@
         }
     }
 
-    /// Disk, messages and answers of one.
+    /// Handles the disk writes, messages and outcomes of one proxy.
     fn process_outputs(&mut self, node: usize) {
         let now = self.clock(node);
         let done_at = self.now + self.max_write_ms * self.rng.random::<f64>();
         let (cluster_now, disk) = (self.now, &mut self.disks[node]);
-        let proxy = self.proxies[node].as_mut().expect("runs");
+        let proxy = self.proxies[node].as_mut().expect("the proxy runs");
         if disk.writing.as_ref().is_some_and(|(_, done)| *done <= cluster_now) {
             if std::mem::take(&mut disk.fails_next_write) {
                 disk.writing = None;
@@ -282,38 +292,41 @@
         self.check(node);
     }
 
+    /// Records a violation if a proxy decides differently from another or leads a term that another leads.
     fn check(&mut self, node: usize) {
-        let proxy = self.proxies[node].as_ref().expect("runs");
+        let proxy = self.proxies[node].as_ref().expect("the proxy runs");
         for index in self.checked_up_to[node] + 1..=proxy.applied {
             let Some(hash) = proxy.hash_at(index) else { continue };
             let known = *self.decided_hashes.entry(index).or_insert(hash);
             if known != hash {
-                self.violations.push(format!("{:.0} ms: p{node} decided otherwise at {index}", self.now));
+                self.violations
+                    .push(format!("{:.0} ms: p{node} decided a different entry at {index}", self.now));
             }
         }
         self.checked_up_to[node] = proxy.applied;
         if proxy.role() == Role::Leads {
             let (term, id) = (proxy.persisted.term, node as Id);
             if *self.leaders_by_term.entry(term).or_insert(id) != id {
-                self.violations.push(format!("{:.0} ms: p{node} leads term {term} too", self.now));
+                self.violations.push(format!("{:.0} ms: p{node} also leads term {term}", self.now));
             }
         }
     }
 
-    /// What was asked for and answered has an order that keeps to the times of asking and answering.
+    /// Checks that the completed operations have an order that agrees with their start and completion
+    /// times.
     pub fn check_linearizability(&mut self) {
         let is_completed = |operation: &&Operation| operation.completed.is_some();
         for later in self.history.iter().filter(is_completed) {
-            let (_, index) = later.completed.expect("just seen");
+            let (_, index) = later.completed.expect("filtered above");
             let before = self
                 .history
                 .iter()
                 .filter(|operation| operation.completed.is_some_and(|(end, _)| end < later.started_at));
             let newest =
                 before.filter_map(|operation| operation.completed).map(|(_, index)| index).max().unwrap_or(0);
-            // A write comes after all that was known before it; a read sees all of that.
+            // A write follows everything that was known before it started; a read sees all of that.
             if index < newest || later.line.is_some() && index == newest {
-                self.violations.push(format!("{later:?} after {newest} was known"));
+                self.violations.push(format!("{later:?} although {newest} was known before"));
             }
         }
         let mut lines: Vec<u64> = Vec::new();
@@ -336,11 +349,11 @@
             .filter(|operation| operation.completed.is_some())
             .filter_map(|operation| operation.line);
         for line in answered.filter(|line| !lines.contains(line)) {
-            self.violations.push(format!("line {line} was answered and is not there"));
+            self.violations.push(format!("line {line} was answered but is missing"));
         }
     }
 
-    /// All run, and links and disks are whole.
+    /// Resumes and starts all proxies, and repairs all links and disks.
     fn heal_all(&mut self) {
         self.links.heal();
         for node in 0..self.proxies.len() {
@@ -352,17 +365,17 @@
         }
     }
 
-    /// All run, links are whole, and all come to the same.
+    /// Repairs everything and waits until all proxies have applied the same entries.
     pub fn converge(&mut self, max_ms: f64) -> f64 {
         self.heal_all();
-        self.run_until("all at one", max_ms, |cluster| {
+        self.run_until("all have applied the same", max_ms, |cluster| {
             let leads = cluster.leader();
             let mut positions: Vec<(Index, Hash)> = Vec::new();
             for node in 0..cluster.proxies.len() {
                 let status = cluster.status(node);
                 positions.push((status.applied, status.hash));
             }
-            // What a new leader found in its log is decided too.
+            // What a new leader found in its log has to be decided too.
             let last_index =
                 |node: usize| cluster.proxies[node].as_ref().map(|p| p.persisted.log.last().index);
             leads.and_then(last_index) == Some(positions[0].0)
--- a/agree/src/tests/exhaustive.rs
+++ b/agree/src/tests/exhaustive.rs
@@ -1,6 +1,6 @@
-//! All orders of a few steps of three members: a message is delivered, delivered to one that dies before its
-//! disk has it, lost or delivered twice; a member's time passes, it is asked for something, it starts again.
-//! Whatever the order, no two decide differently and no two lead in one term.
+//! Searches all orders of a few steps of three members: a message is delivered, delivered to a member that
+//! crashes before its disk write, dropped or duplicated; time passes at a member, it gets a proposal, it
+//! restarts. In no order may two members decide differently or two lead in one term.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -16,7 +16,7 @@
 use crate::{Hash, Id, Index, Role, Term, disk};
 
 const MEMBERS: usize = 3;
-/// Messages that wait on a link; older ones are lost.
+/// Messages that wait on a link; older ones are dropped.
 const MAX_QUEUED: usize = 2;
 
 #[derive(Clone, Copy, Debug)]
@@ -92,7 +92,7 @@
         self.restarts += 1;
         self.proxies[node] = proxy(node, &self.disks[node], self.clocks[node], self.restarts);
         self.proxies[node].fault = self.fault;
-        // What others would say of its disk: it is not an older copy.
+        // The others would confirm that its disk is no older copy.
         self.proxies[node].bootstrap.disk_verified = true;
         self.process_outputs(node, true);
     }
@@ -115,17 +115,19 @@
     fn perform(&mut self, step: Step) {
         match step {
             Step::Deliver(from, to) | Step::DeliverAndCrash(from, to) | Step::Duplicate(from, to) => {
-                let link = self.links.get_mut(&(from, to)).expect("waits");
-                let bytes = link.pop_front().expect("waits");
+                let link = self.links.get_mut(&(from, to)).expect("a message waits");
+                let bytes = link.pop_front().expect("a message waits");
                 if matches!(step, Step::Duplicate(..)) {
                     link.push_back(bytes.clone());
                 }
                 self.proxies[to].receive(self.clocks[to], from as Id, &bytes);
                 self.process_outputs(to, !matches!(step, Step::DeliverAndCrash(..)));
             }
-            Step::Drop(from, to) => drop(self.links.get_mut(&(from, to)).expect("waits").pop_front()),
+            Step::Drop(from, to) => {
+                drop(self.links.get_mut(&(from, to)).expect("a message waits").pop_front())
+            }
             Step::AdvanceTime(node) => {
-                // A leader speaks; whoever hears none asks for votes.
+                // Long enough for a leader's heartbeat, and for others to start an election.
                 let leads = self.proxies[node].role() == Role::Leads;
                 self.clocks[node] += if leads { 1.2 * HEARTBEAT_MS } else { 21.0 * HEARTBEAT_MS };
                 self.proxies[node].turn(self.clocks[node]);
@@ -145,13 +147,13 @@
             for index in 1..=proxy.applied {
                 let Some(hash) = proxy.hash_at(index) else { continue };
                 if *self.decided_hashes.entry(index).or_insert(hash) != hash {
-                    return Some(format!("p{node} decided otherwise at {index}"));
+                    return Some(format!("p{node} decided a different entry at {index}"));
                 }
             }
             if proxy.role() == Role::Leads
                 && *self.leaders_by_term.entry(proxy.persisted.term).or_insert(node) != node
             {
-                return Some(format!("p{node} leads term {} too", proxy.persisted.term));
+                return Some(format!("p{node} also leads term {}", proxy.persisted.term));
             }
         }
         None
@@ -180,8 +182,8 @@
     Agreement::new(id, terms, Keys(id), RecordingMachine::default(), file, seed, now).expect("no snapshot")
 }
 
-/// Goes through all orders of so many steps; gives how many states there are, and the first break with its
-/// way there.
+/// Searches all orders of `depth` steps. Returns the number of states, and the first violation with the
+/// steps to it.
 fn search(start: ThreeNodes, depth: usize) -> (usize, Option<String>) {
     let mut visited = HashSet::new();
     let mut level = vec![(start, Vec::new())];
@@ -205,17 +207,17 @@
     (visited.len(), None)
 }
 
-/// Somebody asks for votes, and gets as far as the steps say.
+/// Three members after some first steps.
 fn prepared(fault: Option<Fault>, steps: &[Step]) -> ThreeNodes {
     let mut nodes = ThreeNodes::new(fault);
     steps.iter().for_each(|&step| nodes.perform(step));
     nodes
 }
 
-/// 0 has asked for a trial and has one more's word: the votes themselves are on their way.
+/// Member 0 has won the pre-vote with one other member; its vote requests are in flight.
 const VOTE_REQUESTED: [Step; 3] = [Step::AdvanceTime(0), Step::Deliver(0, 1), Step::Deliver(1, 0)];
 
-/// 0 leads, and is asked for an entry.
+/// Member 0 leads, and gets a proposal.
 const LEADER_WITH_ENTRY: [Step; 6] = [
     VOTE_REQUESTED[0],
     VOTE_REQUESTED[1],
@@ -225,7 +227,7 @@
     Step::Propose(0),
 ];
 
-/// 0 and 2 both ask 1 for its vote in the first term.
+/// Members 0 and 2 both request the vote of member 1 in the first term.
 const CONTESTED_VOTE: [Step; 6] = [
     VOTE_REQUESTED[0],
     VOTE_REQUESTED[1],
@@ -236,10 +238,10 @@
 ];
 
 #[rstest]
-#[case::from_the_founding(&[], 5)]
-#[case::with_votes_on_their_way(&CONTESTED_VOTE, 4)]
+#[case::from_the_bootstrap(&[], 5)]
+#[case::with_votes_in_flight(&CONTESTED_VOTE, 4)]
 #[case::with_a_leader_and_an_entry(&LEADER_WITH_ENTRY, 4)]
-fn no_order_of_steps_gives_two_orders_of_decisions(#[case] steps: &[Step], #[case] depth: usize) {
+fn no_order_of_steps_decides_differently_or_elects_two_leaders(#[case] steps: &[Step], #[case] depth: usize) {
     let (states, violation) = search(prepared(None, steps), depth);
     assert_eq!(violation, None);
     eprintln!("{states} states");
@@ -247,7 +249,7 @@
 }
 
 #[test]
-fn a_vote_that_is_not_on_the_disk_when_it_leaves_is_found() {
+fn a_vote_sent_before_it_is_synced_is_found() {
     let (_, violation) = search(prepared(Some(Fault::Unsynced), &CONTESTED_VOTE), 4);
     let violation = violation.expect("found");
     assert!(violation.contains("leads term"), "{violation}");
--- a/agree/src/tests/fakes.rs
+++ b/agree/src/tests/fakes.rs
@@ -1,9 +1,9 @@
-//! What stands in for keys, disks and machines.
+//! Test doubles for keys, disks and machines.
 
 use crate::disk::DiskWrite;
 use crate::{Hash, Id, Index, Machine, Signer, UnsupportedDecision};
 
-/// Signatures that cost little: nobody here forges any.
+/// Cheap signatures, which no test forges.
 #[derive(Clone, Debug)]
 pub struct Keys(pub Id);
 
@@ -26,18 +26,18 @@
     }
 }
 
-/// Keeps all that it is given, in order.
+/// A machine that records all lines in order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecordingMachine {
     pub lines: Vec<u64>,
-    /// Makes it meet a command that it does not know.
+    /// Makes the machine report commands of other parts than 0 as unsupported.
     pub rejects_other_parts: bool,
 }
 
 impl Machine for RecordingMachine {
     fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, UnsupportedDecision> {
         let Ok(line) = <[u8; 8]>::try_from(command) else {
-            return Err(UnsupportedDecision { index, part, reason: "no line".to_owned() });
+            return Err(UnsupportedDecision { index, part, reason: "command is not one line".to_owned() });
         };
         if self.rejects_other_parts && part > 0 {
             return Err(UnsupportedDecision { index, part, reason: "no such part".to_owned() });
@@ -51,17 +51,17 @@
     }
 
     fn state(&self) -> Vec<u8> {
-        postcard::to_stdvec(&self.lines).expect("plain data")
+        postcard::to_stdvec(&self.lines).expect("plain data can be encoded")
     }
 
     fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), UnsupportedDecision> {
-        let unreadable = |_| UnsupportedDecision { index, part: 0, reason: "no book".to_owned() };
+        let unreadable = |_| UnsupportedDecision { index, part: 0, reason: "unreadable state".to_owned() };
         self.lines = postcard::from_bytes(state).map_err(unreadable)?;
         Ok(())
     }
 }
 
-/// A disk: what it holds for good, and what is on its way there.
+/// A disk: its synced contents, and the write that is under way.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     pub contents: Vec<u8>,
@@ -70,7 +70,7 @@
 }
 
 impl Disk {
-    /// What was being written has come to the disk.
+    /// Completes the write that is under way. Returns whether there was one.
     pub fn sync(&mut self) -> bool {
         let Some((write, _)) = self.writing.take() else { return false };
         if write.replaces_file {
@@ -81,7 +81,8 @@
         true
     }
 
-    /// The power goes: a part of what was being written may have come, of a new file all or nothing.
+    /// Simulates a power failure: the given part of the current write reaches the disk; of a replaced file
+    /// all or nothing.
     pub fn crash(&mut self, part: f64) {
         if let Some((write, _)) = self.writing.take() {
             let written = (write.bytes.len() as f64 * part) as usize;
--- a/agree/src/tests/mod.rs
+++ b/agree/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Stories, random runs and a search.
+//! Scenarios, random runs and an exhaustive search.
 
 mod cluster;
 mod exhaustive;
@@ -7,15 +7,15 @@
 mod random;
 mod scenarios;
 
-/// Faults put in on purpose, to see that the checks find them.
+/// Faults planted on purpose, to check that the tests find them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// What an earlier leader left is decided as soon as a majority has it.
+    /// An entry of an earlier term counts as decided once a majority has it.
     EarlierTerm,
-    /// A member answers how far decisions are without asking whether it still leads.
+    /// A member answers freshness requests without confirming that it still leads.
     StaleRead,
-    /// A snapshot takes the place of entries that follow it.
+    /// Restoring a snapshot drops the entries after it.
     SnapshotOverwritesEntries,
-    /// The disk says that it has what it has not (this one is the world's).
+    /// The disk reports a write as synced before it is. The test cluster plants this one.
     Unsynced,
 }
--- a/agree/src/tests/proofs.rs
+++ b/agree/src/tests/proofs.rs
@@ -1,5 +1,5 @@
-//! What is proved to those who do not follow the log: the machine's root by the seal, and how far decisions
-//! were by a voter's signature.
+//! Proofs for proxies that do not follow the log: the state root in the certificate, and freshness proofs
+//! signed by a voter.
 
 use rstest::rstest;
 
@@ -19,7 +19,7 @@
     cluster
 }
 
-/// Who asks, as a place in the world.
+/// The proxy that requests the proof.
 #[derive(Clone, Copy)]
 enum Requester {
     Leader,
@@ -28,7 +28,7 @@
 }
 
 fn requester_node(cluster: &Cluster, requester: Requester) -> usize {
-    let leader = cluster.leader().expect("leads");
+    let leader = cluster.leader().expect("has a leader");
     match requester {
         Requester::Leader => leader,
         Requester::Follower => (leader + 1) % VOTERS,
@@ -46,8 +46,8 @@
 #[rstest]
 #[case::the_leader(Requester::Leader)]
 #[case::a_member(Requester::Follower)]
-#[case::one_without_a_seat(Requester::Outsider)]
-fn how_far_decisions_are_is_proved_to_whoever_asks_and_can_be_passed_on(#[case] requester: Requester) {
+#[case::a_proxy_without_a_vote(Requester::Outsider)]
+fn a_freshness_proof_is_valid_for_every_requester_and_can_be_passed_on(#[case] requester: Requester) {
     let mut cluster = settled_cluster();
     let node = requester_node(&cluster, requester);
     let known = cluster.status(node).applied;
@@ -56,7 +56,7 @@
     let council = cluster.status(node).council;
     assert!(proof.nonce == NONCE && proof.index >= known, "{proof:?}, {known} before");
     assert!(proof.is_valid(&council, &Keys(99)));
-    // Neither another index nor another nonce nor another signer stands by the signature.
+    // The signature covers the index, the nonce and the signer.
     let other = [
         FreshnessProof { index: proof.index + 1, ..proof.clone() },
         FreshnessProof { nonce: [8; 16], ..proof.clone() },
@@ -68,16 +68,16 @@
 }
 
 #[test]
-fn nobody_answers_for_how_far_decisions_are_without_a_majority() {
+fn without_a_majority_there_is_no_freshness_proof() {
     let mut cluster = settled_cluster();
-    let leader = cluster.leader().expect("leads");
+    let leader = cluster.leader().expect("has a leader");
     (0..VOTERS).filter(|&node| node != leader).for_each(|node| cluster.crash(node));
     cluster.proxy(leader).request_freshness(NONCE);
     assert!(proof(&mut cluster, leader).is_none());
 }
 
 #[test]
-fn an_answer_with_a_signature_that_is_no_voters_is_not_passed_on() {
+fn a_freshness_answer_not_signed_by_a_voter_is_dropped() {
     let mut cluster = settled_cluster();
     let now = cluster.clock(3);
     cluster.proxy(3).request_freshness(NONCE);
@@ -86,15 +86,15 @@
         crate::wire::Message::FreshnessResponse { nonce: NONCE, index: 900, signature: vec![4; 64] };
     cluster.proxy(3).receive(now, 0, &crate::wire::encode(&message));
     assert_eq!(cluster.status(3).counts.unproved, before + 1);
-    let proof = proof(&mut cluster, 3).expect("the true answer");
+    let proof = proof(&mut cluster, 3).expect("the valid answer");
     assert!(proof.index < 900);
 }
 
-/// The seal of each proxy names the root of all that is decided up to its index.
+/// Each proxy's certificate has to name the state root at its index.
 fn assert_certificates_name_roots(cluster: &mut Cluster) {
     for node in 0..5 {
-        let statement = cluster.proxy(node).certificate().expect("sealed").statement.clone();
-        // Entries without a line, as a leader's first, change nothing.
+        let statement = cluster.proxy(node).certificate().expect("certified").statement.clone();
+        // Entries without a line, such as a leader's first, do not change the state.
         let lines = cluster.proxy(node).machine().lines.clone();
         let roots = (0..=lines.len())
             .map(|end| RecordingMachine { lines: lines[..end].to_vec(), rejects_other_parts: false }.root());
@@ -103,18 +103,18 @@
 }
 
 #[test]
-fn seals_name_the_machines_root_also_after_a_snapshot() {
+fn certificates_name_the_state_root_also_after_a_snapshot() {
     let mut cluster = settled_cluster();
     assert_certificates_name_roots(&mut cluster);
     let newest = cluster.status(0);
     let root = cluster.proxy(0).machine().root();
-    let certificate = cluster.proxy(0).certificate().expect("sealed").statement.clone();
+    let certificate = cluster.proxy(0).certificate().expect("certified").statement.clone();
     assert_eq!(
         (certificate.index, certificate.state_root),
         (newest.applied, root),
-        "at rest it is the newest one's"
+        "a settled cluster has certified its newest entry"
     );
-    // One that was away for more than a snapshot begins anew from one.
+    // A proxy that missed more than a snapshot's entries starts again from a snapshot.
     cluster.crash(4);
     for _ in 0..300 {
         cluster.propose_line(0);
--- a/agree/src/tests/random.rs
+++ b/agree/src/tests/random.rs
@@ -1,5 +1,5 @@
-//! Five of seven vote, and all faults come together, by seed. A fault put in on purpose is found by the same
-//! checks.
+//! Random runs by seed, with five voters among seven proxies and all faults combined. The same checks have
+//! to find planted faults.
 
 use rand::Rng;
 use rstest::rstest;
@@ -13,7 +13,7 @@
 const VOTERS: usize = 5;
 const ROUNDS: usize = 24;
 
-/// Plays one seed; gives what broke.
+/// Runs one seed. Returns the violations.
 fn run_seed(seed: u64, fault: Option<Fault>) -> Vec<String> {
     let mut cluster = Cluster::new(PROXIES, VOTERS, seed);
     cluster.fault = fault;
@@ -37,6 +37,7 @@
     cluster.violations
 }
 
+/// Injects one random fault, or repairs the links.
 fn inject_fault(cluster: &mut Cluster) {
     let node = cluster.rng.random_range(0..PROXIES);
     let split = cluster.rng.random_range(1..PROXIES);
@@ -61,7 +62,7 @@
         9 => cluster.links.way = if cluster.links.way > 50.0 { 10.0 } else { 300.0 },
         10 => cluster.disks[node].fails_next_write = true,
         11 => {
-            // All at once.
+            // All restart at once.
             (0..PROXIES).for_each(|node| cluster.restart(node));
         }
         _ => {
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn all_faults_together_never_give_two_orders() {
+fn combined_faults_never_give_two_orders_of_decisions() {
     let seeds = std::env::var("AGREE_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(120);
     for seed in 0..seeds {
         let violations = run_seed(seed, None);
@@ -81,22 +82,24 @@
     }
 }
 
-/// Whoever's votes count: it has a seat by its disk's life, and its disk is known to be no older copy.
+/// Whether a member's votes count: it is a voter under its own disk id, and its disk is verified.
 fn is_voting(cluster: &mut Cluster, node: usize) -> bool {
     let status = cluster.status(node);
     let named = status.council.voter(node as Id).is_some_and(|voter| voter.disk_id == status.disk_id);
     named && matches!(status.role, Role::Follows | Role::Asks | Role::Leads)
 }
 
-/// No member is far behind: a disk more that is lost leaves a majority that holds what was decided.
+/// Whether no member lags far behind, so that with one more lost disk a majority still holds what was
+/// decided.
 fn all_caught_up(cluster: &mut Cluster) -> bool {
     let applied: Vec<_> = (0..VOTERS).map(|node| cluster.status(node).applied).collect();
     let newest = applied.iter().max().copied().unwrap_or(0);
     applied.iter().all(|applied| applied + 8 >= newest)
 }
 
-/// Members lose their disks one after the other, beside all other faults but older copies, and are let in
-/// anew. Gives what broke, and how many of them voted again before the faults were over.
+/// Runs one seed in which members lose their disks one after the other and are readmitted, with all other
+/// faults except older disk copies. Returns the violations, and how many of these members voted again
+/// before the faults ended.
 fn run_seed_with_lost_disks(seed: u64) -> (Vec<String>, usize) {
     let mut cluster = Cluster::new(PROXIES, VOTERS, seed);
     cluster.run_until("a leader", 10_000.0, |cluster| cluster.leader().is_some());
@@ -126,11 +129,11 @@
         }
         for node in 0..PROXIES {
             if cluster.status(node).counts.outdated > 0 {
-                cluster.violations.push(format!("p{node} took its disk for an older copy"));
+                cluster.violations.push(format!("p{node} wrongly detected an older disk copy"));
             }
         }
     }
-    // One whose seat was never decided comes to the same as the others before it is let in, too.
+    // A member whose council was never decided also has to catch up before it is readmitted.
     cluster.converge(20_000.0);
     cluster.run_until("all vote", 20_000.0, |cluster| {
         cluster.readmit_disks();
@@ -142,7 +145,7 @@
 }
 
 #[test]
-fn lost_disks_beside_all_faults_never_give_two_orders_and_all_vote_again() {
+fn lost_disks_with_other_faults_never_give_two_orders_and_all_vote_again() {
     let seeds = std::env::var("AGREE_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
     let mut total_readmitted = 0;
     for seed in 0..seeds {
@@ -150,16 +153,16 @@
         assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
         total_readmitted += readmitted;
     }
-    eprintln!("lost disks: {total_readmitted} let in anew");
-    assert!(total_readmitted > seeds as usize, "{total_readmitted} let in anew in {seeds} plays");
+    eprintln!("lost disks: {total_readmitted} readmitted");
+    assert!(total_readmitted > seeds as usize, "{total_readmitted} readmitted in {seeds} runs");
 }
 
 #[rstest]
-#[case::a_vote_that_was_not_synced(Fault::Unsynced)]
+#[case::an_unsynced_vote(Fault::Unsynced)]
 #[case::a_deposed_leader_that_answers_reads(Fault::StaleRead)]
-#[case::an_earlier_term_by_count(Fault::EarlierTerm)]
+#[case::an_earlier_term_counted_as_decided(Fault::EarlierTerm)]
 #[case::a_snapshot_over_newer_entries(Fault::SnapshotOverwritesEntries)]
-fn a_fault_put_in_on_purpose_is_found(#[case] fault: Fault) {
+fn a_planted_fault_is_found(#[case] fault: Fault) {
     let found = (0..200).find(|&seed| !run_seed(seed, Some(fault)).is_empty());
     eprintln!("{fault:?}: seed {found:?}");
     assert!(found.is_some(), "{fault:?} was not found in 200 seeds");
--- a/agree/src/tests/scenarios.rs
+++ b/agree/src/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Named troubles, one story each.
+//! One test for each named fault.
 
 use rstest::rstest;
 
@@ -6,6 +6,7 @@
 use crate::wire::{Message, encode};
 use crate::{Outcome, Refusal, Role, disk};
 
+/// A cluster with a leader and one decided line that all proxies have applied.
 fn settled_cluster(proxies: usize, voters: usize, seed: u64) -> Cluster {
     let mut cluster = Cluster::new(proxies, voters, seed);
     cluster.run_until("a leader", 5_000.0, |cluster| cluster.leader().is_some());
@@ -15,12 +16,13 @@
     cluster
 }
 
+/// Asserts that no check has found a violation.
 fn assert_consistent(cluster: &mut Cluster) {
     cluster.check_linearizability();
     assert!(cluster.violations.is_empty(), "{:#?}", cluster.violations);
 }
 
-/// Lines come in at those that run, for a while.
+/// Proposes and reads at all proxies for a while.
 fn run_load(cluster: &mut Cluster, duration: f64) {
     let end = cluster.now + duration;
     while cluster.now < end {
@@ -36,7 +38,7 @@
 #[case::three(3, 3)]
 #[case::five_of_twelve(12, 5)]
 #[case::seven(7, 7)]
-fn all_started_at_once_find_a_leader_and_all_come_to_know_what_is_decided(
+fn proxies_started_together_elect_a_leader_and_learn_all_decisions(
     #[case] proxies: usize,
     #[case] voters: usize,
 ) {
@@ -54,9 +56,9 @@
 }
 
 #[test]
-fn a_council_halved_goes_on_in_its_greater_half_and_begins_nothing_in_the_other() {
+fn a_partitioned_council_decides_only_in_its_majority() {
     let mut cluster = settled_cluster(7, 5, 2);
-    let leader = cluster.leader().expect("leads");
+    let leader = cluster.leader().expect("has a leader");
     let other = (leader + 1) % 5;
     let rest: Vec<usize> = (0..7).filter(|node| ![leader, other].contains(node)).collect();
     cluster.links.part(&[leader, other], &rest);
@@ -66,15 +68,15 @@
     run_load(&mut cluster, 1_000.0);
     assert!(cluster.status(rest[0]).applied > cut + 10);
     assert_eq!(cluster.status(other).applied, cut, "decided without a majority");
-    assert!(cluster.status(other).age > LEASE_MS, "took itself for fresh");
+    assert!(cluster.status(other).age > LEASE_MS, "considered its knowledge fresh");
     cluster.converge(5_000.0);
     assert_consistent(&mut cluster);
 }
 
 #[test]
-fn a_leader_that_is_heard_but_hears_nobody_makes_room() {
+fn a_leader_that_receives_nothing_is_replaced() {
     let mut cluster = settled_cluster(5, 5, 3);
-    let leader = cluster.leader().expect("leads");
+    let leader = cluster.leader().expect("has a leader");
     let rest: Vec<usize> = (0..5).filter(|&node| node != leader).collect();
     cluster.links.cut(&rest, &[leader], true);
     cluster.run_until("another leader", 5_000.0, |cluster| cluster.leader().is_some_and(|new| new != leader));
@@ -84,9 +86,9 @@
 }
 
 #[test]
-fn a_leader_stopped_for_four_seconds_wakes_deposed_and_reads_nothing_old() {
+fn a_leader_paused_for_four_seconds_serves_no_stale_reads() {
     let mut cluster = settled_cluster(5, 5, 4);
-    let leader = cluster.leader().expect("leads");
+    let leader = cluster.leader().expect("has a leader");
     cluster.pause(leader, 4_000.0);
     cluster.run_until("another leader", 4_000.0, |cluster| cluster.leader().is_some_and(|new| new != leader));
     let other = (leader + 1) % 5;
@@ -101,7 +103,7 @@
 }
 
 #[test]
-fn a_member_whose_disk_is_lost_has_no_vote_until_it_is_let_in_anew() {
+fn a_member_with_a_lost_disk_has_no_vote_until_readmitted() {
     let mut cluster = settled_cluster(3, 3, 5);
     run_load(&mut cluster, 500.0);
     cluster.proxies[2] = None;
@@ -109,14 +111,14 @@
     cluster.start(2);
     cluster.advance(3_000.0);
     assert_eq!(cluster.status(2).role, Role::Barred);
-    // With another away the vote of the one that lost its own would be wanted.
+    // With another member down, a majority would need the vote of the member that lost its disk.
     let gone = if cluster.leader() == Some(0) { 1 } else { 0 };
     cluster.crash(gone);
     let applied = cluster.status(1 - gone).applied;
     run_load(&mut cluster, 2_000.0);
-    assert_eq!(cluster.status(1 - gone).applied, applied, "decided by a vote that was lost");
+    assert_eq!(cluster.status(1 - gone).applied, applied, "decided by a vote of a lost disk");
     cluster.start(gone);
-    cluster.run_until("let in", 20_000.0, |cluster| {
+    cluster.run_until("readmitted", 20_000.0, |cluster| {
         cluster.readmit_disks();
         cluster.advance(200.0);
         cluster.status(2).role == Role::Follows
@@ -130,35 +132,35 @@
 }
 
 #[test]
-fn an_older_copy_of_a_disk_is_found_out_by_what_the_others_know() {
+fn an_older_disk_copy_is_detected_by_the_other_members() {
     let mut cluster = settled_cluster(3, 3, 6);
-    let leader = cluster.leader().expect("leads");
+    let leader = cluster.leader().expect("has a leader");
     let other = (leader + 1) % 3;
     let copy = cluster.disks[other].contents.clone();
     run_load(&mut cluster, 1_000.0);
     cluster.crash(other);
     cluster.disks[other].contents = copy;
     cluster.start(other);
-    cluster.run_until("found out", 3_000.0, |cluster| cluster.status(other).counts.outdated == 1);
+    cluster.run_until("detected", 3_000.0, |cluster| cluster.status(other).counts.outdated == 1);
     assert_eq!(cluster.status(other).role, Role::Barred);
     run_load(&mut cluster, 500.0);
     cluster.converge(5_000.0);
     assert_consistent(&mut cluster);
 }
 
-/// A follower that lost its disk, and the other follower. It is let in anew while it is heard but hears nobody;
-/// then it is handed the proofs of its new seat, before any of the log.
+/// A follower that lost its disk, and the other follower. The first is readmitted while its messages arrive
+/// but it receives none; then it gets the proofs of its council before any of the log.
 fn council_proof_before_log(seed: u64) -> (Cluster, usize, usize) {
     let mut cluster = settled_cluster(3, 3, seed);
     run_load(&mut cluster, 500.0);
-    let leader = cluster.leader().expect("leads");
+    let leader = cluster.leader().expect("has a leader");
     let (lost, other) = ((leader + 1) % 3, (leader + 2) % 3);
     cluster.crash(lost);
     cluster.disks[lost] = Default::default();
     cluster.links.cut(&[leader, other], &[lost], true);
     cluster.start(lost);
     let disk_id = cluster.proxy(lost).persisted.disk_id;
-    cluster.run_until("let in anew", 5_000.0, |cluster| {
+    cluster.run_until("readmitted", 5_000.0, |cluster| {
         cluster.readmit_disks();
         let status = cluster.status(leader);
         status.council_proved
@@ -169,17 +171,22 @@
     for proof in proofs {
         proxy.receive(now, leader as u64, &encode(&Message::Council { proof: Box::new(proof) }));
     }
-    assert!(proxy.is_voter() && !proxy.bootstrap.disk_verified, "its seat is proved, its disk not checked");
+    assert!(
+        proxy.is_voter() && !proxy.bootstrap.disk_verified,
+        "its council is proved, its disk not verified"
+    );
     assert_eq!(proxy.persisted.log.last().index, 0, "the proof came before the log");
     cluster.links.heal();
     (cluster, lost, other)
 }
 
 #[rstest]
-fn one_let_in_anew_whose_seat_is_proved_before_its_log_comes_votes(#[values(30, 31, 32, 33, 34)] seed: u64) {
+fn a_readmitted_member_votes_though_its_council_proof_came_before_the_log(
+    #[values(30, 31, 32, 33, 34)] seed: u64,
+) {
     let (mut cluster, lost, other) = council_proof_before_log(seed);
-    cluster.run_until("it votes", 3_000.0, |cluster| cluster.status(lost).role == Role::Follows);
-    assert_eq!(cluster.status(lost).counts.outdated, 0, "taken for an older copy of its former life's disk");
+    cluster.run_until("the member votes", 3_000.0, |cluster| cluster.status(lost).role == Role::Follows);
+    assert_eq!(cluster.status(lost).counts.outdated, 0, "detected as an older copy of its previous disk");
     cluster.crash(other);
     let applied = cluster.status(lost).applied;
     run_load(&mut cluster, 1_000.0);
@@ -189,23 +196,23 @@
 }
 
 #[rstest]
-fn an_older_copy_of_a_disk_is_found_out_under_any_seat_of_its_member(
-    #[values(false, true)] let_in_anew: bool,
-    #[values(false, true)] it_led: bool,
+fn an_older_disk_copy_is_detected_under_any_disk_id(
+    #[values(false, true)] readmitted: bool,
+    #[values(false, true)] was_leader: bool,
 ) {
-    let (mut cluster, member) = if let_in_anew {
+    let (mut cluster, member) = if readmitted {
         let (mut cluster, lost, _) = council_proof_before_log(35);
-        cluster.run_until("it votes", 3_000.0, |cluster| cluster.status(lost).role == Role::Follows);
+        cluster.run_until("the member votes", 3_000.0, |cluster| cluster.status(lost).role == Role::Follows);
         cluster.converge(5_000.0);
         (cluster, lost)
     } else {
         let cluster = settled_cluster(3, 3, 36);
-        let member = (cluster.leader().expect("leads") + 1) % 3;
+        let member = (cluster.leader().expect("has a leader") + 1) % 3;
         (cluster, member)
     };
     let copy = cluster.disks[member].contents.clone();
-    while it_led && cluster.leader() != Some(member) {
-        let leader = cluster.leader().expect("leads");
+    while was_leader && cluster.leader() != Some(member) {
+        let leader = cluster.leader().expect("has a leader");
         cluster.crash(leader);
         cluster.run_until("another leader", 5_000.0, |cluster| cluster.leader().is_some());
         cluster.start(leader);
@@ -215,7 +222,7 @@
     cluster.crash(member);
     cluster.disks[member].contents = copy;
     cluster.start(member);
-    cluster.run_until("found out", 3_000.0, |cluster| cluster.status(member).counts.outdated == 1);
+    cluster.run_until("detected", 3_000.0, |cluster| cluster.status(member).counts.outdated == 1);
     assert_eq!(cluster.status(member).role, Role::Barred);
     run_load(&mut cluster, 500.0);
     cluster.converge(5_000.0);
@@ -223,20 +230,20 @@
 }
 
 #[test]
-fn a_copy_of_a_disk_from_before_its_founder_voted_is_found_out() {
+fn a_disk_copy_from_before_the_bootstrap_vote_is_detected() {
     let mut cluster = Cluster::new(3, 3, 38);
     let ready = |cluster: &mut Cluster| {
         disk::recover(&cluster.disks[1].contents)
             .is_ok_and(|persisted| persisted.stage == crate::wire::Stage::Ready)
     };
-    cluster.run_until("ready", 5_000.0, ready);
+    cluster.run_until("stage Ready", 5_000.0, ready);
     let copy = cluster.disks[1].contents.clone();
     cluster.converge(5_000.0);
     run_load(&mut cluster, 1_000.0);
     cluster.crash(1);
     cluster.disks[1].contents = copy;
     cluster.start(1);
-    cluster.run_until("found out", 3_000.0, |cluster| cluster.status(1).counts.outdated == 1);
+    cluster.run_until("detected", 3_000.0, |cluster| cluster.status(1).counts.outdated == 1);
     assert_eq!(cluster.status(1).role, Role::Barred);
     run_load(&mut cluster, 500.0);
     cluster.converge(5_000.0);
@@ -246,13 +253,13 @@
 #[rstest]
 #[case::whole(0.0)]
 #[case::torn(0.5)]
-fn a_disk_that_is_full_in_the_middle_of_a_vote_gives_none_and_is_well_again_later(#[case] part: f64) {
+fn a_member_whose_disk_fails_grants_no_vote_and_recovers_later(#[case] part: f64) {
     let mut cluster = settled_cluster(3, 3, 7);
-    let leader = cluster.leader().expect("leads");
+    let leader = cluster.leader().expect("has a leader");
     cluster.crash(leader);
     let others: Vec<usize> = (0..3).filter(|&node| node != leader).collect();
     others.iter().for_each(|&node| cluster.disks[node].fails_next_write = true);
-    cluster.run_until("refused", 5_000.0, |cluster| {
+    cluster.run_until("a failed write", 5_000.0, |cluster| {
         others.iter().any(|&node| cluster.status(node).role == Role::Unwritten)
     });
     if part > 0.0 {
@@ -268,19 +275,19 @@
 
 #[rstest]
 #[case::empty(&[], disk::RecoveryError::Empty)]
-#[case::rubbish(&[7; 300], disk::RecoveryError::Empty)]
-fn a_file_that_says_nothing_is_no_state(#[case] bytes: &[u8], #[case] lost: disk::RecoveryError) {
-    assert_eq!(disk::recover(bytes).expect_err("nothing there"), lost);
+#[case::garbage(&[7; 300], disk::RecoveryError::Empty)]
+fn an_empty_or_unreadable_file_holds_no_state(#[case] bytes: &[u8], #[case] lost: disk::RecoveryError) {
+    assert_eq!(disk::recover(bytes).expect_err("no state"), lost);
 }
 
 #[test]
-fn a_file_is_whole_torn_at_its_end_or_not_to_be_trusted() {
+fn a_torn_tail_is_cut_and_other_damage_is_an_error() {
     let mut cluster = settled_cluster(3, 3, 8);
     run_load(&mut cluster, 1_000.0);
     let file = cluster.disks[0].contents.clone();
-    let persisted = disk::recover(&file).expect("sound");
+    let persisted = disk::recover(&file).expect("intact");
     for cut in (file.len() - 60..file.len()).step_by(7) {
-        let torn = disk::recover(&file[..cut]).expect("a torn tail is cut");
+        let torn = disk::recover(&file[..cut]).expect("a torn tail is not an error");
         assert!(torn.log.last().index <= persisted.log.last().index);
     }
     for at in (0..file.len() - 200).step_by(97) {
@@ -291,10 +298,10 @@
 }
 
 #[test]
-fn one_that_comes_late_gets_a_snapshot_in_pieces_and_goes_on_from_there() {
+fn a_late_proxy_catches_up_by_a_snapshot_in_chunks() {
     let mut cluster = settled_cluster(6, 3, 9);
     cluster.crash(5);
-    let follower = (0..3).find(|&node| Some(node) != cluster.leader()).expect("follows");
+    let follower = (0..3).find(|&node| Some(node) != cluster.leader()).expect("has a follower");
     cluster.crash(follower);
     let end = cluster.now + 8_000.0;
     while cluster.now < end {
@@ -308,20 +315,20 @@
     cluster.converge(10_000.0);
     let lines = cluster.proxy(0).machine().lines.clone();
     assert_eq!(cluster.proxy(5).machine().lines, lines);
-    assert!(cluster.proxy(5).persisted.log.base().index > 0, "it came by a snapshot");
+    assert!(cluster.proxy(5).persisted.log.base().index > 0, "it was restored from a snapshot");
     cluster.restart(follower);
     cluster.converge(10_000.0);
     assert_consistent(&mut cluster);
 }
 
 #[test]
-fn a_council_changes_seat_by_seat_and_those_who_follow_learn_it_by_proofs() {
+fn a_council_changes_by_one_voter_and_followers_learn_it_from_proofs() {
     let mut cluster = settled_cluster(7, 3, 10);
     cluster.crash(6);
     for (id, disk_id) in [(3, 1), (4, 1), (0, 0)] {
-        let leader = cluster.leader().expect("leads");
+        let leader = cluster.leader().expect("has a leader");
         let council = cluster.status(leader).council;
-        // 0 goes; 3 and 4 come by the lives that their new disks will have drawn.
+        // Member 0 leaves; 3 and 4 join under the ids of their new disks.
         let disk_id = cluster.proxies[id].as_ref().map_or(disk_id, |proxy| proxy.persisted.disk_id);
         let next = match council.voter(id as u64) {
             Some(_) => council.without(id as u64),
@@ -330,7 +337,7 @@
         let now = cluster.clock(leader);
         let two = next.without(1);
         assert_eq!(cluster.proxy(leader).propose_council(now, two), Err(Refusal::NotOneVoter));
-        cluster.run_until("the change", 10_000.0, |cluster| {
+        cluster.run_until("the council change", 10_000.0, |cluster| {
             let Some(leader) = cluster.leader() else { return false };
             let now = cluster.clock(leader);
             let _ = cluster.proxy(leader).propose_council(now, next.clone());
@@ -341,7 +348,7 @@
     }
     let council: Vec<u64> = cluster.status(1).council.ids().collect();
     assert_eq!(council, [1, 2, 3, 4]);
-    // One that knows only the founders goes from proof to proof.
+    // A proxy that knows only the bootstrap council advances from proof to proof.
     cluster.converge(10_000.0);
     assert_eq!(cluster.status(6).council, cluster.status(1).council);
     cluster.crash(1);
@@ -352,24 +359,27 @@
 }
 
 #[test]
-fn a_change_of_the_council_that_is_told_as_done_is_believed_by_all_though_its_leader_goes_at_once() {
+fn a_council_change_reported_as_done_is_trusted_by_all_after_its_leader_crashes() {
     let mut cluster = settled_cluster(5, 3, 37);
-    let leader = cluster.leader().expect("leads");
+    let leader = cluster.leader().expect("has a leader");
     let member = (leader + 1) % 3;
     let without = cluster.status(leader).council.without(member as u64);
-    // Of the two that are left the leader must sign for the third to be back.
-    let disk_id = cluster.status(leader).council.voter(member as u64).expect("a founder").disk_id;
+    // Of the two remaining members the leader has to sign for the third to return.
+    let disk_id = cluster.status(leader).council.voter(member as u64).expect("a bootstrap member").disk_id;
     let with = without.with(crate::Voter { id: member as u64, disk_id });
     for council in [without, with] {
-        cluster
-            .run_until("the one before is proved", 5_000.0, |cluster| cluster.status(leader).council_proved);
+        cluster.run_until("the previous council is proved", 5_000.0, |cluster| {
+            cluster.status(leader).council_proved
+        });
         let operation = cluster.propose_council(leader, council);
-        cluster.run_until("told as done", 5_000.0, |cluster| cluster.history[operation].completed.is_some());
+        cluster.run_until("the change is reported", 5_000.0, |cluster| {
+            cluster.history[operation].completed.is_some()
+        });
     }
     cluster.crash(leader);
     cluster.run_until("another leader", 5_000.0, |cluster| cluster.leader().is_some());
     cluster.propose_line(4);
-    cluster.run_until("known outside", 5_000.0, |cluster| {
+    cluster.run_until("the line is decided", 5_000.0, |cluster| {
         cluster.history.last().is_some_and(|operation| operation.completed.is_some())
     });
     cluster.converge(5_000.0);
@@ -377,28 +387,30 @@
 }
 
 #[test]
-fn whoever_does_not_know_a_command_stops_there_and_says_so() {
+fn a_replica_stops_at_an_unsupported_command_and_reports_it() {
     let mut cluster = settled_cluster(5, 3, 11);
     cluster.proxy(4).machine_mut().rejects_other_parts = true;
     let now = cluster.clock(0);
-    let request = cluster.proxy(0).propose(now, 9, 7u64.to_le_bytes().to_vec()).expect("room");
+    let request =
+        cluster.proxy(0).propose(now, 9, 7u64.to_le_bytes().to_vec()).expect("not too many requests");
     cluster.propose_line(0);
     cluster.advance(2_000.0);
     let status = cluster.status(4);
     assert!(status.stopped.is_some_and(|what| what.contains("no such part")));
-    assert_eq!(cluster.proxy(4).machine().lines.len(), 1, "nothing after it either");
+    assert_eq!(cluster.proxy(4).machine().lines.len(), 1, "no command after it either");
     assert!(cluster.proxy(3).machine().lines.len() == 3);
-    assert_eq!(cluster.proxy(0).outcome(), None, "told already: {request}");
+    assert_eq!(cluster.proxy(0).outcome(), None, "the outcome of {request} was already returned");
 }
 
 #[test]
-fn what_nobody_may_say_is_counted_and_changes_nothing() {
+fn forged_and_malformed_messages_are_counted_and_change_nothing() {
     let mut cluster = settled_cluster(5, 3, 12);
     let before = cluster.status(0);
     let now = cluster.clock(0);
     let junk = [&[][..], &[2], &[9, 9, 9], &[2; 900], &[2, 255, 255, 255]];
     junk.iter().for_each(|bytes| cluster.proxy(0).receive(now, 4, bytes));
-    // One without a seat asks for votes, leads, and proves by no signatures.
+    // A proxy without a vote requests votes, claims to lead, and sends a certificate without valid
+    // signatures.
     let log = cluster.proxy(0).persisted.log.clone();
     let (term, last) = (before.term + 5, log.last());
     let certificate = crate::certificate::Certificate {
@@ -436,9 +448,10 @@
     assert_consistent(&mut cluster);
 }
 
-/// `AGREE_PROXIES` measures more of them.
+/// Guards the bounds in docs/agree.md on the time for an election and for a decision to reach all.
+/// `AGREE_PROXIES` runs it with more proxies.
 #[test]
-fn how_long_a_new_leader_and_a_decision_take() {
+fn elections_and_decisions_finish_within_the_documented_heartbeats() {
     let proxies = std::env::var("AGREE_PROXIES").ok().and_then(|n| n.parse().ok()).unwrap_or(40);
     let (mut leaders, mut known, mut idle) = (Vec::new(), [Vec::new(), Vec::new()], Vec::new());
     for seed in 20..30 {
@@ -448,10 +461,11 @@
         let heartbeats = (cluster.now - started_at) / HEARTBEAT_MS;
         let each = |all: u64| all as f64 / heartbeats / proxies as f64;
         idle.push((each(cluster.links.messages - messages), each(cluster.bytes - bytes)));
-        let leader = cluster.leader().expect("leads");
+        let leader = cluster.leader().expect("has a leader");
         cluster.crash(leader);
         leaders.push(
-            cluster.run_until("another", 10_000.0, |cluster| cluster.leader().is_some()) / HEARTBEAT_MS,
+            cluster.run_until("another leader", 10_000.0, |cluster| cluster.leader().is_some())
+                / HEARTBEAT_MS,
         );
         for (known, loss) in known.iter_mut().zip([0.0, 0.3]) {
             cluster.links.loss = loss;
@@ -461,29 +475,30 @@
             let all = |cluster: &mut Cluster| {
                 cluster.proxies.iter().flatten().all(|proxy| proxy.machine().lines.contains(&line))
             };
-            known.push(cluster.run_until("known to all", 30_000.0, all) / HEARTBEAT_MS);
+            known.push(cluster.run_until("the line reaches all", 30_000.0, all) / HEARTBEAT_MS);
         }
         assert_consistent(&mut cluster);
     }
-    // In beats; the bounds that docs/agree.md states.
+    // In heartbeats; docs/agree.md states these bounds.
     assert!(leaders.iter().all(|&heartbeats| heartbeats < 60.0), "{leaders:?}");
     assert!(known.iter().flatten().all(|&heartbeats| heartbeats < 80.0), "{known:?}");
     eprintln!(
-        "{proxies} proxies, beats to a leader {leaders:.0?}, until all know, whole links and 30% lost: {known:.0?}"
+        "{proxies} proxies, heartbeats to a leader {leaders:.0?}, until all know, without loss and with 30% loss: {known:.0?}"
     );
-    eprintln!("at rest, messages and bytes of each in a beat {idle:.2?}");
+    eprintln!("idle, messages and bytes per proxy and heartbeat {idle:.2?}");
 }
 
 #[test]
-fn a_request_is_answered_once_and_forgotten_when_nobody_waits() {
+fn a_duplicated_request_is_decided_and_answered_once() {
     let mut cluster = settled_cluster(4, 3, 13);
     let now = cluster.clock(3);
     assert_eq!(cluster.proxy(3).propose(now, 0, vec![0; 500]), Err(Refusal::TooLong));
-    let request = cluster.proxy(3).propose(now, 0, 9u64.to_le_bytes().to_vec()).expect("room");
+    let request =
+        cluster.proxy(3).propose(now, 0, 9u64.to_le_bytes().to_vec()).expect("not too many requests");
     cluster.links.double = 0.5;
     let mut outcomes = Vec::new();
     for _ in 0..200 {
-        // Without the world's own reading of outcomes.
+        // The outcomes are read here, before the cluster reads them.
         cluster.advance(5.0);
         outcomes.extend(cluster.proxy(3).outcome());
     }
--- a/agree/src/wire.rs
+++ b/agree/src/wire.rs
@@ -1,6 +1,5 @@
-//! The form of what proxies say to each other about decisions, in postcard's compact encoding. Who says it is
-//! proved by what carries it. [`write`] and [`read`] are the two ways; what is read has bounded lists, and
-//! nothing else of it is checked.
+//! The encoding of messages between replicas, in postcard's compact format. The carrier authenticates the
+//! sender. [`encode`] and [`decode`] convert; decoding bounds the lengths of lists and checks nothing else.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -10,63 +9,49 @@
 use crate::freshness::Nonce;
 use crate::log::{Entry, Hash, Index, MAX_COMMAND_BYTES, Payload, Term};
 
+/// The version of the encoding, the first byte of each message.
 pub const VERSION: u8 = 2;
-/// Bytes of the longest message: with all that a packet of gossip's takes along it stays a datagram.
+/// Longest message: with everything else in a gossip packet it still fits a datagram.
 pub const MAX_MESSAGE_BYTES: usize = 780;
-/// Bytes of entries in a message, of which a command of full length must find room.
+/// Bytes of entries in a message; a command of maximum length has to fit.
 pub const MAX_ENTRIES_BYTES: usize = 640;
 /// Bytes of a snapshot in a message.
 pub const CHUNK_BYTES: usize = 640;
+/// Most entries in a message.
 const MAX_ENTRIES: usize = 64;
 
-/// Where a founder's seat stands with its disk.
+/// How far a member is in verifying that its disk may vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// Its disk was empty, or not to be trusted: it has no vote.
+    /// The disk was empty or is not trusted: no vote.
     New,
-    /// It has heard that nobody has a vote yet.
+    /// All other members have reported that nobody votes yet.
     Ready,
-    /// It votes.
+    /// The member votes.
     Voting,
 }
 
-/// Signed by its sender: it knows all up to `index` to be decided.
+/// The sender's signature on its statement that everything up to `index` is decided.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StatementSignature {
     pub index: Index,
     pub signature: Vec<u8>,
 }
 
+/// A message between replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// I have started: how do you stand, and what do you know of me?
-    Hello {
-        nonce: u64,
-        stage: Stage,
-        disk_id: u64,
-    },
-    /// Known of the life that asked: the latest term it spoke in, and up to where it said that it has the log.
-    HelloResponse {
-        nonce: u64,
-        stage: Stage,
-        term: Term,
-        acked: Index,
-    },
-    /// Please vote for me; `trial` where nobody is to be bound by it yet. `index` and `of` are my log's end.
-    RequestVote {
-        term: Term,
-        pre_vote: bool,
-        disk_id: u64,
-        last_index: Index,
-        last_term: Term,
-    },
-    Vote {
-        term: Term,
-        pre_vote: bool,
-        granted: bool,
-        disk_id: u64,
-    },
-    /// The leader's entries after `prev`, and what is decided.
+    /// Sent after a start: asks for the receiver's stage and what it knows of the sender.
+    Hello { nonce: u64, stage: Stage, disk_id: u64 },
+    /// What is known of the sender under that disk id: the latest term it used, and the last index it
+    /// acknowledged.
+    HelloResponse { nonce: u64, stage: Stage, term: Term, acked: Index },
+    /// Requests a vote; `pre_vote` is not binding. `last_index` and `last_term` are the end of the sender's
+    /// log.
+    RequestVote { term: Term, pre_vote: bool, disk_id: u64, last_index: Index, last_term: Term },
+    /// The answer to a vote request.
+    Vote { term: Term, pre_vote: bool, granted: bool, disk_id: u64 },
+    /// The leader's entries after `prev`, and the decided index.
     Append {
         term: Term,
         round: u64,
@@ -76,7 +61,8 @@
         entries: Vec<Entry>,
         decided: Index,
     },
-    /// Up to `index` my log is the leader's, on my disk; or, where it did not fit, where to begin anew.
+    /// The sender's log matches the leader's up to `index`, on disk; if it does not match, where to start
+    /// again.
     AppendResponse {
         term: Term,
         round: u64,
@@ -85,75 +71,46 @@
         fits: bool,
         signed: Option<StatementSignature>,
     },
-    /// The newest proof.
-    Certificate {
-        certificate: Certificate,
-    },
-    /// Please send what follows my log, or the proof of the council after mine, or a piece of the snapshot
-    /// there; `sealed` is the newest proof that I have.
-    Pull {
-        index: Index,
-        hash: Hash,
-        council_version: Index,
-        certified: Index,
-        chunk: Option<(Index, u32)>,
-    },
-    Entries {
-        prev: Index,
-        hash: Hash,
-        entries: Vec<Entry>,
-    },
-    Council {
-        proof: Box<CouncilProof>,
-    },
-    /// A piece of the snapshot at an index, of `of` bytes in all, from byte `at` on.
-    SnapshotChunk {
-        index: Index,
-        hash: Hash,
-        term: Term,
-        offset: u32,
-        total_bytes: u32,
-        bytes: Vec<u8>,
-    },
-    /// Please have this decided.
-    Propose {
-        request: u64,
-        payload: Payload,
-    },
-    /// That is not for the log; `leader` where the one asked knows it and is not it.
-    Refused {
-        request: u64,
-        refusal: crate::Refusal,
-    },
-    /// How far were decisions, at any time after you heard this?
-    FreshnessRequest {
-        nonce: Nonce,
-    },
+    /// The newest certificate.
+    Certificate { certificate: Certificate },
+    /// Requests the entries after the sender's log, the proof of the next council, or a chunk of a
+    /// snapshot; `certified` is the index of the sender's newest certificate.
+    Pull { index: Index, hash: Hash, council_version: Index, certified: Index, chunk: Option<(Index, u32)> },
+    /// Decided entries after `prev`.
+    Entries { prev: Index, hash: Hash, entries: Vec<Entry> },
+    /// A council with its proof.
+    Council { proof: Box<CouncilProof> },
+    /// A chunk of the snapshot at an index, which has `total_bytes` in all, from byte `offset` on.
+    SnapshotChunk { index: Index, hash: Hash, term: Term, offset: u32, total_bytes: u32, bytes: Vec<u8> },
+    /// Requests a decision.
+    Propose { request: u64, payload: Payload },
+    /// The request was refused.
+    Refused { request: u64, refusal: crate::Refusal },
+    /// Asks how far decisions have come, at any time after the receiver got this.
+    FreshnessRequest { nonce: Nonce },
     /// The answer, signed as in [`crate::FreshnessProof`].
-    FreshnessResponse {
-        nonce: Nonce,
-        index: Index,
-        signature: Vec<u8>,
-    },
+    FreshnessResponse { nonce: Nonce, index: Index, signature: Vec<u8> },
 }
 
-/// Why a message was dropped.
+/// Why a message could not be decoded.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
-    #[error("longer than any message")]
+    #[error("longer than the longest message")]
     Oversized,
-    #[error("field version: not known")]
+    #[error("unknown version")]
     Version,
-    #[error("not of its form")]
+    #[error("malformed")]
     Form,
-    #[error("a list or a command is longer than any")]
+    #[error("a list or a command is longer than its maximum")]
     Bounds,
 }
 
+/// Encodes a message.
 pub fn encode(message: &Message) -> Vec<u8> {
-    postcard::to_extend(message, vec![VERSION]).expect("plain data")
+    postcard::to_extend(message, vec![VERSION]).expect("plain data can be encoded")
 }
 
+/// Whether an entry's lists and command are not too long.
 fn within_bounds(payload: &Payload) -> bool {
     match payload {
         Payload::Begin => true,
@@ -162,6 +119,7 @@
     }
 }
 
+/// Decodes a message.
 pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
     if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(DecodeError::Oversized);
