--- a/outs/src/drains.rs
+++ b/outs/src/drains.rs
@@ -72,7 +72,7 @@
 }
 
 /// Under what a drain is distributed, in the scope of its pool.
-const KEY: &str = "drain/";
+const KEY_PREFIX: &str = "drain/";
 
 /// What a drain that is distributed says, beside its server and its pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -85,7 +85,7 @@
 impl Notice {
     /// What the value of an entry says; nothing where its form is not known.
     pub fn read(value: &[u8]) -> Option<Self> {
-        crate::read(crate::VERSION, value)
+        crate::decode(crate::VERSION, value)
     }
 }
 
@@ -96,18 +96,18 @@
 
 /// The server that is drained by an entry of that key.
 pub fn server_of(key: &Key) -> Option<&str> {
-    key.as_str().strip_prefix(KEY)
+    key.as_str().strip_prefix(KEY_PREFIX)
 }
 
 /// What a decision on a drain changes for those who are told by scope; nothing where the name is no key's.
 pub(crate) fn change(decision: Index, server: &str, pool: u16, drain: Option<&Drain>) -> Option<Change> {
     let notice = |drain: &Drain| {
         let (by, why) = (drain.by.clone(), drain.why.clone());
-        crate::write(crate::VERSION, &Notice { by, why, unix_ms: drain.unix_ms })
+        crate::encode(crate::VERSION, &Notice { by, why, unix_ms: drain.unix_ms })
     };
     Some(Change {
         scope: scope(pool),
-        key: Key::new(format!("{KEY}{server}")).ok()?,
+        key: Key::new(format!("{KEY_PREFIX}{server}")).ok()?,
         version: decision,
         value: drain.map(notice),
     })
@@ -120,8 +120,8 @@
 }
 
 /// How many of a pool of so many servers may be out: that part of them, and one at least.
-pub fn max_unavailable(part: f64, servers: usize) -> u16 {
-    ((part * servers as f64).floor().max(1.0)).min(f64::from(u16::MAX)) as u16
+pub fn max_unavailable(fraction: f64, servers: usize) -> u16 {
+    ((fraction * servers as f64).floor().max(1.0)).min(f64::from(u16::MAX)) as u16
 }
 
 impl Drains {
@@ -143,13 +143,13 @@
                 if self.drains.contains_key(&server) {
                     return Verdict::Unchanged;
                 }
-                let named = |name: &String| (1..=MAX_NAME_BYTES).contains(&name.len());
-                let fit = named(&server) && named(&by) && why.len() <= MAX_REASON_BYTES;
-                if !fit || self.drains.len() >= MAX_DRAINS {
+                let is_valid_name = |name: &String| (1..=MAX_NAME_BYTES).contains(&name.len());
+                let is_valid = is_valid_name(&server) && is_valid_name(&by) && why.len() <= MAX_REASON_BYTES;
+                if !is_valid || self.drains.len() >= MAX_DRAINS {
                     return Verdict::Invalid;
                 }
-                let of_pool = self.drains.iter().filter(|(_, drain)| drain.pool == pool);
-                let mut drained: Vec<String> = of_pool.map(|(server, _)| server.clone()).collect();
+                let in_pool = self.drains.iter().filter(|(_, drain)| drain.pool == pool);
+                let mut drained: Vec<String> = in_pool.map(|(server, _)| server.clone()).collect();
                 let unavailable = listed_unavailable.saturating_add(drained.len() as u16).saturating_add(1);
                 if unavailable > max_unavailable {
                     // As many as an answer has room for.
--- a/outs/src/feed.rs
+++ b/outs/src/feed.rs
@@ -6,7 +6,7 @@
 
 /// Changes that wait to be taken, about a megabyte. Past that they are dropped, and whoever serves the state
 /// is to begin anew from all of it: it costs memory here where nobody takes them.
-const MOST_WAITING: usize = 4096;
+const MAX_WAITING: usize = 4096;
 
 /// What was changed since it was last asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
             return;
         }
         self.waiting.push_back(change);
-        if self.waiting.len() > MOST_WAITING {
+        if self.waiting.len() > MAX_WAITING {
             self.reset();
         }
     }
--- a/outs/src/grants.rs
+++ b/outs/src/grants.rs
@@ -23,7 +23,7 @@
 use crate::drains::MAX_REASON_BYTES;
 
 /// Proxies that are kept in the books at most.
-pub const MOST_PROXIES: usize = 4096;
+pub const MAX_PROXIES: usize = 4096;
 
 /// What may be asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -99,8 +99,8 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Standing {
-    away: Option<Unavailability>,
+struct ProxyState {
+    unavailability: Option<Unavailability>,
     /// Who hears nothing of it.
     suspected_by: BTreeSet<Id>,
     written_off: Option<String>,
@@ -111,7 +111,7 @@
 pub struct Grants {
     max_unavailable: u16,
     witnesses: u16,
-    proxies: BTreeMap<Id, Standing>,
+    proxies: BTreeMap<Id, ProxyState>,
     /// Seen well by the latest decision, with the release that it runs.
     #[serde(skip)]
     returned: Option<(Id, Index)>,
@@ -119,23 +119,23 @@
 
 impl Grants {
     /// Who was seen well again by the latest decision, and which release it runs.
-    pub(crate) fn returned(&mut self) -> Option<(Id, Index)> {
+    pub(crate) fn take_returned(&mut self) -> Option<(Id, Index)> {
         self.returned.take()
     }
 
     /// Takes back what was granted for a release and has not begun.
-    pub(crate) fn recall(&mut self, release: Index) {
-        for standing in self.proxies.values_mut() {
-            standing.away.take_if(
-                |away| matches!(away, Unavailability::Granted { release: of, .. } if *of == release),
+    pub(crate) fn revoke_unstarted(&mut self, release: Index) {
+        for state in self.proxies.values_mut() {
+            state.unavailability.take_if(
+                |unavailability| matches!(unavailability, Unavailability::Granted { release: of, .. } if *of == release),
             );
         }
-        self.proxies.retain(|_, standing| *standing != Standing::default());
+        self.proxies.retain(|_, state| *state != ProxyState::default());
     }
 
     /// All that are away by their own asking.
     pub fn unavailabilities(&self) -> impl Iterator<Item = (Id, &Unavailability)> {
-        self.proxies.iter().filter_map(|(&id, standing)| Some((id, standing.away.as_ref()?)))
+        self.proxies.iter().filter_map(|(&id, state)| Some((id, state.unavailability.as_ref()?)))
     }
 
     pub fn max_unavailable(&self) -> u16 {
@@ -148,140 +148,148 @@
 
     /// How a proxy is away by its own asking.
     pub fn unavailability(&self, proxy: Id) -> Option<&Unavailability> {
-        self.proxies.get(&proxy)?.away.as_ref()
+        self.proxies.get(&proxy)?.unavailability.as_ref()
     }
 
     /// Whether a proxy takes up a place, and those that do.
     pub fn counts_as_unavailable(&self, proxy: Id) -> bool {
-        self.proxies.get(&proxy).is_some_and(|standing| self.is_out(standing))
+        self.proxies.get(&proxy).is_some_and(|state| self.takes_a_place(state))
     }
 
     pub fn unavailable(&self) -> impl Iterator<Item = Id> {
-        self.proxies.iter().filter(|(_, standing)| self.is_out(standing)).map(|(&id, _)| id)
+        self.proxies.iter().filter(|(_, state)| self.takes_a_place(state)).map(|(&id, _)| id)
     }
 
     /// Who says that nothing is heard of it.
     pub fn suspected_by(&self, proxy: Id) -> impl Iterator<Item = Id> {
-        self.proxies.get(&proxy).into_iter().flat_map(|standing| standing.suspected_by.iter().copied())
+        self.proxies.get(&proxy).into_iter().flat_map(|state| state.suspected_by.iter().copied())
     }
 
     pub fn written_off(&self, proxy: Id) -> Option<&str> {
         self.proxies.get(&proxy)?.written_off.as_deref()
     }
 
-    fn is_missed(&self, standing: &Standing) -> bool {
-        !standing.suspected_by.is_empty() && standing.suspected_by.len() >= usize::from(self.witnesses)
+    fn is_suspected(&self, state: &ProxyState) -> bool {
+        !state.suspected_by.is_empty() && state.suspected_by.len() >= usize::from(self.witnesses)
     }
 
-    fn is_out(&self, standing: &Standing) -> bool {
-        standing.written_off.is_none() && (standing.away.is_some() || self.is_missed(standing))
+    fn takes_a_place(&self, state: &ProxyState) -> bool {
+        state.written_off.is_none() && (state.unavailability.is_some() || self.is_suspected(state))
     }
 
-    fn full(&self, one_more: u16) -> Option<Verdict> {
+    fn over_budget(&self, one_more: u16) -> Option<Verdict> {
         let unavailable = self.unavailable().count() as u16;
         (unavailable + one_more > self.max_unavailable)
             .then_some(Verdict::Full { unavailable, max_unavailable: self.max_unavailable })
     }
 
-    pub fn decide(&mut self, decided: Index, command: Command) -> Verdict {
-        let known = |proxy| self.proxies.contains_key(&proxy);
-        let new = match &command {
-            Command::Request { proxy, .. } | Command::Suspected { proxy, .. } => !known(*proxy),
+    pub fn decide(&mut self, decision: Index, command: Command) -> Verdict {
+        let is_known = |proxy| self.proxies.contains_key(&proxy);
+        let adds_proxy = match &command {
+            Command::Request { proxy, .. } | Command::Suspected { proxy, .. } => !is_known(*proxy),
             _ => false,
         };
-        if new && self.proxies.len() >= MOST_PROXIES {
+        if adds_proxy && self.proxies.len() >= MAX_PROXIES {
             return Verdict::Invalid;
         }
-        let verdict = self.carry_out(decided, command);
-        self.proxies.retain(|_, standing| *standing != Standing::default());
+        let verdict = self.apply(decision, command);
+        self.proxies.retain(|_, state| *state != ProxyState::default());
         verdict
     }
 
-    fn carry_out(&mut self, decided: Index, command: Command) -> Verdict {
+    fn apply(&mut self, decision: Index, command: Command) -> Verdict {
         match command {
             // A smaller budget calls nobody back: what is out comes back, and nothing goes until the sum
             // fits.
             Command::Budget { max_unavailable, witnesses } if max_unavailable > 0 && witnesses > 0 => {
-                let same = (self.max_unavailable, self.witnesses) == (max_unavailable, witnesses);
+                let unchanged = (self.max_unavailable, self.witnesses) == (max_unavailable, witnesses);
                 (self.max_unavailable, self.witnesses) = (max_unavailable, witnesses);
-                if same { Verdict::NoEffect } else { Verdict::Done }
+                if unchanged { Verdict::NoEffect } else { Verdict::Done }
             }
             Command::Budget { .. } => Verdict::Invalid,
             Command::Request { proxy, release } => {
-                let standing = self.proxies.get(&proxy).cloned().unwrap_or_default();
-                if standing.away.is_some() || standing.written_off.is_some() {
+                let state = self.proxies.get(&proxy).cloned().unwrap_or_default();
+                if state.unavailability.is_some() || state.written_off.is_some() {
                     return Verdict::NoEffect;
                 }
                 // One that is missed already takes up its place.
-                let one_more = u16::from(!self.is_out(&standing));
-                if let Some(full) = self.full(one_more) {
-                    return full;
+                let one_more = u16::from(!self.takes_a_place(&state));
+                if let Some(verdict) = self.over_budget(one_more) {
+                    return verdict;
                 }
-                self.proxies.entry(proxy).or_default().away =
-                    Some(Unavailability::Granted { grant: decided, release });
+                self.proxies.entry(proxy).or_default().unavailability =
+                    Some(Unavailability::Granted { grant: decision, release });
                 Verdict::Done
             }
-            Command::Begin { proxy, grant } => self.turn(proxy, |away| match away {
-                Some(Unavailability::Granted { grant: held, .. }) if *held == grant => {
-                    Some(Some(Unavailability::Offline { since: decided }))
-                }
-                _ => None,
-            }),
-            Command::Revoke { proxy, grant } => self.turn(proxy, |away| match away {
-                Some(Unavailability::Granted { grant: held, .. }) if *held == grant => Some(None),
-                _ => None,
-            }),
+            Command::Begin { proxy, grant } => {
+                self.transition(proxy, |unavailability| match unavailability {
+                    Some(Unavailability::Granted { grant: held_grant, .. }) if *held_grant == grant => {
+                        Some(Some(Unavailability::Offline { since: decision }))
+                    }
+                    _ => None,
+                })
+            }
+            Command::Revoke { proxy, grant } => {
+                self.transition(proxy, |unavailability| match unavailability {
+                    Some(Unavailability::Granted { grant: held_grant, .. }) if *held_grant == grant => {
+                        Some(None)
+                    }
+                    _ => None,
+                })
+            }
             Command::Returned { proxy, running_release, caller_address } => {
                 // Whoever was written off and comes all the same is to be seen well like any other.
-                let standing = self.proxies.entry(proxy).or_default();
-                let back = Unavailability::Returned {
-                    since: decided,
+                let state = self.proxies.entry(proxy).or_default();
+                let returned = Unavailability::Returned {
+                    since: decision,
                     running_release,
                     caller_address,
                     seen_by: BTreeSet::new(),
                 };
-                if standing.written_off.take().is_some() {
-                    standing.away = Some(back);
+                if state.written_off.take().is_some() {
+                    state.unavailability = Some(returned);
                     return Verdict::Done;
                 }
-                self.turn(proxy, |away| match away {
-                    Some(Unavailability::Offline { .. }) => Some(Some(back)),
+                self.transition(proxy, |unavailability| match unavailability {
+                    Some(Unavailability::Offline { .. }) => Some(Some(returned)),
                     _ => None,
                 })
             }
             Command::Healthy { proxy, witness } => {
-                let enough = usize::from(self.witnesses);
-                let away = self.proxies.get_mut(&proxy).and_then(|standing| standing.away.as_mut());
+                let required = usize::from(self.witnesses);
+                let unavailability =
+                    self.proxies.get_mut(&proxy).and_then(|state| state.unavailability.as_mut());
                 let Some(Unavailability::Returned { running_release, seen_by, .. }) =
-                    away.filter(|_| witness != proxy)
+                    unavailability.filter(|_| witness != proxy)
                 else {
                     return Verdict::NoEffect;
                 };
                 if !seen_by.insert(witness) {
                     return Verdict::NoEffect;
                 }
-                if seen_by.len() >= enough {
+                if seen_by.len() >= required {
                     self.returned = Some((proxy, *running_release));
-                    return self.turn(proxy, |_| Some(None));
+                    return self.transition(proxy, |_| Some(None));
                 }
                 Verdict::Done
             }
             Command::Suspected { proxy, witness } if witness != proxy => {
-                let fresh = self.proxies.entry(proxy).or_default().suspected_by.insert(witness);
-                if fresh { Verdict::Done } else { Verdict::NoEffect }
+                let is_new = self.proxies.entry(proxy).or_default().suspected_by.insert(witness);
+                if is_new { Verdict::Done } else { Verdict::NoEffect }
             }
             Command::Suspected { .. } => Verdict::Invalid,
             Command::SuspicionCleared { proxy, witness } => {
-                let gone = self.proxies.get_mut(&proxy).is_some_and(|of| of.suspected_by.remove(&witness));
-                if gone { Verdict::Done } else { Verdict::NoEffect }
+                let was_suspected =
+                    self.proxies.get_mut(&proxy).is_some_and(|state| state.suspected_by.remove(&witness));
+                if was_suspected { Verdict::Done } else { Verdict::NoEffect }
             }
             Command::WriteOff { proxy, why } => {
                 if why.is_empty() || why.len() > MAX_REASON_BYTES {
                     return Verdict::Invalid;
                 }
-                match self.proxies.get_mut(&proxy).filter(|of| of.written_off.is_none()) {
-                    Some(standing) => {
-                        (standing.away, standing.written_off) = (None, Some(why));
+                match self.proxies.get_mut(&proxy).filter(|state| state.written_off.is_none()) {
+                    Some(state) => {
+                        (state.unavailability, state.written_off) = (None, Some(why));
                         Verdict::Done
                     }
                     None => Verdict::NoEffect,
@@ -291,15 +299,15 @@
     }
 
     /// Moves how a proxy is away to what `next` says, if anything.
-    fn turn(
+    fn transition(
         &mut self,
         proxy: Id,
         next: impl FnOnce(&Option<Unavailability>) -> Option<Option<Unavailability>>,
     ) -> Verdict {
-        let standing = self.proxies.entry(proxy).or_default();
-        match next(&standing.away) {
-            Some(away) => {
-                standing.away = away;
+        let state = self.proxies.entry(proxy).or_default();
+        match next(&state.unavailability) {
+            Some(unavailability) => {
+                state.unavailability = unavailability;
                 Verdict::Done
             }
             None => Verdict::NoEffect,
--- a/outs/src/holder.rs
+++ b/outs/src/holder.rs
@@ -19,11 +19,11 @@
 /// Starts in a row of a release that were not seen well, after which a proxy gives it up.
 pub const MAX_STARTS: u32 = 3;
 /// A grant that is not begun after so many leases is taken back by whoever notices.
-const FORFEIT_LEASES: f64 = 1.0;
+const REVOKE_AFTER_LEASES: f64 = 1.0;
 /// Of others so many times the witnesses that are wanted look at one: some of them may be cut off from it.
-const LOOKERS: usize = 2;
+const OBSERVERS_PER_WITNESS: usize = 2;
 /// One that is back has to answer at its callers' socket so many times in the time that it has to be well.
-const ANSWERS: u32 = 4;
+const REQUIRED_ANSWERS: u32 = 4;
 
 /// What is agreed, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -68,10 +68,10 @@
 
 /// One that is back, as this proxy has seen it since.
 #[derive(Clone, Debug, Default)]
-struct Seen {
-    back: Index,
+struct Observation {
+    returned_at: Index,
     answers: u32,
-    first: f64,
+    first_answer_at: f64,
 }
 
 /// What one proxy has in mind.
@@ -79,47 +79,48 @@
 pub struct Holder {
     /// Grants of others and since when they are known here.
     granted: BTreeMap<Id, (Index, f64)>,
-    seen: BTreeMap<Id, Seen>,
+    observations: BTreeMap<Id, Observation>,
     /// It began; the shell is at it.
-    going: bool,
+    replacing: bool,
 }
 
 /// Whether this proxy is among those that look at another: the same few at all, drawn by both.
-fn looks(own: Id, other: Id, fleet: &[Id], lookers: usize) -> bool {
-    let drawn = |of: Id| {
+fn observes(own: Id, other: Id, fleet: &[Id], observers: usize) -> bool {
+    let draw = |of: Id| {
         let mut hasher = siphasher::sip::SipHasher13::new_with_keys(other, 1);
         hasher.write_u64(of);
         hasher.finish()
     };
-    let mine = drawn(own);
-    fleet.iter().filter(|&&of| of != other && drawn(of) < mine).count() < lookers
+    let own_draw = draw(own);
+    fleet.iter().filter(|&&of| of != other && draw(of) < own_draw).count() < observers
 }
 
 impl Holder {
     /// Those that are back and that this proxy looks at: each is to be asked for a sign of life at its
     /// callers' socket.
-    pub fn to_probe(&self, outs: &Availability, own: &LocalState) -> Vec<(Id, SocketAddr)> {
-        let lookers = LOOKERS * usize::from(outs.grants.witnesses().max(1));
-        let back = outs.grants.unavailabilities().filter_map(|(id, away)| match away {
-            Unavailability::Returned { caller_address, seen_by, .. } if !seen_by.contains(&own.id) => {
-                Some((id, *caller_address))
-            }
-            _ => None,
-        });
-        back.filter(|(id, _)| *id != own.id && looks(own.id, *id, &own.fleet, lookers)).collect()
+    pub fn to_probe(&self, availability: &Availability, own: &LocalState) -> Vec<(Id, SocketAddr)> {
+        let observers = OBSERVERS_PER_WITNESS * usize::from(availability.grants.witnesses().max(1));
+        let returned =
+            availability.grants.unavailabilities().filter_map(|(id, unavailability)| match unavailability {
+                Unavailability::Returned { caller_address, seen_by, .. } if !seen_by.contains(&own.id) => {
+                    Some((id, *caller_address))
+                }
+                _ => None,
+            });
+        returned.filter(|(id, _)| *id != own.id && observes(own.id, *id, &own.fleet, observers)).collect()
     }
 
     /// Somebody answered at that callers' socket.
-    pub fn probe_answered(&mut self, now: f64, outs: &Availability, caller_address: SocketAddr) {
-        for (id, away) in outs.grants.unavailabilities() {
-            if let Unavailability::Returned { since, caller_address: at, .. } = away
+    pub fn probe_answered(&mut self, now: f64, availability: &Availability, caller_address: SocketAddr) {
+        for (id, unavailability) in availability.grants.unavailabilities() {
+            if let Unavailability::Returned { since, caller_address: at, .. } = unavailability
                 && *at == caller_address
             {
-                let seen = self.seen.entry(id).or_default();
-                if seen.back != *since {
-                    *seen = Seen { back: *since, answers: 0, first: now };
+                let observation = self.observations.entry(id).or_default();
+                if observation.returned_at != *since {
+                    *observation = Observation { returned_at: *since, answers: 0, first_answer_at: now };
                 }
-                seen.answers += 1;
+                observation.answers += 1;
             }
         }
     }
@@ -129,36 +130,37 @@
     pub fn turn(
         &mut self,
         now: f64,
-        outs: &Availability,
+        availability: &Availability,
         own: &LocalState,
         terms: &HolderTerms,
         judge: impl FnMut(Index, usize) -> Judgement,
     ) -> (Vec<Command>, Option<Replacement>) {
         let mut wanted = Vec::new();
-        self.own_steps(outs, own, &mut wanted);
-        self.of_others(now, outs, own, terms, &mut wanted);
+        self.own_commands(availability, own, &mut wanted);
+        self.commands_about_others(now, availability, own, terms, &mut wanted);
         if own.is_leader {
-            conduct(outs, own, terms, judge, &mut wanted);
+            leader_commands(availability, own, terms, judge, &mut wanted);
         }
-        let goes = self.goes(outs, own);
-        (wanted, goes)
+        let replacement = self.next_replacement(availability, own);
+        (wanted, replacement)
     }
 
-    fn own_steps(&self, outs: &Availability, own: &LocalState, wanted: &mut Vec<Command>) {
+    fn own_commands(&self, availability: &Availability, own: &LocalState, wanted: &mut Vec<Command>) {
         let proxy = own.id;
-        if let Some(release) = outs.releases.current().filter(|of| of.phase == Phase::Staged)
-            && let Some((_, found)) = own.staged.as_ref().filter(|(sum, _)| *sum == release.sum)
+        if let Some(release) = availability.releases.current().filter(|of| of.phase == Phase::Staged)
+            && let Some((_, check_result)) = own.staged.as_ref().filter(|(sum, _)| *sum == release.sum)
         {
-            let release_is = release.number;
+            let release_number = release.number;
             let known = (release.ready.contains(&proxy), release.rejected.get(&proxy));
-            match found {
+            match check_result {
                 Ok(()) if !known.0 => {
-                    wanted.push(Command::Releases(releases::Command::Ready { release: release_is, proxy }));
+                    wanted
+                        .push(Command::Releases(releases::Command::Ready { release: release_number, proxy }));
                 }
                 Err(why) if known.1 != Some(why) => {
                     let why = why.clone();
                     wanted.push(Command::Releases(releases::Command::Rejected {
-                        release: release_is,
+                        release: release_number,
                         proxy,
                         why,
                     }));
@@ -167,15 +169,17 @@
             }
         }
         if let Some((release, why)) = &own.failed
-            && let Some(of) = outs.releases.current().filter(|of| of.number == *release)
+            && let Some(of) = availability.releases.current().filter(|of| of.number == *release)
             && matches!(of.phase, Phase::Running { .. })
         {
             let (release, why) = (*release, why.clone());
             wanted.push(Command::Releases(releases::Command::Halt { release, why }));
         }
-        match outs.grants.unavailability(proxy) {
+        match availability.grants.unavailability(proxy) {
             None => {
-                if let Some((release, _)) = self.change(outs, own).filter(|_| outs.may_request(proxy)) {
+                if let Some((release, _)) =
+                    self.pending_change(availability, own).filter(|_| availability.may_request(proxy))
+                {
                     let release = release.number;
                     wanted.push(Command::Grants(grants::Command::Request { proxy, release }));
                 }
@@ -184,7 +188,9 @@
                 wanted.push(Command::Grants(grants::Command::Begin { proxy, grant: *grant }));
             }
             // This process has begun nothing: it is the one that came after.
-            Some(Unavailability::Offline { .. }) if !self.going && self.change(outs, own).is_none() => {
+            Some(Unavailability::Offline { .. })
+                if !self.replacing && self.pending_change(availability, own).is_none() =>
+            {
                 let (running_release, caller_address) = (own.running_release, own.caller_address);
                 wanted.push(Command::Grants(grants::Command::Returned {
                     proxy,
@@ -197,67 +203,74 @@
     }
 
     /// The release that it has still to change to, or from, by what is decided.
-    fn change<'a>(&self, outs: &'a Availability, own: &LocalState) -> Option<(&'a Release, bool)> {
+    fn pending_change<'a>(
+        &self,
+        availability: &'a Availability,
+        own: &LocalState,
+    ) -> Option<(&'a Release, bool)> {
         let failed = own.failed.as_ref().map(|(release, _)| *release);
-        let turn = outs.releases.next_change(own.id);
-        turn.filter(|(of, forward)| {
+        let next = availability.releases.next_change(own.id);
+        next.filter(|(of, forward)| {
             *forward != (own.running_release == of.number) && failed != Some(of.number)
         })
     }
 
-    fn goes(&mut self, outs: &Availability, own: &LocalState) -> Option<Replacement> {
-        let out = matches!(outs.grants.unavailability(own.id), Some(Unavailability::Offline { .. }));
-        if !out {
-            self.going = false;
+    fn next_replacement(&mut self, availability: &Availability, own: &LocalState) -> Option<Replacement> {
+        let is_offline =
+            matches!(availability.grants.unavailability(own.id), Some(Unavailability::Offline { .. }));
+        if !is_offline {
+            self.replacing = false;
         }
-        let (release, forward) = self.change(outs, own).filter(|_| out && !self.going)?;
-        self.going = true;
+        let (release, forward) =
+            self.pending_change(availability, own).filter(|_| is_offline && !self.replacing)?;
+        self.replacing = true;
         Some(Replacement { release: release.number, kind: release.kind, sum: release.sum, forward })
     }
 
     /// What it was to become it could not: it is still what it was.
     pub fn replacement_failed(&mut self) {
-        self.going = false;
+        self.replacing = false;
     }
 
-    fn of_others(
+    fn commands_about_others(
         &mut self,
         now: f64,
-        outs: &Availability,
+        availability: &Availability,
         own: &LocalState,
         terms: &HolderTerms,
         wanted: &mut Vec<Command>,
     ) {
-        let lookers = LOOKERS * usize::from(outs.grants.witnesses().max(1));
-        let looked_at = |id: Id| id != own.id && looks(own.id, id, &own.fleet, lookers);
-        for &proxy in own.fleet.iter().filter(|&&id| looked_at(id)) {
+        let observers = OBSERVERS_PER_WITNESS * usize::from(availability.grants.witnesses().max(1));
+        let is_observed = |id: Id| id != own.id && observes(own.id, id, &own.fleet, observers);
+        for &proxy in own.fleet.iter().filter(|&&id| is_observed(id)) {
             let witness = own.id;
-            let missed = outs.grants.suspected_by(proxy).any(|by| by == witness);
-            let silent = own.unreachable.contains(&proxy);
-            if silent && !missed && outs.grants.written_off(proxy).is_none() {
+            let is_suspected = availability.grants.suspected_by(proxy).any(|by| by == witness);
+            let is_unreachable = own.unreachable.contains(&proxy);
+            if is_unreachable && !is_suspected && availability.grants.written_off(proxy).is_none() {
                 wanted.push(Command::Grants(grants::Command::Suspected { proxy, witness }));
-            } else if !silent && missed {
+            } else if !is_unreachable && is_suspected {
                 wanted.push(Command::Grants(grants::Command::SuspicionCleared { proxy, witness }));
             }
         }
         let mut granted = BTreeMap::new();
-        for (id, away) in outs.grants.unavailabilities().filter(|(id, _)| looked_at(*id)) {
-            match away {
+        for (id, unavailability) in availability.grants.unavailabilities().filter(|(id, _)| is_observed(*id))
+        {
+            match unavailability {
                 Unavailability::Granted { grant, .. } => {
                     let known = self.granted.get(&id).filter(|(of, _)| of == grant);
                     let since = known.map_or(now, |(_, since)| *since);
                     granted.insert(id, (*grant, since));
-                    if now - since > FORFEIT_LEASES * terms.lease {
+                    if now - since > REVOKE_AFTER_LEASES * terms.lease {
                         wanted.push(Command::Grants(grants::Command::Revoke { proxy: id, grant: *grant }));
                     }
                 }
                 Unavailability::Returned { since, seen_by, .. } if !seen_by.contains(&own.id) => {
-                    let well = self.seen.get(&id).is_some_and(|seen| {
-                        seen.back == *since
-                            && seen.answers >= ANSWERS
-                            && now - seen.first >= terms.healthy_for
+                    let is_healthy = self.observations.get(&id).is_some_and(|observation| {
+                        observation.returned_at == *since
+                            && observation.answers >= REQUIRED_ANSWERS
+                            && now - observation.first_answer_at >= terms.healthy_for
                     });
-                    if well {
+                    if is_healthy {
                         wanted.push(Command::Grants(grants::Command::Healthy { proxy: id, witness: own.id }));
                     }
                 }
@@ -265,13 +278,13 @@
             }
         }
         self.granted = granted;
-        self.seen.retain(|id, _| outs.grants.unavailability(*id).is_some());
+        self.observations.retain(|id, _| availability.grants.unavailability(*id).is_some());
     }
 }
 
 /// What a leader sees to: that the budget is the settings', and that waves open.
-fn conduct(
-    outs: &Availability,
+fn leader_commands(
+    availability: &Availability,
     own: &LocalState,
     terms: &HolderTerms,
     mut judge: impl FnMut(Index, usize) -> Judgement,
@@ -279,10 +292,12 @@
 ) {
     let max_unavailable = crate::drains::max_unavailable(terms.max_unavailable_fraction, own.fleet.len());
     let witnesses = terms.witnesses;
-    if (outs.grants.max_unavailable(), outs.grants.witnesses()) != (max_unavailable, witnesses) {
+    if (availability.grants.max_unavailable(), availability.grants.witnesses())
+        != (max_unavailable, witnesses)
+    {
         wanted.push(Command::Grants(grants::Command::Budget { max_unavailable, witnesses }));
     }
-    let Some((release, wave)) = outs.releases.next_wave() else { return };
+    let Some((release, wave)) = availability.releases.next_wave() else { return };
     match judge(release, usize::from(wave) - 1) {
         Judgement::Go => wanted.push(Command::Releases(releases::Command::OpenWave { release, wave })),
         Judgement::Halt { why } => wanted.push(Command::Releases(releases::Command::Halt { release, why })),
--- a/outs/src/lib.rs
+++ b/outs/src/lib.rs
@@ -46,25 +46,25 @@
     Releases(releases::Verdict),
 }
 
-fn write(version: u8, what: &impl Serialize) -> Vec<u8> {
-    postcard::to_extend(what, vec![version]).expect("plain data")
+fn encode(version: u8, value: &impl Serialize) -> Vec<u8> {
+    postcard::to_extend(value, vec![version]).expect("plain data")
 }
 
-fn read<'a, T: Deserialize<'a>>(version: u8, bytes: &'a [u8]) -> Option<T> {
+fn decode<'a, T: Deserialize<'a>>(version: u8, bytes: &'a [u8]) -> Option<T> {
     let body = bytes.strip_prefix(&[version])?;
-    let (what, rest) = postcard::take_from_bytes(body).ok()?;
-    rest.is_empty().then_some(what)
+    let (value, rest) = postcard::take_from_bytes(body).ok()?;
+    rest.is_empty().then_some(value)
 }
 
 impl Command {
     pub fn write(&self) -> Vec<u8> {
-        write(VERSION, self)
+        encode(VERSION, self)
     }
 }
 
 impl Verdict {
     pub fn read(bytes: &[u8]) -> Option<Self> {
-        read(VERSION, bytes)
+        decode(VERSION, bytes)
     }
 }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    fn drain(&mut self, index: Index, command: drains::Command) -> drains::Verdict {
+    fn decide_drain(&mut self, index: Index, command: drains::Command) -> drains::Verdict {
         let server = command.server().to_owned();
         let former = self.drains.get(&server).cloned();
         let verdict = self.drains.decide(index, command);
@@ -124,24 +124,24 @@
         verdict
     }
 
-    fn carry_out(&mut self, index: Index, command: Command) -> Verdict {
-        let verdict = self.of_part(index, command);
+    fn apply(&mut self, index: Index, command: Command) -> Verdict {
+        let verdict = self.dispatch(index, command);
         let grants = &self.grants;
         self.releases.finish_if_complete(|proxy| grants.unavailability(proxy).is_some());
         verdict
     }
 
-    fn of_part(&mut self, index: Index, command: Command) -> Verdict {
+    fn dispatch(&mut self, index: Index, command: Command) -> Verdict {
         match command {
-            Command::Drains(command) => Verdict::Drains(self.drain(index, command)),
-            Command::Grants(command) => Verdict::Grants(self.grant(index, command)),
+            Command::Drains(command) => Verdict::Drains(self.decide_drain(index, command)),
+            Command::Grants(command) => Verdict::Grants(self.decide_grant(index, command)),
             Command::Releases(command) => {
-                let halts =
+                let stops_release =
                     matches!(command, releases::Command::Halt { .. } | releases::Command::RollBack { .. });
                 let verdict = self.releases.decide(index, command);
                 // Whoever was let out for it and has not gone stays.
-                if let Some(release) = self.releases.current().filter(|_| halts) {
-                    self.grants.recall(release.number);
+                if let Some(release) = self.releases.current().filter(|_| stops_release) {
+                    self.grants.revoke_unstarted(release.number);
                 }
                 Verdict::Releases(verdict)
             }
@@ -152,26 +152,27 @@
     /// free. Without this all of a wave would ask again and again, and each refusal is a decision that all
     /// are told.
     pub fn may_request(&self, proxy: Id) -> bool {
-        let free =
+        let free_places =
             usize::from(self.grants.max_unavailable()).saturating_sub(self.grants.unavailable().count());
-        let waits = |id: Id| {
-            let there = !self.grants.counts_as_unavailable(id) && self.grants.written_off(id).is_none();
-            there && self.releases.next_change(id).is_some()
+        let may_change = |id: Id| {
+            let is_available =
+                !self.grants.counts_as_unavailable(id) && self.grants.written_off(id).is_none();
+            is_available && self.releases.next_change(id).is_some()
         };
         let order = self.releases.current().into_iter().flat_map(|release| release.waves.iter().flatten());
-        let ahead = order.take_while(|&&id| id != proxy).filter(|&&id| waits(id)).count();
-        self.grants.counts_as_unavailable(proxy) || ahead < free
+        let ahead = order.take_while(|&&id| id != proxy).filter(|&&id| may_change(id)).count();
+        self.grants.counts_as_unavailable(proxy) || ahead < free_places
     }
 
-    fn grant(&mut self, index: Index, command: grants::Command) -> grants::Verdict {
+    fn decide_grant(&mut self, index: Index, command: grants::Command) -> grants::Verdict {
         if let grants::Command::Request { proxy, release } = &command {
-            let turn = self.releases.next_change(*proxy).is_some_and(|(of, _)| of.number == *release);
-            if !turn {
+            let has_turn = self.releases.next_change(*proxy).is_some_and(|(of, _)| of.number == *release);
+            if !has_turn {
                 return grants::Verdict::NoEffect;
             }
         }
         let verdict = self.grants.decide(index, command);
-        if let Some((proxy, running_release)) = self.grants.returned() {
+        if let Some((proxy, running_release)) = self.grants.take_returned() {
             self.releases.set_running(proxy, running_release);
         }
         verdict
@@ -180,12 +181,12 @@
 
 impl Machine for Availability {
     fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, UnsupportedDecision> {
-        let unknown = |what: &str| UnsupportedDecision { index, part, reason: what.to_owned() };
+        let unsupported = |reason: &str| UnsupportedDecision { index, part, reason: reason.to_owned() };
         if part != AVAILABILITY_PART {
-            return Err(unknown("no part of this program: a newer one is wanted"));
+            return Err(unsupported("no part of this program: a newer one is wanted"));
         }
-        let command = read(VERSION, command).ok_or_else(|| unknown("no command of this program"))?;
-        Ok(write(VERSION, &self.carry_out(index, command)))
+        let command = decode(VERSION, command).ok_or_else(|| unsupported("no command of this program"))?;
+        Ok(encode(VERSION, &self.apply(index, command)))
     }
 
     fn root(&self) -> Hash {
@@ -193,16 +194,16 @@
     }
 
     fn state(&self) -> Vec<u8> {
-        write(STATE_VERSION, self)
+        encode(STATE_VERSION, self)
     }
 
     fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), UnsupportedDecision> {
-        let unread = || UnsupportedDecision {
+        let unreadable = || UnsupportedDecision {
             index,
             part: AVAILABILITY_PART,
             reason: "a state of no known form".to_owned(),
         };
-        *self = read(STATE_VERSION, state).ok_or_else(unread)?;
+        *self = decode(STATE_VERSION, state).ok_or_else(unreadable)?;
         self.feed.reset();
         Ok(())
     }
--- a/outs/src/releases.rs
+++ b/outs/src/releases.rs
@@ -19,7 +19,7 @@
 use crate::drains::{MAX_NAME_BYTES, MAX_REASON_BYTES};
 
 /// The parts of all proxies that the waves go up to: the first is one proxy, the last all.
-const WAVES: [f64; 4] = [0.0, 0.01, 0.1, 1.0];
+const WAVE_FRACTIONS: [f64; 4] = [0.0, 0.01, 0.1, 1.0];
 
 /// What is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -141,10 +141,10 @@
     pub fn next_change(&self, proxy: Id) -> Option<(&Release, bool)> {
         let release = self.current.as_ref()?;
         let wave = release.wave_of(proxy)?;
-        let runs = self.running_release(proxy) == release.number;
+        let is_running = self.running_release(proxy) == release.number;
         match release.phase {
-            Phase::Running { wave: open } if wave <= open && !runs => Some((release, true)),
-            Phase::GoingBack if runs => {
+            Phase::Running { wave: open } if wave <= open && !is_running => Some((release, true)),
+            Phase::GoingBack if is_running => {
                 let newest = release
                     .waves
                     .iter()
@@ -174,20 +174,24 @@
     }
 
     /// It is done when all run it, or, going back, none does, nor is one away that may come back with it.
-    pub(crate) fn finish_if_complete(&mut self, away: impl Fn(Id) -> bool) {
+    pub(crate) fn finish_if_complete(&mut self, is_unavailable: impl Fn(Id) -> bool) {
         let Some(release) = &self.current else { return };
-        let mut of = release.waves.iter().flatten().map(|&id| self.running_release(id) == release.number);
-        let over = match release.phase {
-            Phase::Running { .. } => of.all(|runs| runs),
-            Phase::GoingBack => !of.any(|runs| runs) && !release.waves.iter().flatten().any(|&id| away(id)),
+        let mut runs_release =
+            release.waves.iter().flatten().map(|&id| self.running_release(id) == release.number);
+        let is_complete = match release.phase {
+            Phase::Running { .. } => runs_release.all(|runs| runs),
+            Phase::GoingBack => {
+                !runs_release.any(|runs| runs)
+                    && !release.waves.iter().flatten().any(|&id| is_unavailable(id))
+            }
             _ => false,
         };
-        if let Some(release) = self.current.as_mut().filter(|_| over) {
+        if let Some(release) = self.current.as_mut().filter(|_| is_complete) {
             release.phase = Phase::Done;
         }
     }
 
-    pub fn decide(&mut self, decided: Index, command: Command) -> Verdict {
+    pub fn decide(&mut self, decision: Index, command: Command) -> Verdict {
         if let Command::Stage { kind, sum, by, why, unix_ms } = command {
             if let Some(release) = self.current.as_ref().filter(|release| !release.is_finished()) {
                 return Verdict::AnotherInProgress { release: release.number };
@@ -197,16 +201,26 @@
             }
             let (ready, rejected, waves) = (BTreeSet::new(), BTreeMap::new(), Vec::new());
             let phase = Phase::Staged;
-            self.current =
-                Some(Release { number: decided, kind, sum, by, why, unix_ms, phase, ready, rejected, waves });
+            self.current = Some(Release {
+                number: decision,
+                kind,
+                sum,
+                by,
+                why,
+                unix_ms,
+                phase,
+                ready,
+                rejected,
+                waves,
+            });
             return Verdict::Done;
         }
-        self.of_current(command)
+        self.decide_current(command)
     }
 
-    fn of_current(&mut self, command: Command) -> Verdict {
+    fn decide_current(&mut self, command: Command) -> Verdict {
         let Some(current) = &mut self.current else { return Verdict::NoEffect };
-        let named = match &command {
+        let release_number = match &command {
             Command::Stage { .. } => return Verdict::Invalid,
             Command::Ready { release, .. }
             | Command::Rejected { release, .. }
@@ -215,7 +229,7 @@
             | Command::Halt { release, .. }
             | Command::RollBack { release } => *release,
         };
-        if named != current.number {
+        if release_number != current.number {
             return Verdict::NoEffect;
         }
         match (command, current.phase.clone()) {
@@ -280,20 +294,20 @@
 
 /// Who is in which wave.
 fn waves(number: Index, ready: &BTreeSet<Id>) -> Vec<Vec<Id>> {
-    let drawn = |id: Id| {
+    let draw = |id: Id| {
         let mut hasher = siphasher::sip::SipHasher13::new_with_keys(number, 0);
         hasher.write_u64(id);
         hasher.finish()
     };
     let mut order: Vec<Id> = ready.iter().copied().collect();
-    order.sort_unstable_by_key(|&id| (drawn(id), id));
+    order.sort_unstable_by_key(|&id| (draw(id), id));
     let mut waves = Vec::new();
-    let mut taken = 0;
-    for part in WAVES {
-        let upto = ((part * order.len() as f64).ceil() as usize).max(taken + 1).min(order.len());
-        if upto > taken {
-            waves.push(order[taken..upto].to_vec());
-            taken = upto;
+    let mut assigned = 0;
+    for fraction in WAVE_FRACTIONS {
+        let end = ((fraction * order.len() as f64).ceil() as usize).max(assigned + 1).min(order.len());
+        if end > assigned {
+            waves.push(order[assigned..end].to_vec());
+            assigned = end;
         }
     }
     waves
--- a/outs/tests/distributed.rs
+++ b/outs/tests/distributed.rs
@@ -5,91 +5,91 @@
 use outs::drains::{self, Command, Notice};
 use outs::{AVAILABILITY_PART, Availability, Changes};
 
-fn carry_out(outs: &mut Availability, index: u64, command: Command) {
-    outs.decide(index, AVAILABILITY_PART, &outs::Command::Drains(command).write()).expect("known");
+fn decide(availability: &mut Availability, index: u64, command: Command) {
+    availability.decide(index, AVAILABILITY_PART, &outs::Command::Drains(command).write()).expect("known");
 }
 
-fn drain(outs: &mut Availability, index: u64, server: &str, pool: u16) {
+fn drain(availability: &mut Availability, index: u64, server: &str, pool: u16) {
     let (by, why) = ("p1".to_owned(), "disk".to_owned());
     let (server, max_unavailable, listed_unavailable) = (server.to_owned(), 2, 0);
-    carry_out(
-        outs,
+    decide(
+        availability,
         index,
         Command::Drain { server, pool, max_unavailable, listed_unavailable, by, why, unix_ms: 7 },
     );
 }
 
-fn undrain(outs: &mut Availability, index: u64, server: &str) {
-    carry_out(outs, index, Command::Undrain { server: server.to_owned() });
+fn undrain(availability: &mut Availability, index: u64, server: &str) {
+    decide(availability, index, Command::Undrain { server: server.to_owned() });
 }
 
 /// Changes as scope, server, version and whether it is drained.
-fn taken(outs: &mut Availability) -> Vec<(Scope, String, u64, bool)> {
-    let Changes::Since(changes) = outs.take_changes() else { panic!("all anew") };
-    let row = |change: distribution::Change| {
+fn changes(availability: &mut Availability) -> Vec<(Scope, String, u64, bool)> {
+    let Changes::Since(changes) = availability.take_changes() else { panic!("all anew") };
+    let summary = |change: distribution::Change| {
         let server = drains::server_of(&change.key).expect("a drain").to_owned();
         (change.scope, server, change.version, change.value.is_some())
     };
-    changes.into_iter().map(row).collect()
+    changes.into_iter().map(summary).collect()
 }
 
 #[test]
 fn a_drain_stands_in_the_scope_of_its_pool_until_it_is_taken_back() {
-    let mut outs = Availability::default();
-    let empty = outs.root();
-    drain(&mut outs, 4, "a", 3);
-    drain(&mut outs, 5, "b", 70);
+    let mut availability = Availability::default();
+    let empty = availability.root();
+    drain(&mut availability, 4, "a", 3);
+    drain(&mut availability, 5, "b", 70);
     let key = |server: &str| Key::new(format!("drain/{server}")).expect("fits");
-    let (version, value) = outs.scoped().get(Scope::Service(3), &key("a")).expect("there");
+    let (version, value) = availability.scoped().get(Scope::Service(3), &key("a")).expect("there");
     assert_eq!(version, 4);
     assert_eq!(Notice::read(value), Some(Notice { by: "p1".into(), why: "disk".into(), unix_ms: 7 }));
-    assert!(outs.scoped().get(Scope::Service(70), &key("b")).is_some());
-    assert_ne!(outs.root(), empty);
-    undrain(&mut outs, 9, "a");
-    assert_eq!(outs.scoped().get(Scope::Service(3), &key("a")), None);
-    assert_eq!(outs.scoped().summary(Scope::Service(3)).version, 9, "empty, and changed last by 9");
+    assert!(availability.scoped().get(Scope::Service(70), &key("b")).is_some());
+    assert_ne!(availability.root(), empty);
+    undrain(&mut availability, 9, "a");
+    assert_eq!(availability.scoped().get(Scope::Service(3), &key("a")), None);
+    assert_eq!(availability.scoped().summary(Scope::Service(3)).version, 9, "empty, and changed last by 9");
 }
 
 #[test]
 fn changes_are_handed_on_once_in_their_order_and_only_what_changed() {
-    let mut outs = Availability::default();
-    drain(&mut outs, 4, "a", 3);
-    drain(&mut outs, 5, "a", 3);
-    undrain(&mut outs, 6, "nobody");
-    drain(&mut outs, 7, "b", 3);
-    undrain(&mut outs, 8, "a");
+    let mut availability = Availability::default();
+    drain(&mut availability, 4, "a", 3);
+    drain(&mut availability, 5, "a", 3);
+    undrain(&mut availability, 6, "nobody");
+    drain(&mut availability, 7, "b", 3);
+    undrain(&mut availability, 8, "a");
     let (service, name) = (Scope::Service(3), |name: &str| name.to_owned());
     let all = [(service, name("a"), 4, true), (service, name("b"), 7, true), (service, name("a"), 8, false)];
-    assert_eq!(taken(&mut outs), all);
-    assert_eq!(taken(&mut outs), []);
+    assert_eq!(changes(&mut availability), all);
+    assert_eq!(changes(&mut availability), []);
 }
 
 #[test]
 fn after_a_snapshot_and_where_nobody_takes_them_for_long_all_is_to_be_taken_anew() {
-    let mut outs = Availability::default();
-    drain(&mut outs, 4, "a", 3);
+    let mut availability = Availability::default();
+    drain(&mut availability, 4, "a", 3);
     let mut other = Availability::default();
-    other.restore(4, &outs.state()).expect("its own form");
-    assert_eq!((&other, other.root()), (&outs, outs.root()));
+    other.restore(4, &availability.state()).expect("its own form");
+    assert_eq!((&other, other.root()), (&availability, availability.root()));
     assert_eq!(other.take_changes(), Changes::Reset);
     undrain(&mut other, 5, "a");
-    assert_eq!(taken(&mut other).len(), 1);
+    assert_eq!(changes(&mut other).len(), 1);
     for index in 0..3_000 {
-        drain(&mut outs, 10 + 2 * index, "b", 3);
-        undrain(&mut outs, 11 + 2 * index, "b");
+        drain(&mut availability, 10 + 2 * index, "b", 3);
+        undrain(&mut availability, 11 + 2 * index, "b");
     }
-    assert_eq!(outs.take_changes(), Changes::Reset);
-    assert_eq!(taken(&mut outs), []);
+    assert_eq!(availability.take_changes(), Changes::Reset);
+    assert_eq!(changes(&mut availability), []);
 }
 
 #[test]
 fn what_a_command_would_come_to_can_be_tried_on_a_copy_without_an_index() {
-    let mut outs = Availability::default();
-    drain(&mut outs, 4, "a", 3);
-    let mut copy = outs.clone();
+    let mut availability = Availability::default();
+    drain(&mut availability, 4, "a", 3);
+    let mut copy = availability.clone();
     drain(&mut copy, 0, "b", 3);
     assert!(copy.drains.get("b").is_some());
-    assert_eq!(outs.drains.get("b"), None);
+    assert_eq!(availability.drains.get("b"), None);
 }
 
 #[test]
--- a/outs/tests/drains.rs
+++ b/outs/tests/drains.rs
@@ -22,35 +22,35 @@
     Command::Undrain { server: server.to_owned() }
 }
 
-fn written(command: &Command) -> Vec<u8> {
+fn encoded(command: &Command) -> Vec<u8> {
     outs::Command::Drains(command.clone()).write()
 }
 
-fn told(outs: &mut Availability, command: &Command) -> Verdict {
-    let told = outs.decide(5, AVAILABILITY_PART, &written(command)).expect("known");
-    let Some(outs::Verdict::Drains(verdict)) = outs::Verdict::read(&told) else { panic!("{told:?}") };
+fn decide(availability: &mut Availability, command: &Command) -> Verdict {
+    let answer = availability.decide(5, AVAILABILITY_PART, &encoded(command)).expect("known");
+    let Some(outs::Verdict::Drains(verdict)) = outs::Verdict::read(&answer) else { panic!("{answer:?}") };
     verdict
 }
 
 #[test]
 fn a_pool_has_no_more_out_than_it_may_by_drains_and_list_together() {
-    let mut outs = Availability::default();
-    assert_eq!(told(&mut outs, &drain("a", 0, 2, 0)), Verdict::Done);
-    assert_eq!(told(&mut outs, &drain("a", 0, 2, 0)), Verdict::Unchanged);
+    let mut availability = Availability::default();
+    assert_eq!(decide(&mut availability, &drain("a", 0, 2, 0)), Verdict::Done);
+    assert_eq!(decide(&mut availability, &drain("a", 0, 2, 0)), Verdict::Unchanged);
     // Asked for elsewhere at the same time, by one that knew of no other.
     assert_eq!(
-        told(&mut outs, &drain("b", 0, 2, 1)),
+        decide(&mut availability, &drain("b", 0, 2, 1)),
         Verdict::OverBudget { unavailable: 3, max_unavailable: 2, drained: vec!["a".into()] }
     );
-    assert_eq!(told(&mut outs, &drain("c", 1, 1, 0)), Verdict::Done, "another pool");
-    assert_eq!(told(&mut outs, &drain("b", 0, 2, 0)), Verdict::Done);
-    assert_eq!(told(&mut outs, &undrain("a")), Verdict::Done);
-    assert_eq!(told(&mut outs, &undrain("a")), Verdict::Unchanged);
-    let left: Vec<&str> = outs.drains.iter().map(|(server, _)| server).collect();
-    assert_eq!(left, ["b", "c"]);
+    assert_eq!(decide(&mut availability, &drain("c", 1, 1, 0)), Verdict::Done, "another pool");
+    assert_eq!(decide(&mut availability, &drain("b", 0, 2, 0)), Verdict::Done);
+    assert_eq!(decide(&mut availability, &undrain("a")), Verdict::Done);
+    assert_eq!(decide(&mut availability, &undrain("a")), Verdict::Unchanged);
+    let remaining: Vec<&str> = availability.drains.iter().map(|(server, _)| server).collect();
+    assert_eq!(remaining, ["b", "c"]);
     let mut other = Availability::default();
-    other.restore(9, &outs.state()).expect("its own form");
-    assert_eq!(other, outs);
+    other.restore(9, &availability.state()).expect("its own form");
+    assert_eq!(other, availability);
 }
 
 #[rstest]
@@ -59,11 +59,11 @@
     server: "a".into(), pool: 0, max_unavailable: 2, listed_unavailable: 0, by: "p".into(), why: "x".repeat(MAX_REASON_BYTES + 1), unix_ms: 0,
 })]
 fn what_is_too_long_or_empty_is_refused(#[case] command: Command) {
-    assert_eq!(told(&mut Availability::default(), &command), Verdict::Invalid);
+    assert_eq!(decide(&mut Availability::default(), &command), Verdict::Invalid);
 }
 
 #[rstest]
-#[case::another_part(9, &written(&drain("a", 0, 1, 0)))]
+#[case::another_part(9, &encoded(&drain("a", 0, 1, 0)))]
 #[case::another_version(AVAILABILITY_PART, &[2, 0])]
 #[case::rubbish(AVAILABILITY_PART, &[1, 9, 9])]
 fn what_this_program_does_not_know_is_an_error(#[case] part: u8, #[case] command: &[u8]) {
@@ -75,6 +75,10 @@
 #[case(0.25, 12, 3)]
 #[case(0.25, 3, 1)]
 #[case(0.0, 3, 1)]
-fn the_part_that_may_be_out_is_one_at_least(#[case] part: f64, #[case] servers: usize, #[case] most: u16) {
-    assert_eq!(max_unavailable(part, servers), most);
+fn the_part_that_may_be_out_is_one_at_least(
+    #[case] part: f64,
+    #[case] servers: usize,
+    #[case] expected: u16,
+) {
+    assert_eq!(max_unavailable(part, servers), expected);
 }
--- a/outs/tests/evidence.rs
+++ b/outs/tests/evidence.rs
@@ -12,25 +12,25 @@
 
 /// Conversations of a proxy in a span, each served with its proxy's own chance, worse by some part where it
 /// runs the release.
-fn report(chance: &mut Pcg64Mcg, proxy: Id, traffic: f64, worse: f64) -> Report {
+fn report(rng: &mut Pcg64Mcg, proxy: Id, traffic: f64, worse: f64) -> Report {
     let own = 0.85 + 0.1 * (proxy as f64 * 0.618).fract();
-    let conversations = (traffic * (0.5 + chance.random::<f64>())) as u16;
-    let earned = (0..conversations).filter(|_| chance.random::<f64>() < own * (1.0 - worse)).count();
+    let conversations = (traffic * (0.5 + rng.random::<f64>())) as u16;
+    let earned = (0..conversations).filter(|_| rng.random::<f64>() < own * (1.0 - worse)).count();
     let earned = earned as f32 / f32::from(conversations.max(1));
-    let quantile = (0.2 + 0.1 * chance.random::<f64>()) as f32;
+    let quantile = (0.2 + 0.1 * rng.random::<f64>()) as f32;
     Report { conversations, earned, failed: 1.0 - earned, setup_quantile: (quantile * 50.0).ceil() / 50.0 }
 }
 
 /// Plays a release through its waves; gives the wave after which it was halted.
 fn play(seed: u64, traffic: f64, worse: f64) -> Option<usize> {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut evidence = Evidence::default();
     let mut span = 0;
     let mut pass = |evidence: &mut Evidence, released: u64, span: &mut u64| {
         *span += 1;
         for proxy in 0..PROXIES {
             let worse = if proxy < released { worse } else { 0.0 };
-            evidence.record(*span, proxy, report(&mut chance, proxy, traffic, worse));
+            evidence.record(*span, proxy, report(&mut rng, proxy, traffic, worse));
         }
     };
     (0..40).for_each(|_| pass(&mut evidence, 0, &mut span));
--- a/outs/tests/grants.rs
+++ b/outs/tests/grants.rs
@@ -10,13 +10,13 @@
 use rstest::rstest;
 
 const PROXIES: [Id; 4] = [1, 2, 3, 4];
-const MOST: u16 = 2;
+const MAX_UNAVAILABLE: u16 = 2;
 const WITNESSES: u16 = 2;
 
-fn fresh() -> Grants {
+fn new_grants() -> Grants {
     let mut grants = Grants::default();
     assert_eq!(
-        grants.decide(1, Command::Budget { max_unavailable: MOST, witnesses: WITNESSES }),
+        grants.decide(1, Command::Budget { max_unavailable: MAX_UNAVAILABLE, witnesses: WITNESSES }),
         Verdict::Done
     );
     grants
@@ -29,12 +29,12 @@
     }
 }
 
-fn back(proxy: Id) -> Command {
+fn returned(proxy: Id) -> Command {
     Command::Returned { proxy, running_release: 7, caller_address: ([127, 0, 0, 1], 4569).into() }
 }
 
 /// All that can be said next, by anybody, in time or late.
-fn all(grants: &Grants) -> Vec<Command> {
+fn possible_commands(grants: &Grants) -> Vec<Command> {
     let mut all = Vec::new();
     for proxy in PROXIES {
         let grant = grant(grants, proxy);
@@ -43,7 +43,7 @@
             Command::Begin { proxy, grant },
             Command::Begin { proxy, grant: 2 },
             Command::Revoke { proxy, grant },
-            back(proxy),
+            returned(proxy),
         ]);
         for witness in [1, 2, 3] {
             all.extend([
@@ -63,7 +63,7 @@
         (before.unavailable().collect(), after.unavailable().collect());
     // Losses are not asked for: only by them the sum goes over, and then nothing is granted.
     let granted = matches!(command, Command::Request { .. }) && *verdict == Verdict::Done;
-    assert!(!granted || is.len() <= usize::from(MOST), "{command:?} with {was:?} out");
+    assert!(!granted || is.len() <= usize::from(MAX_UNAVAILABLE), "{command:?} with {was:?} out");
     for proxy in PROXIES {
         // Out comes only of a grant, and the one that is held.
         let begins = matches!(after.unavailability(proxy), Some(Unavailability::Offline { .. }));
@@ -75,27 +75,28 @@
         }
         // In again only by witnesses, by giving the grant back, or by an operator's word.
         if was.contains(&proxy) && !is.contains(&proxy) {
-            let by = matches!(
+            let allowed = matches!(
                 command,
                 Command::Healthy { .. }
                     | Command::SuspicionCleared { .. }
                     | Command::Revoke { .. }
                     | Command::WriteOff { .. }
             );
-            assert!(by, "{command:?}");
+            assert!(allowed, "{command:?}");
         }
     }
 }
 
 /// Whatever the state, words that are sure to come in the end bring all proxies in.
-fn comes_in(mut grants: Grants) {
+fn assert_can_return(mut grants: Grants) {
     for proxy in PROXIES {
         let grant = grant(&grants, proxy);
-        let mut way = vec![Command::Revoke { proxy, grant }, back(proxy)];
+        let mut commands = vec![Command::Revoke { proxy, grant }, returned(proxy)];
         for witness in PROXIES {
-            way.extend([Command::SuspicionCleared { proxy, witness }, Command::Healthy { proxy, witness }]);
+            commands
+                .extend([Command::SuspicionCleared { proxy, witness }, Command::Healthy { proxy, witness }]);
         }
-        for command in way {
+        for command in commands {
             grants.decide(99, command);
         }
         assert!(!grants.counts_as_unavailable(proxy), "{proxy}: {grants:?}");
@@ -104,35 +105,35 @@
 
 #[test]
 fn in_all_orders_of_four_decisions_the_sum_holds_and_there_is_a_way_back() {
-    let mut known = HashSet::new();
-    let mut next = VecDeque::from([(fresh(), 2)]);
+    let mut visited = HashSet::new();
+    let mut next = VecDeque::from([(new_grants(), 2)]);
     while let Some((grants, decided)) = next.pop_front() {
-        for command in all(&grants) {
+        for command in possible_commands(&grants) {
             let mut after = grants.clone();
             let verdict = after.decide(decided, command.clone());
             check(&grants, &command, &verdict, &after);
-            if known.insert(format!("{after:?}")) && decided < 5 {
-                comes_in(after.clone());
+            if visited.insert(format!("{after:?}")) && decided < 5 {
+                assert_can_return(after.clone());
                 next.push_back((after, decided + 1));
             }
         }
     }
-    assert!(known.len() > 5_000, "{}", known.len());
+    assert!(visited.len() > 5_000, "{}", visited.len());
 }
 
 #[test]
 fn long_random_orders_hold_too() {
     for seed in 0..200 {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let mut grants = fresh();
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let mut grants = new_grants();
         for decided in 2..200 {
-            let all = all(&grants);
-            let command = all[chance.random_range(0..all.len())].clone();
+            let all = possible_commands(&grants);
+            let command = all[rng.random_range(0..all.len())].clone();
             let before = grants.clone();
             let verdict = grants.decide(decided, command.clone());
             check(&before, &command, &verdict, &grants);
         }
-        comes_in(grants);
+        assert_can_return(grants);
     }
 }
 
@@ -146,15 +147,15 @@
     &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, Command::Suspected { proxy: 1, witness: 2 }], true
 )]
 #[case::back_but_seen_by_one_alone(
-    &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, back(1),
+    &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, returned(1),
       Command::Healthy { proxy: 1, witness: 2 }, Command::Healthy { proxy: 1, witness: 2 }], true
 )]
 #[case::its_own_word_counts_nothing(
-    &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, back(1),
+    &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, returned(1),
       Command::Healthy { proxy: 1, witness: 1 }, Command::Healthy { proxy: 1, witness: 2 }], true
 )]
 #[case::seen_by_enough(
-    &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, back(1),
+    &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, returned(1),
       Command::Healthy { proxy: 1, witness: 2 }, Command::Healthy { proxy: 1, witness: 3 }], false
 )]
 #[case::written_off(
@@ -164,7 +165,7 @@
 #[case::one_misses_it(&[Command::Suspected { proxy: 1, witness: 2 }], false)]
 #[case::enough_miss_it(&[Command::Suspected { proxy: 1, witness: 2 }, Command::Suspected { proxy: 1, witness: 3 }], true)]
 fn a_place_is_taken_up(#[case] commands: &[Command], #[case] counts: bool) {
-    let mut grants = fresh();
+    let mut grants = new_grants();
     for (command, decided) in commands.iter().zip(2..) {
         grants.decide(decided, command.clone());
     }
@@ -173,7 +174,7 @@
 
 #[test]
 fn while_losses_use_the_budget_up_none_goes() {
-    let mut grants = fresh();
+    let mut grants = new_grants();
     for (lost, witness) in [(3, 1), (3, 2), (4, 1), (4, 2)] {
         grants.decide(2, Command::Suspected { proxy: lost, witness });
     }
--- a/outs/tests/releases.rs
+++ b/outs/tests/releases.rs
@@ -11,8 +11,8 @@
 const PROXIES: [Id; 3] = [1, 2, 3];
 const RELEASE: u64 = 2;
 
-fn told(outs: &mut Availability, index: u64, command: &Command) -> Verdict {
-    Verdict::read(&outs.decide(index, AVAILABILITY_PART, &command.write()).expect("known"))
+fn decide(availability: &mut Availability, index: u64, command: &Command) -> Verdict {
+    Verdict::read(&availability.decide(index, AVAILABILITY_PART, &command.write()).expect("known"))
         .expect("a verdict")
 }
 
@@ -30,27 +30,32 @@
 }
 
 fn staged() -> Availability {
-    let mut outs = Availability::default();
-    told(&mut outs, 1, &Command::Grants(grants::Command::Budget { max_unavailable: 1, witnesses: 1 }));
-    told(&mut outs, RELEASE, &stage());
-    outs
+    let mut availability = Availability::default();
+    decide(
+        &mut availability,
+        1,
+        &Command::Grants(grants::Command::Budget { max_unavailable: 1, witnesses: 1 }),
+    );
+    decide(&mut availability, RELEASE, &stage());
+    availability
 }
 
 /// One that is out runs the release, or what ran before it.
-fn all(outs: &Availability) -> Vec<Command> {
-    let mut all = vec![
+fn possible_commands(availability: &Availability) -> Vec<Command> {
+    let mut commands = vec![
         Command::Releases(releases::Command::Halt { release: RELEASE, why: "bad".into() }),
         Command::Releases(releases::Command::RollBack { release: RELEASE }),
         start(),
     ];
-    all.extend((0..3).map(|wave| Command::Releases(releases::Command::OpenWave { release: RELEASE, wave })));
+    commands
+        .extend((0..3).map(|wave| Command::Releases(releases::Command::OpenWave { release: RELEASE, wave })));
     for proxy in PROXIES {
-        let grant = match outs.grants.unavailability(proxy) {
+        let grant = match availability.grants.unavailability(proxy) {
             Some(Unavailability::Granted { grant, .. }) => *grant,
             _ => 0,
         };
         let (witness, caller_address) = (proxy % 3 + 1, ([127, 0, 0, 1], 4569).into());
-        all.extend([
+        commands.extend([
             Command::Grants(grants::Command::Request { proxy, release: RELEASE }),
             Command::Grants(grants::Command::Begin { proxy, grant }),
             Command::Grants(grants::Command::Returned { proxy, running_release: RELEASE, caller_address }),
@@ -58,17 +63,17 @@
             Command::Grants(grants::Command::Healthy { proxy, witness }),
         ]);
     }
-    all
+    commands
 }
 
-fn running(outs: &Availability) -> usize {
-    PROXIES.iter().filter(|&&proxy| outs.releases.running_release(proxy) == RELEASE).count()
+fn running_count(availability: &Availability) -> usize {
+    PROXIES.iter().filter(|&&proxy| availability.releases.running_release(proxy) == RELEASE).count()
 }
 
 /// Words that are sure to come in the end: back it goes, and nobody runs it any more.
-fn goes_back(mut outs: Availability) {
+fn assert_rolls_back(mut availability: Availability) {
     let back = Command::Releases(releases::Command::RollBack { release: RELEASE });
-    told(&mut outs, 50, &back);
+    decide(&mut availability, 50, &back);
     for round in 0..8 {
         for proxy in PROXIES {
             let grant = 100 + round;
@@ -79,35 +84,35 @@
                 grants::Command::Returned { proxy, running_release: 0, caller_address },
                 grants::Command::Healthy { proxy, witness },
             ] {
-                told(&mut outs, grant, &Command::Grants(command));
+                decide(&mut availability, grant, &Command::Grants(command));
             }
         }
     }
-    assert_eq!(running(&outs), 0, "{outs:?}");
-    let over = outs.releases.current().expect("staged").is_finished();
-    assert!(over && outs.grants.unavailable().count() == 0, "{outs:?}");
+    assert_eq!(running_count(&availability), 0, "{availability:?}");
+    let is_finished = availability.releases.current().expect("staged").is_finished();
+    assert!(is_finished && availability.grants.unavailable().count() == 0, "{availability:?}");
 }
 
 #[test]
 fn in_all_orders_nobody_goes_before_its_wave_or_after_a_halt_and_the_way_back_ends() {
-    let mut outs = staged();
-    PROXIES
-        .iter()
-        .for_each(|&proxy| assert!(matches!(told(&mut outs, 3, &ready(proxy)), Verdict::Releases(_))));
-    let mut known = HashSet::new();
-    let mut next = VecDeque::from([(outs, 4)]);
-    while let Some((outs, index)) = next.pop_front() {
-        for command in all(&outs) {
-            let mut after = outs.clone();
-            let verdict = told(&mut after, index, &command);
+    let mut availability = staged();
+    PROXIES.iter().for_each(|&proxy| {
+        assert!(matches!(decide(&mut availability, 3, &ready(proxy)), Verdict::Releases(_)))
+    });
+    let mut visited = HashSet::new();
+    let mut next = VecDeque::from([(availability, 4)]);
+    while let Some((availability, index)) = next.pop_front() {
+        for command in possible_commands(&availability) {
+            let mut after = availability.clone();
+            let verdict = decide(&mut after, index, &command);
             if let Command::Grants(grants::Command::Request { proxy, .. }) = command
                 && verdict == Verdict::Grants(grants::Verdict::Done)
             {
-                let release = outs.releases.current().expect("staged");
+                let release = availability.releases.current().expect("staged");
                 let wave = release.wave_of(proxy).expect("started");
                 let open = match release.phase {
                     Phase::Running { wave: open } => wave <= open,
-                    Phase::GoingBack => outs.releases.running_release(proxy) == RELEASE,
+                    Phase::GoingBack => availability.releases.running_release(proxy) == RELEASE,
                     _ => false,
                 };
                 assert!(open, "{command:?} in {release:?}");
@@ -116,64 +121,78 @@
             let granted = after
                 .grants
                 .unavailabilities()
-                .any(|(_, away)| matches!(away, Unavailability::Granted { .. }));
+                .any(|(_, unavailability)| matches!(unavailability, Unavailability::Granted { .. }));
             assert!(!(halted && granted), "let out though halted: {command:?}");
-            if known.insert(format!("{after:?}")) {
-                goes_back(after.clone());
+            if visited.insert(format!("{after:?}")) {
+                assert_rolls_back(after.clone());
                 next.push_back((after, index + 1));
             }
         }
     }
-    assert!(known.len() > 60, "all states that there are: {}", known.len());
+    assert!(visited.len() > 60, "all states that there are: {}", visited.len());
 }
 
 #[test]
 fn all_have_to_be_ready_and_one_release_goes_at_a_time() {
-    let mut outs = staged();
-    told(&mut outs, 3, &ready(1));
-    let unfit =
+    let mut availability = staged();
+    decide(&mut availability, 3, &ready(1));
+    let rejected =
         Command::Releases(releases::Command::Rejected { release: RELEASE, proxy: 2, why: "no disk".into() });
-    told(&mut outs, 4, &unfit);
-    told(&mut outs, 5, &ready(3));
-    let told_of = |outs: &mut Availability, command: &Command| match told(outs, 6, command) {
-        Verdict::Releases(verdict) => verdict,
-        other => panic!("{other:?}"),
-    };
-    assert_eq!(told_of(&mut outs, &start()), releases::Verdict::NotReady { ready: 2, proxies: 3 });
-    assert_eq!(told_of(&mut outs, &stage()), releases::Verdict::AnotherInProgress { release: RELEASE });
-    told(&mut outs, 7, &ready(2));
-    assert_eq!(told_of(&mut outs, &start()), releases::Verdict::Done);
-    let waves = &outs.releases.current().expect("staged").waves;
+    decide(&mut availability, 4, &rejected);
+    decide(&mut availability, 5, &ready(3));
+    let decide_release =
+        |availability: &mut Availability, command: &Command| match decide(availability, 6, command) {
+            Verdict::Releases(verdict) => verdict,
+            other => panic!("{other:?}"),
+        };
+    assert_eq!(
+        decide_release(&mut availability, &start()),
+        releases::Verdict::NotReady { ready: 2, proxies: 3 }
+    );
+    assert_eq!(
+        decide_release(&mut availability, &stage()),
+        releases::Verdict::AnotherInProgress { release: RELEASE }
+    );
+    decide(&mut availability, 7, &ready(2));
+    assert_eq!(decide_release(&mut availability, &start()), releases::Verdict::Done);
+    let waves = &availability.releases.current().expect("staged").waves;
     assert_eq!(waves.iter().map(Vec::len).collect::<Vec<_>>(), [1, 1, 1], "{waves:?}");
     let mut other = Availability::default();
-    other.restore(9, &outs.state()).expect("its own form");
-    assert_eq!(other, outs);
+    other.restore(9, &availability.state()).expect("its own form");
+    assert_eq!(other, availability);
 }
 
 #[test]
 fn of_a_wave_only_so_many_ask_as_there_are_places() {
     const ALL: u64 = 40;
-    let mut outs = Availability::default();
-    told(&mut outs, 1, &Command::Grants(grants::Command::Budget { max_unavailable: 4, witnesses: 1 }));
-    told(&mut outs, RELEASE, &stage());
-    (0..ALL).for_each(|proxy| assert!(matches!(told(&mut outs, 3, &ready(proxy)), Verdict::Releases(_))));
-    told(
-        &mut outs,
+    let mut availability = Availability::default();
+    decide(
+        &mut availability,
+        1,
+        &Command::Grants(grants::Command::Budget { max_unavailable: 4, witnesses: 1 }),
+    );
+    decide(&mut availability, RELEASE, &stage());
+    (0..ALL).for_each(|proxy| {
+        assert!(matches!(decide(&mut availability, 3, &ready(proxy)), Verdict::Releases(_)))
+    });
+    decide(
+        &mut availability,
         4,
         &Command::Releases(releases::Command::Start { release: RELEASE, proxies: ALL as u16 }),
     );
-    let (mut index, mut asked) = (5, 0);
+    let (mut index, mut requested) = (5, 0);
     for _ in 0..200 {
         let next: Vec<Id> = (0..ALL)
             .filter(|&proxy| {
-                outs.releases.next_change(proxy).is_some() && outs.grants.unavailability(proxy).is_none()
+                availability.releases.next_change(proxy).is_some()
+                    && availability.grants.unavailability(proxy).is_none()
             })
-            .filter(|&proxy| outs.may_request(proxy))
+            .filter(|&proxy| availability.may_request(proxy))
             .collect();
-        assert!(next.len() + outs.grants.unavailable().count() <= 4, "{next:?}");
+        assert!(next.len() + availability.grants.unavailable().count() <= 4, "{next:?}");
         let caller_address = ([127, 0, 0, 1], 4569).into();
         for proxy in next {
-            asked += 1;
+            requested += 1;
             let grant = index;
             let steps = [
                 grants::Command::Request { proxy, release: RELEASE },
@@ -183,17 +202,21 @@
             ];
             for step in steps {
                 assert_eq!(
-                    told(&mut outs, index, &Command::Grants(step)),
+                    decide(&mut availability, index, &Command::Grants(step)),
                     Verdict::Grants(grants::Verdict::Done)
                 );
                 index += 1;
             }
         }
-        if let Some((release, wave)) = outs.releases.next_wave() {
-            told(&mut outs, index, &Command::Releases(releases::Command::OpenWave { release, wave }));
+        if let Some((release, wave)) = availability.releases.next_wave() {
+            decide(
+                &mut availability,
+                index,
+                &Command::Releases(releases::Command::OpenWave { release, wave }),
+            );
             index += 1;
         }
     }
-    assert!(outs.releases.current().expect("staged").is_finished());
-    assert_eq!(asked, ALL, "nobody asks in vain");
+    assert!(availability.releases.current().expect("staged").is_finished());
+    assert_eq!(requested, ALL, "nobody asks in vain");
 }
