--- a/outs/src/drains.rs
+++ b/outs/src/drains.rs
@@ -1,9 +1,9 @@
-//! Central servers that are drained by the fleet's decision: no proxy sends them anything new, what stands
-//! there goes on, until the decision is taken back.
+//! Drains of central servers by the fleet's decision: no proxy sends a drained server anything new, its
+//! established conversations go on, until the drain is revoked.
 //!
-//! A drain says how many of its pool may be out, and how many are by the list as its asker has it. All of it
-//! stands in the command, so that the machine comes to the same verdict everywhere, and what is out already
-//! by another's drain counts though its asker did not know of it.
+//! A drain command states how many servers of the pool may be unavailable, and how many are by the pool
+//! list that its requester has. As the command contains all of that, every replica comes to the same
+//! verdict, and servers drained by others count even if the requester did not know of them.
 
 use std::collections::BTreeMap;
 
@@ -11,22 +11,23 @@
 use distribution::{Change, Key, Scope};
 use serde::{Deserialize, Serialize};
 
-/// Bytes of names, and of the reason that is kept.
+/// Longest name, and longest reason.
 pub const MAX_NAME_BYTES: usize = 120;
 pub const MAX_REASON_BYTES: usize = 120;
-/// Servers drained at once.
+/// Most servers drained at the same time.
 pub const MAX_DRAINS: usize = 1024;
 
-/// What may be asked for.
+/// A command about drains.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     Drain {
         server: String,
         pool: u16,
-        /// How many of the pool may be out at once, and how many are by the list without any drain.
+        /// How many servers of the pool may be unavailable at the same time, and how many are by the list
+        /// without any drain.
         max_unavailable: u16,
         listed_unavailable: u16,
-        /// Who asked, why, and when by its wall clock, in Unix milliseconds.
+        /// Who requested it, why, and the requester's wall-clock time in Unix milliseconds.
         by: String,
         why: String,
         unix_ms: u64,
@@ -37,7 +38,7 @@
 }
 
 impl Command {
-    /// The server that it is about.
+    /// The server that the command is about.
     pub fn server(&self) -> &str {
         match self {
             Self::Drain { server, .. } | Self::Undrain { server } => server,
@@ -45,13 +46,14 @@
     }
 }
 
-/// What became of it.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
     Done,
-    /// It was so before.
+    /// The server was already in that state.
     Unchanged,
-    /// So many of its pool would be out, more than may be; by drains there are these.
+    /// This many servers of the pool would be unavailable, more than allowed; `drained` are those drained
+    /// already.
     OverBudget {
         unavailable: u16,
         max_unavailable: u16,
@@ -61,7 +63,7 @@
     Invalid,
 }
 
-/// A server that is drained.
+/// A drained server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drain {
     pub pool: u16,
@@ -71,10 +73,10 @@
     pub decision: Index,
 }
 
-/// Under what a drain is distributed, in the scope of its pool.
+/// Key prefix of distributed drains, in the scope of their pool.
 const KEY_PREFIX: &str = "drain/";
 
-/// What a drain that is distributed says, beside its server and its pool.
+/// The value of a distributed drain; its server and pool are in the key and the scope.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
     pub by: String,
@@ -83,23 +85,23 @@
 }
 
 impl Notice {
-    /// What the value of an entry says; nothing where its form is not known.
+    /// Reads an entry's value; `None` if its form is unknown.
     pub fn read(value: &[u8]) -> Option<Self> {
         crate::decode(crate::VERSION, value)
     }
 }
 
-/// The scope that drains of a pool's servers belong to.
+/// The scope in which drains of a pool's servers are distributed.
 pub fn scope(pool: u16) -> Scope {
     Scope::Service(u32::from(pool))
 }
 
-/// The server that is drained by an entry of that key.
+/// The server that an entry with that key drains.
 pub fn server_of(key: &Key) -> Option<&str> {
     key.as_str().strip_prefix(KEY_PREFIX)
 }
 
-/// What a decision on a drain changes for those who are told by scope; nothing where the name is no key's.
+/// The distributed change that a decision on a drain causes; `None` if the server's name cannot be a key.
 pub(crate) fn change(decision: Index, server: &str, pool: u16, drain: Option<&Drain>) -> Option<Change> {
     let notice = |drain: &Drain| {
         let (by, why) = (drain.by.clone(), drain.why.clone());
@@ -113,26 +115,29 @@
     })
 }
 
-/// All servers that are drained, by name.
+/// All drained servers by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drains {
     drains: BTreeMap<String, Drain>,
 }
 
-/// How many of a pool of so many servers may be out: that part of them, and one at least.
+/// How many of a pool's servers may be unavailable at the same time: a fraction of them, at least one.
 pub fn max_unavailable(fraction: f64, servers: usize) -> u16 {
     ((fraction * servers as f64).floor().max(1.0)).min(f64::from(u16::MAX)) as u16
 }
 
 impl Drains {
+    /// The drain of a server.
     pub fn get(&self, server: &str) -> Option<&Drain> {
         self.drains.get(server)
     }
 
+    /// All drains in order of the servers' names.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &Drain)> {
         self.drains.iter().map(|(server, drain)| (&server[..], drain))
     }
 
+    /// Applies a command with the index of its decision.
     pub fn decide(&mut self, decision: Index, command: Command) -> Verdict {
         match command {
             Command::Undrain { server } => match self.drains.remove(&server) {
@@ -152,7 +157,7 @@
                 let mut drained: Vec<String> = in_pool.map(|(server, _)| server.clone()).collect();
                 let unavailable = listed_unavailable.saturating_add(drained.len() as u16).saturating_add(1);
                 if unavailable > max_unavailable {
-                    // As many as an answer has room for.
+                    // As many as fit in an answer.
                     drained.truncate(8);
                     return Verdict::OverBudget { unavailable, max_unavailable, drained };
                 }
--- a/outs/src/evidence.rs
+++ b/outs/src/evidence.rs
@@ -1,87 +1,92 @@
-//! Whether a release does harm: proxies that run it beside those that do not, in the same spans of time.
+//! Statistics on whether a release does harm: proxies that run it are compared with those that do not, in
+//! the same periods of time.
 //!
-//! Each proxy tells the council, span by span, what became of its conversations ([`Report`]). In each span a
-//! released proxy is ranked among those not released, by how much each has changed against its own spans
-//! before the release: if the release does nothing, its rank is anybody's. The mean rank over some spans is
-//! held against what chance gives (Mann and Whitney's test, spans taken as independent), for each of three
-//! measures. A release that does nothing is halted with a chance of [`FALSE_ALARM`] at the most, over all
-//! waves and measures together. Too little traffic means to wait, not to go.
+//! In each period, each proxy reports the results of its conversations to the council ([`Report`]). A
+//! released proxy is ranked among those not released, by how much each has changed against its own periods
+//! before the release: if the release has no effect, every rank is equally likely. The mean rank over
+//! several periods is tested against chance (Mann-Whitney test, with periods taken as independent) for each
+//! of three measures. A release without effect is halted with a probability of at most [`FALSE_ALARM`],
+//! over all waves and measures together. With too little traffic the verdict is to wait, not to go on.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use agree::Id;
 use serde::{Deserialize, Serialize};
 
-/// The chance that a release that does nothing is halted.
+/// Probability that a release without effect is halted.
 pub const FALSE_ALARM: f64 = 0.02;
 /// Measures that are tested, and waves after which they are.
 const MEASURES: usize = 3;
 const TESTED_WAVES: f64 = 4.0;
-/// Spans that are compared after each wave, and the most before the release that they are held against.
+/// Periods that are compared after each wave, and most periods before the release for the baseline.
 pub const COMPARED_PERIODS: usize = 8;
 const BASELINE_PERIODS: usize = 32;
-/// Conversations of a proxy in a span, under which it tells nothing.
+/// Fewest conversations of a proxy in a period for its report to count.
 pub const MIN_CONVERSATIONS: u16 = 5;
-/// Spans that are kept of each proxy.
+/// Reports that are kept of each proxy.
 const KEPT_REPORTS: usize = 64;
 
-/// What became of a proxy's conversations in a span.
+/// The results of a proxy's conversations in a period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     pub conversations: u16,
-    /// Of what they could have earned, the part that was kept.
+    /// The fraction of the possible earnings that was earned.
     pub earned: f32,
-    /// The part that was refused, failed or cut.
+    /// The fraction of conversations that was refused, failed or cut.
     pub failed: f32,
-    /// The design's quantile of set-up delay over time limit.
+    /// The design's quantile of set-up delay divided by time limit.
     pub setup_quantile: f32,
 }
 
 impl Report {
+    /// Encodes a report.
     pub fn write(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("plain data")
+        postcard::to_stdvec(self).expect("plain data can be encoded")
     }
 
-    /// A report whose numbers can be used.
+    /// Reads a report; `None` if it is malformed or a number is out of range.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         let (report, rest) = postcard::take_from_bytes::<Self>(bytes).ok()?;
         let fractions = [report.earned, report.failed, report.setup_quantile];
         (rest.is_empty() && fractions.iter().all(|fraction| (0.0..=1.0).contains(fraction))).then_some(report)
     }
 
-    /// Each measure, more being better.
+    /// The measures; a higher value is better.
     fn measures(&self) -> [f64; MEASURES] {
         [f64::from(self.earned), -f64::from(self.failed), -f64::from(self.setup_quantile)]
     }
 }
 
-/// What the evidence says.
+/// The result of the test.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Judgement {
+    /// There is not enough evidence yet.
     Wait,
+    /// No harm was found.
     Go,
+    /// A measure is worse than chance explains.
     Halt { why: String },
 }
 
-/// What each proxy was like before a release, and the fewest spans that any of them is known by.
+/// Each proxy's mean measures before a release, and the smallest number of periods behind any of them.
 #[derive(Clone, Debug, Default)]
 struct Baseline {
     means: BTreeMap<Id, [f64; MEASURES]>,
     periods: usize,
 }
 
-/// Reports of all proxies, by span of this member's clock.
+/// The reports of all proxies, by period of this member's clock.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
     reports: BTreeMap<Id, VecDeque<(u64, Report)>>,
-    /// Each proxy's own measures before the release of that number.
+    /// Each proxy's own measures before the release with that number.
     baseline: Option<(u64, Baseline)>,
-    /// Since which span all that is open of which release and wave runs it.
+    /// The release, its wave, and the period since which all proxies of the open waves run the release.
     since: Option<(u64, usize, u64)>,
 }
 
 impl Evidence {
-    /// A proxy's report came, in a span.
+    /// Records a proxy's report for a period.
     pub fn record(&mut self, period: u64, proxy: Id, report: Report) {
         let reports = self.reports.entry(proxy).or_default();
         if report.conversations >= MIN_CONVERSATIONS && reports.back().is_none_or(|(at, _)| *at < period) {
@@ -92,7 +97,7 @@
         }
     }
 
-    /// A release is about to begin: what each proxy was like until now.
+    /// Records the baseline of all proxies before a release.
     pub fn start_release(&mut self, release: u64) {
         if self.baseline.as_ref().is_some_and(|(of, _)| *of == release) {
             return;
@@ -108,8 +113,8 @@
         self.baseline = Some((release, Baseline { means, periods }));
     }
 
-    /// All of the waves that are open run the release: is there harm? `runs` tells who runs it; asked again
-    /// in each span.
+    /// Tests for harm once all proxies of the open waves run the release. `runs` tells which proxies run
+    /// it. Has to be called again in each period.
     pub fn judge(&mut self, period: u64, release: u64, wave: usize, runs: impl Fn(Id) -> bool) -> Judgement {
         let since = match self.since {
             Some((of, at, since)) if (of, at) == (release, wave) => since,
@@ -118,7 +123,7 @@
                 period
             }
         };
-        // Spans after the one in which the last of them came back.
+        // Periods after the one in which the last of them returned.
         let periods = since + 1..period;
         let ranks: Vec<_> = periods.filter_map(|at| self.ranks(at, release, &runs)).collect();
         if ranks.len() < COMPARED_PERIODS {
@@ -129,7 +134,7 @@
             let mean = ranks.iter().map(|(mean, _)| mean[i]).sum::<f64>() / ranks.len() as f64;
             let variance =
                 ranks.iter().map(|(_, variance)| variance).sum::<f64>() / (ranks.len() as f64).powi(2);
-            // What is wrong by chance in a proxy's spans before is so in all of its spans after.
+            // A chance deviation in a proxy's baseline affects all of its later periods.
             let baseline_periods =
                 self.baseline.as_ref().filter(|(of, _)| *of == release).map_or(0, |(_, of)| of.periods);
             let variance = variance * (1.0 + (ranks.len() - 1) as f64 / (baseline_periods + 1) as f64);
@@ -147,8 +152,8 @@
         Judgement::Go
     }
 
-    /// The mean rank of those released among the others in a span, by measure, and its variance by chance;
-    /// none where too few have told enough.
+    /// The mean rank of the released proxies among the others in a period, by measure, and its variance by
+    /// chance; `None` if too few have reported.
     fn ranks(&self, period: u64, release: u64, runs: &impl Fn(Id) -> bool) -> Option<([f64; MEASURES], f64)> {
         let baseline =
             self.baseline.as_ref().filter(|(of, _)| *of == release).map(|(_, baseline)| &baseline.means);
@@ -160,7 +165,7 @@
             let changed: [f64; MEASURES] = std::array::from_fn(|i| measures[i] - own_baseline[i]);
             if runs(id) { released.push(changed) } else { others.push(changed) }
         }
-        // The last wave has nobody left to be held against: by then nine in ten are not yet out.
+        // In the last wave nobody is left for comparison; before it, nine in ten proxies are not released.
         if released.is_empty() || others.is_empty() {
             return None;
         }
--- a/outs/src/feed.rs
+++ b/outs/src/feed.rs
@@ -1,23 +1,23 @@
-//! What the decisions changed in the distributed state, on its way to whoever serves it to others.
+//! Changes of the distributed state, on the way to the component that serves it to others.
 
 use std::collections::VecDeque;
 
 use distribution::Change;
 
-/// Changes that wait to be taken, about a megabyte. Past that they are dropped, and whoever serves the state
-/// is to begin anew from all of it: it costs memory here where nobody takes them.
+/// Most changes that wait to be taken, about a megabyte. Beyond that they are dropped and the consumer has
+/// to take the whole state, since changes that nobody takes would only cost memory.
 const MAX_WAITING: usize = 4096;
 
-/// What was changed since it was last asked.
+/// The changes since the last call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Changes {
-    /// These, in the order of the decisions.
+    /// The changes in the order of the decisions.
     Since(Vec<Change>),
-    /// Not known one by one: the whole state is to be taken anew.
+    /// The single changes are not known: the whole state has to be taken.
     Reset,
 }
 
-/// Changes that wait to be taken, each of them once.
+/// Changes that wait to be taken once.
 #[derive(Clone, Debug, Default)]
 pub struct Feed {
     waiting: VecDeque<Change>,
@@ -25,6 +25,7 @@
 }
 
 impl Feed {
+    /// Adds a change.
     pub(crate) fn push(&mut self, change: Change) {
         if self.needs_reset {
             return;
@@ -35,12 +36,13 @@
         }
     }
 
-    /// The state was replaced as a whole.
+    /// The whole state was replaced, so single changes no longer describe it.
     pub(crate) fn reset(&mut self) {
         self.waiting.clear();
         self.needs_reset = true;
     }
 
+    /// Takes the changes since the last call.
     pub(crate) fn take(&mut self) -> Changes {
         if std::mem::take(&mut self.needs_reset) {
             return Changes::Reset;
--- a/outs/src/grants.rs
+++ b/outs/src/grants.rs
@@ -1,18 +1,18 @@
-//! Border proxies that are out: who may go, who is away, who is back but not yet seen to be well. Planned and
-//! unplanned count in one sum.
+//! Unavailable border proxies: which may leave, which have left, and which have returned but are not yet
+//! confirmed healthy. Planned and unplanned unavailability count against one disruption budget.
 //!
 //! | state | how it comes about | counts |
 //! | --- | --- | --- |
-//! | in | at first; or seen well again | no |
-//! | granted | it asked while the sum allowed one more | yes |
-//! | out | it began, by a decision that it waits for before it does | yes |
-//! | back | it says that it takes calls again | yes, until enough others have seen it do so |
-//! | missed | enough others say that it does not answer | yes, until enough say that it does |
+//! | available | initially; or confirmed healthy again | no |
+//! | granted | it requested a grant while the budget allowed one more | yes |
+//! | offline | it began, by a decision that it waits for before it leaves | yes |
+//! | returned | it reports that it accepts calls again | yes, until enough witnesses confirm it |
+//! | suspected | enough witnesses report that it does not answer | yes, until enough report that it does |
 //!
-//! A holder begins only when the decision that it began is here, so that one which was cut off, paused, or
-//! whose grant was taken back meanwhile never goes: no clock is trusted. A grant that is not begun is taken
-//! back by whoever notices ([`Command::Forfeit`]); one that never comes back holds its place until an
-//! operator writes it off.
+//! A holder of a grant leaves only once the decision on its own [`Command::Begin`] has reached it. So a
+//! proxy that was cut off or paused, or whose grant was revoked in the meantime, never leaves, and no clock
+//! has to be trusted. A grant that is not begun is revoked by any proxy that notices ([`Command::Revoke`]).
+//! A proxy that never returns counts until an operator writes it off.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -22,44 +22,45 @@
 
 use crate::drains::MAX_REASON_BYTES;
 
-/// Proxies that are kept in the books at most.
+/// Most proxies with a recorded state.
 pub const MAX_PROXIES: usize = 4096;
 
-/// What may be asked for.
+/// A command about grants.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Proxies that may be out at once, and how many others have to see one well before it is in again.
+    /// How many proxies may be unavailable at the same time, and how many witnesses have to confirm a
+    /// returned one.
     Budget {
         max_unavailable: u16,
         witnesses: u16,
     },
-    /// Please let me out, for that release.
+    /// Requests a grant for the proxy to leave for a release.
     Request {
         proxy: Id,
         release: Index,
     },
-    /// I go now, by the grant of that decision.
+    /// The proxy leaves now, by the grant with that decision index.
     Begin {
         proxy: Id,
         grant: Index,
     },
-    /// It did not go in time.
+    /// Revokes a grant that was not begun in time.
     Revoke {
         proxy: Id,
         grant: Index,
     },
-    /// I take calls again, at that address, and run that release; 0 for none.
+    /// The proxy accepts calls again at that address and runs that release; 0 for none.
     Returned {
         proxy: Id,
         running_release: Index,
         caller_address: SocketAddr,
     },
-    /// I, another, have seen it take calls since it came back.
+    /// The witness has seen the proxy accept calls since it returned.
     Healthy {
         proxy: Id,
         witness: Id,
     },
-    /// I, another, hear nothing of it; or do again.
+    /// The witness hears nothing from the proxy, or hears from it again.
     Suspected {
         proxy: Id,
         witness: Id,
@@ -68,62 +69,65 @@
         proxy: Id,
         witness: Id,
     },
-    /// It never comes back: an operator's word.
+    /// An operator states that the proxy never returns.
     WriteOff {
         proxy: Id,
         why: String,
     },
 }
 
-/// What became of it.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Done; a grant is known by the number of its decision.
+    /// Done. A grant is identified by the index of its decision.
     Done,
-    /// So many are out, and no more may be.
+    /// This many proxies are unavailable, and no more may be.
     Full {
         unavailable: u16,
         max_unavailable: u16,
     },
-    /// It makes no difference as things are.
+    /// The command changes nothing in the current state.
     NoEffect,
     Invalid,
 }
 
-/// How a proxy that is out came to be so.
+/// The planned unavailability of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Unavailability {
+    /// It may leave, by the grant with that decision index.
     Granted { grant: Index, release: Index },
+    /// It has left, since that decision.
     Offline { since: Index },
+    /// It has returned; `seen_by` are the witnesses that confirmed it.
     Returned { since: Index, running_release: Index, caller_address: SocketAddr, seen_by: BTreeSet<Id> },
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct ProxyState {
     unavailability: Option<Unavailability>,
-    /// Who hears nothing of it.
+    /// The witnesses that hear nothing from it.
     suspected_by: BTreeSet<Id>,
     written_off: Option<String>,
 }
 
-/// All proxies that are out, or that somebody misses.
+/// All proxies that are unavailable or that a witness suspects.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grants {
     max_unavailable: u16,
     witnesses: u16,
     proxies: BTreeMap<Id, ProxyState>,
-    /// Seen well by the latest decision, with the release that it runs.
+    /// The proxy that the latest decision confirmed as healthy, with the release that it runs.
     #[serde(skip)]
     returned: Option<(Id, Index)>,
 }
 
 impl Grants {
-    /// Who was seen well again by the latest decision, and which release it runs.
+    /// Takes the proxy that the latest decision confirmed as healthy, with the release that it runs.
     pub(crate) fn take_returned(&mut self) -> Option<(Id, Index)> {
         self.returned.take()
     }
 
-    /// Takes back what was granted for a release and has not begun.
+    /// Revokes the grants for a release that have not begun.
     pub(crate) fn revoke_unstarted(&mut self, release: Index) {
         for state in self.proxies.values_mut() {
             state.unavailability.take_if(
@@ -133,38 +137,42 @@
         self.proxies.retain(|_, state| *state != ProxyState::default());
     }
 
-    /// All that are away by their own asking.
+    /// All proxies with a planned unavailability.
     pub fn unavailabilities(&self) -> impl Iterator<Item = (Id, &Unavailability)> {
         self.proxies.iter().filter_map(|(&id, state)| Some((id, state.unavailability.as_ref()?)))
     }
 
+    /// How many proxies may be unavailable at the same time.
     pub fn max_unavailable(&self) -> u16 {
         self.max_unavailable
     }
 
+    /// How many witnesses have to confirm a returned proxy, or suspect a silent one.
     pub fn witnesses(&self) -> u16 {
         self.witnesses
     }
 
-    /// How a proxy is away by its own asking.
+    /// A proxy's planned unavailability.
     pub fn unavailability(&self, proxy: Id) -> Option<&Unavailability> {
         self.proxies.get(&proxy)?.unavailability.as_ref()
     }
 
-    /// Whether a proxy takes up a place, and those that do.
+    /// Whether a proxy counts against the budget.
     pub fn counts_as_unavailable(&self, proxy: Id) -> bool {
         self.proxies.get(&proxy).is_some_and(|state| self.takes_a_place(state))
     }
 
+    /// All proxies that count against the budget.
     pub fn unavailable(&self) -> impl Iterator<Item = Id> {
         self.proxies.iter().filter(|(_, state)| self.takes_a_place(state)).map(|(&id, _)| id)
     }
 
-    /// Who says that nothing is heard of it.
+    /// The witnesses that hear nothing from a proxy.
     pub fn suspected_by(&self, proxy: Id) -> impl Iterator<Item = Id> {
         self.proxies.get(&proxy).into_iter().flat_map(|state| state.suspected_by.iter().copied())
     }
 
+    /// The reason why a proxy was written off.
     pub fn written_off(&self, proxy: Id) -> Option<&str> {
         self.proxies.get(&proxy)?.written_off.as_deref()
     }
@@ -177,12 +185,14 @@
         state.written_off.is_none() && (state.unavailability.is_some() || self.is_suspected(state))
     }
 
+    /// The verdict if so many more proxies would exceed the budget.
     fn over_budget(&self, one_more: u16) -> Option<Verdict> {
         let unavailable = self.unavailable().count() as u16;
         (unavailable + one_more > self.max_unavailable)
             .then_some(Verdict::Full { unavailable, max_unavailable: self.max_unavailable })
     }
 
+    /// Applies a command with the index of its decision.
     pub fn decide(&mut self, decision: Index, command: Command) -> Verdict {
         let is_known = |proxy| self.proxies.contains_key(&proxy);
         let adds_proxy = match &command {
@@ -199,7 +209,7 @@
 
     fn apply(&mut self, decision: Index, command: Command) -> Verdict {
         match command {
-            // A smaller budget calls nobody back: what is out comes back, and nothing goes until the sum
+            // A smaller budget recalls nobody: unavailable proxies return, and none may leave until the sum
             // fits.
             Command::Budget { max_unavailable, witnesses } if max_unavailable > 0 && witnesses > 0 => {
                 let unchanged = (self.max_unavailable, self.witnesses) == (max_unavailable, witnesses);
@@ -212,7 +222,7 @@
                 if state.unavailability.is_some() || state.written_off.is_some() {
                     return Verdict::NoEffect;
                 }
-                // One that is missed already takes up its place.
+                // A suspected proxy already counts.
                 let one_more = u16::from(!self.takes_a_place(&state));
                 if let Some(verdict) = self.over_budget(one_more) {
                     return verdict;
@@ -238,7 +248,8 @@
                 })
             }
             Command::Returned { proxy, running_release, caller_address } => {
-                // Whoever was written off and comes all the same is to be seen well like any other.
+                // A proxy that was written off and returns anyway has to be confirmed healthy like any
+                // other.
                 let state = self.proxies.entry(proxy).or_default();
                 let returned = Unavailability::Returned {
                     since: decision,
@@ -298,7 +309,7 @@
         }
     }
 
-    /// Moves how a proxy is away to what `next` says, if anything.
+    /// Changes a proxy's planned unavailability to what `next` returns, if anything.
     fn transition(
         &mut self,
         proxy: Id,
--- a/outs/src/holder.rs
+++ b/outs/src/holder.rs
@@ -1,9 +1,9 @@
-//! What one proxy does by what is decided: asks to go out when it is its turn, goes when the decision that it
-//! began is here, says that it is back, witnesses that others are well or missed, and opens the next wave. No
-//! I/O.
+//! One proxy's actions on the decisions: it requests a grant when it is its turn, leaves once the decision
+//! that it begins has reached it, reports that it has returned, witnesses whether others are healthy or
+//! silent, and as the leader opens the next wave. No I/O.
 //!
-//! Call [`Holder::turn`] at each beat with what is decided and what this proxy sees; it gives all that this
-//! proxy wants decided now, and whether it is to go.
+//! The caller calls [`Holder::turn`] at each heartbeat with the decided state and its own observations, and
+//! gets the commands that this proxy wants decided, and its replacement if it has to leave.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher as _;
@@ -16,57 +16,60 @@
 use crate::releases::{self, Kind, Phase, Release};
 use crate::{Availability, Command};
 
-/// Starts in a row of a release that were not seen well, after which a proxy gives it up.
+/// Starts in a row of a release that were not confirmed healthy, after which a proxy gives the release up.
 pub const MAX_STARTS: u32 = 3;
-/// A grant that is not begun after so many leases is taken back by whoever notices.
+/// Leases after which a grant that is not begun is revoked by any proxy that notices.
 const REVOKE_AFTER_LEASES: f64 = 1.0;
-/// Of others so many times the witnesses that are wanted look at one: some of them may be cut off from it.
+/// Proxies that observe another one, per required witness: some of them may be cut off from it.
 const OBSERVERS_PER_WITNESS: usize = 2;
-/// One that is back has to answer at its callers' socket so many times in the time that it has to be well.
+/// Answers that a returned proxy has to give on its caller address within the time that it has to be
+/// healthy.
 const REQUIRED_ANSWERS: u32 = 4;
 
-/// What is agreed, in milliseconds.
+/// Settings that are the same on all proxies; times in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HolderTerms {
-    /// The part of the proxies that may be out at once; one at least.
+    /// The fraction of the proxies that may be unavailable at the same time; at least one may.
     pub max_unavailable_fraction: f64,
+    /// How many witnesses have to confirm a returned proxy.
     pub witnesses: u16,
-    /// How long one that is back has to be well.
+    /// How long a returned proxy has to be healthy.
     pub healthy_for: f64,
+    /// How old a proxy's knowledge of the decisions may be when it acts on them.
     pub lease: f64,
 }
 
-/// How this proxy stands.
+/// This proxy's own state and observations.
 #[derive(Clone, Debug)]
 pub struct LocalState {
     pub id: Id,
-    /// All of the fleet, this one too.
+    /// All proxies of the fleet, including this one.
     pub fleet: Vec<Id>,
     /// The release that this process runs; 0 for none.
     pub running_release: Index,
-    /// Where it takes callers.
+    /// Where it accepts callers.
     pub caller_address: SocketAddr,
     /// Whether it leads the council.
     pub is_leader: bool,
-    /// Others of which nothing is heard.
+    /// Other proxies from which nothing is heard.
     pub unreachable: BTreeSet<Id>,
-    /// The release that this proxy could not become, and why.
+    /// The release that this proxy could not change to, and why.
     pub failed: Option<(Index, String)>,
-    /// Whether the staged file with that sum is here and fit, or what is wrong with it.
+    /// The hash of a staged file, and whether it is present and valid or what is wrong with it.
     pub staged: Option<(Hash, Result<(), String>)>,
 }
 
-/// What this proxy is to become.
+/// What this process is to be replaced with.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replacement {
     pub release: Index,
     pub kind: Kind,
     pub sum: Hash,
-    /// To run the release, or to go back to what ran before it.
+    /// Whether to run the release, or to return to what ran before it.
     pub forward: bool,
 }
 
-/// One that is back, as this proxy has seen it since.
+/// What this proxy has seen of a returned one.
 #[derive(Clone, Debug, Default)]
 struct Observation {
     returned_at: Index,
@@ -74,17 +77,17 @@
     first_answer_at: f64,
 }
 
-/// What one proxy has in mind.
+/// State of one proxy between turns.
 #[derive(Clone, Debug, Default)]
 pub struct Holder {
-    /// Grants of others and since when they are known here.
+    /// Grants of other proxies, and since when they are known here.
     granted: BTreeMap<Id, (Index, f64)>,
     observations: BTreeMap<Id, Observation>,
-    /// It began; the shell is at it.
+    /// The replacement has begun and the caller is carrying it out.
     replacing: bool,
 }
 
-/// Whether this proxy is among those that look at another: the same few at all, drawn by both.
+/// Whether this proxy observes another one. All proxies come to the same result, as both ids determine it.
 fn observes(own: Id, other: Id, fleet: &[Id], observers: usize) -> bool {
     let draw = |of: Id| {
         let mut hasher = siphasher::sip::SipHasher13::new_with_keys(other, 1);
@@ -96,8 +99,7 @@
 }
 
 impl Holder {
-    /// Those that are back and that this proxy looks at: each is to be asked for a sign of life at its
-    /// callers' socket.
+    /// The returned proxies that this one observes; each has to be probed at its caller address.
     pub fn to_probe(&self, availability: &Availability, own: &LocalState) -> Vec<(Id, SocketAddr)> {
         let observers = OBSERVERS_PER_WITNESS * usize::from(availability.grants.witnesses().max(1));
         let returned =
@@ -110,7 +112,7 @@
         returned.filter(|(id, _)| *id != own.id && observes(own.id, *id, &own.fleet, observers)).collect()
     }
 
-    /// Somebody answered at that callers' socket.
+    /// Records an answer from a caller address.
     pub fn probe_answered(&mut self, now: f64, availability: &Availability, caller_address: SocketAddr) {
         for (id, unavailability) in availability.grants.unavailabilities() {
             if let Unavailability::Returned { since, caller_address: at, .. } = unavailability
@@ -125,8 +127,8 @@
         }
     }
 
-    /// Looks at what is decided. Gives what this proxy wants decided, and what it is to become, once.
-    /// `judge` says whether the next wave may open after the one that it is asked of.
+    /// Returns the commands that this proxy wants decided now, and once its replacement if it has to leave.
+    /// `judge` says whether the wave after the given one may open.
     pub fn turn(
         &mut self,
         now: f64,
@@ -145,6 +147,7 @@
         (wanted, replacement)
     }
 
+    /// The commands about this proxy itself.
     fn own_commands(&self, availability: &Availability, own: &LocalState, wanted: &mut Vec<Command>) {
         let proxy = own.id;
         if let Some(release) = availability.releases.current().filter(|of| of.phase == Phase::Staged)
@@ -187,7 +190,7 @@
             Some(Unavailability::Granted { grant, .. }) => {
                 wanted.push(Command::Grants(grants::Command::Begin { proxy, grant: *grant }));
             }
-            // This process has begun nothing: it is the one that came after.
+            // This process has not begun a replacement, so it is the new one.
             Some(Unavailability::Offline { .. })
                 if !self.replacing && self.pending_change(availability, own).is_none() =>
             {
@@ -202,7 +205,7 @@
         }
     }
 
-    /// The release that it has still to change to, or from, by what is decided.
+    /// The release that it still has to change to, or from, by the decisions.
     fn pending_change<'a>(
         &self,
         availability: &'a Availability,
@@ -215,6 +218,7 @@
         })
     }
 
+    /// The replacement to begin, once.
     fn next_replacement(&mut self, availability: &Availability, own: &LocalState) -> Option<Replacement> {
         let is_offline =
             matches!(availability.grants.unavailability(own.id), Some(Unavailability::Offline { .. }));
@@ -227,11 +231,12 @@
         Some(Replacement { release: release.number, kind: release.kind, sum: release.sum, forward })
     }
 
-    /// What it was to become it could not: it is still what it was.
+    /// The replacement failed: the process goes on as it is.
     pub fn replacement_failed(&mut self) {
         self.replacing = false;
     }
 
+    /// The commands about the proxies that this one observes.
     fn commands_about_others(
         &mut self,
         now: f64,
@@ -282,7 +287,7 @@
     }
 }
 
-/// What a leader sees to: that the budget is the settings', and that waves open.
+/// The leader's commands: it aligns the budget with the settings and opens waves.
 fn leader_commands(
     availability: &Availability,
     own: &LocalState,
--- a/outs/src/lib.rs
+++ b/outs/src/lib.rs
@@ -1,9 +1,10 @@
-//! Who may be out at once, as decided for all border proxies, without I/O.
+//! Which servers and border proxies may be unavailable at the same time, as decided for the whole fleet,
+//! without I/O.
 //!
-//! [`Outs`] is the machine that the agreement gives its decisions to: [`drains`] of central servers,
-//! [`grants`] for border proxies, [`releases`] that replace them in waves. [`holder`] is what one proxy does
-//! by it: when it asks, goes and says that it is back, and what it tells of others. [`feed`] hands what
-//! changes on to whoever distributes it by scope.
+//! [`Availability`] is the state machine that the decisions apply to: [`drains`] of central servers,
+//! [`grants`] for border proxies, software [`releases`] that replace them in waves. [`holder`] contains one
+//! proxy's actions: when it requests a grant, leaves and reports its return, and what it witnesses of
+//! others. [`feed`] passes changes on for distribution by scope.
 
 #![forbid(unsafe_code)]
 
@@ -23,14 +24,14 @@
 pub use grants::Grants;
 pub use releases::{Kind, Phase, Release, Releases};
 
-/// The part of the agreement that all of this is.
+/// The part of the replicated state machine that this package is.
 pub const AVAILABILITY_PART: u8 = 1;
-/// The form of commands and answers.
+/// The version of the encoding of commands and verdicts.
 const VERSION: u8 = 1;
-/// The form of the state: since 2 it holds what is distributed by scope.
+/// The version of the encoding of the state: since 2 it contains the state that is distributed by scope.
 const STATE_VERSION: u8 = 2;
 
-/// What may be asked for.
+/// A command for the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     Drains(drains::Command),
@@ -38,7 +39,7 @@
     Releases(releases::Command),
 }
 
-/// What became of it.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
     Drains(drains::Verdict),
@@ -46,10 +47,12 @@
     Releases(releases::Verdict),
 }
 
+/// Encodes a value after a version byte.
 fn encode(version: u8, value: &impl Serialize) -> Vec<u8> {
-    postcard::to_extend(value, vec![version]).expect("plain data")
+    postcard::to_extend(value, vec![version]).expect("plain data can be encoded")
 }
 
+/// Decodes a value of that version; `None` if malformed.
 fn decode<'a, T: Deserialize<'a>>(version: u8, bytes: &'a [u8]) -> Option<T> {
     let body = bytes.strip_prefix(&[version])?;
     let (value, rest) = postcard::take_from_bytes(body).ok()?;
@@ -57,30 +60,32 @@
 }
 
 impl Command {
+    /// Encodes the command.
     pub fn write(&self) -> Vec<u8> {
         encode(VERSION, self)
     }
 }
 
 impl Verdict {
+    /// Decodes a verdict; `None` if malformed.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         decode(VERSION, bytes)
     }
 }
 
-/// All that is decided about who is out.
+/// The decided state of drains, grants and releases.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Availability {
     pub drains: Drains,
     pub grants: Grants,
     pub releases: Releases,
-    /// What of it is distributed by scope: the drains.
+    /// The part of the state that is distributed by scope: the drains.
     scoped: ScopedState,
     #[serde(skip)]
     feed: feed::Feed,
 }
 
-/// What waits to be handed on is no part of what was decided.
+/// Changes that wait to be taken are not part of the decided state.
 impl PartialEq for Availability {
     fn eq(&self, other: &Self) -> bool {
         let Self { drains, grants, releases, scoped, feed: _ } = self;
@@ -92,18 +97,18 @@
 impl Eq for Availability {}
 
 impl Availability {
-    /// What is distributed by scope, as of the newest decision that was carried out.
+    /// The state that is distributed by scope, as of the last applied decision.
     pub fn scoped(&self) -> &ScopedState {
         &self.scoped
     }
 
-    /// What was changed in [`Outs::scoped`] since this was last called.
+    /// The changes in [`Availability::scoped`] since the last call.
     pub fn take_changes(&mut self) -> Changes {
         self.feed.take()
     }
 
-    /// Applies what a decision changed. One of an earlier index than the state's changes nothing there: only
-    /// a trial of what a command would come to has such.
+    /// Distributes the change of a decision. A change with an earlier index than the state's has no effect:
+    /// that only occurs when a command is tried on a copy.
     fn distribute(&mut self, change: Change) {
         if self.scoped.apply(change.clone()).is_ok() {
             self.feed.push(change);
@@ -139,7 +144,7 @@
                 let stops_release =
                     matches!(command, releases::Command::Halt { .. } | releases::Command::RollBack { .. });
                 let verdict = self.releases.decide(index, command);
-                // Whoever was let out for it and has not gone stays.
+                // A proxy with a grant for the release that has not left yet stays.
                 if let Some(release) = self.releases.current().filter(|_| stops_release) {
                     self.grants.revoke_unstarted(release.number);
                 }
@@ -148,9 +153,9 @@
         }
     }
 
-    /// Whether a proxy's turn has come to ask: those before it in its release's order would leave a place
-    /// free. Without this all of a wave would ask again and again, and each refusal is a decision that all
-    /// are told.
+    /// Whether it is a proxy's turn to request a grant: those before it in the release's order would leave
+    /// a place free. Without this check all proxies of a wave would request again and again, and every
+    /// refusal is a decision that all replicas have to process.
     pub fn may_request(&self, proxy: Id) -> bool {
         let free_places =
             usize::from(self.grants.max_unavailable()).saturating_sub(self.grants.unavailable().count());
@@ -183,9 +188,10 @@
     fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, UnsupportedDecision> {
         let unsupported = |reason: &str| UnsupportedDecision { index, part, reason: reason.to_owned() };
         if part != AVAILABILITY_PART {
-            return Err(unsupported("no part of this program: a newer one is wanted"));
+            return Err(unsupported("this program does not know the part; a newer one is needed"));
         }
-        let command = decode(VERSION, command).ok_or_else(|| unsupported("no command of this program"))?;
+        let command =
+            decode(VERSION, command).ok_or_else(|| unsupported("this program does not know the command"))?;
         Ok(encode(VERSION, &self.apply(index, command)))
     }
 
@@ -201,7 +207,7 @@
         let unreadable = || UnsupportedDecision {
             index,
             part: AVAILABILITY_PART,
-            reason: "a state of no known form".to_owned(),
+            reason: "the state has an unknown form".to_owned(),
         };
         *self = decode(STATE_VERSION, state).ok_or_else(unreadable)?;
         self.feed.reset();
--- a/outs/src/releases.rs
+++ b/outs/src/releases.rs
@@ -1,14 +1,15 @@
-//! Releases: proxies are replaced in waves, each only while it holds a grant, and go back the same way.
+//! Software releases: proxies are replaced in waves, each only while it holds a grant, and are rolled back
+//! the same way.
 //!
-//! | phase | what goes on | from it |
+//! | phase | what happens | leads to |
 //! | --- | --- | --- |
-//! | staged | each proxy looks at its file and says whether it is fit | started, called off |
-//! | running | proxies of the open waves ask for grants; the next wave opens when all before it run it | done, halted |
-//! | halted | nobody is let out for it; grants that were not begun are taken back | started again, going back |
-//! | going back | whoever runs it asks for a grant to go back, the newest wave first | done |
+//! | staged | each proxy checks its file and reports whether it is valid | running, done (called off) |
+//! | running | proxies of the open waves request grants; the next wave opens when all before it run the release | done, halted |
+//! | halted | no grants for it; grants that were not begun are revoked | running again, going back |
+//! | going back | proxies that run it request grants to return to what ran before, the newest wave first | done |
 //!
-//! One release at a time. Who is in which wave is drawn by the release's number, among those that said they
-//! are ready when it was started: the same everywhere.
+//! There is one release at a time. Its number determines which wave each proxy is in, among those that are
+//! ready when it starts, so all replicas come to the same waves.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher as _;
@@ -18,7 +19,7 @@
 
 use crate::drains::{MAX_NAME_BYTES, MAX_REASON_BYTES};
 
-/// The parts of all proxies that the waves go up to: the first is one proxy, the last all.
+/// The fractions of all proxies that the waves reach: the first wave is one proxy, the last all.
 const WAVE_FRACTIONS: [f64; 4] = [0.0, 0.01, 0.1, 1.0];
 
 /// What is replaced.
@@ -29,6 +30,7 @@
     Program,
 }
 
+/// The phase of a release.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
@@ -39,62 +41,43 @@
     Done,
 }
 
-/// What may be asked for.
+/// A command about releases.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// A file by its BLAKE3 sum, which each proxy is to find beside its state.
-    Stage {
-        kind: Kind,
-        sum: Hash,
-        by: String,
-        why: String,
-        unix_ms: u64,
-    },
-    Ready {
-        release: Index,
-        proxy: Id,
-    },
-    Rejected {
-        release: Index,
-        proxy: Id,
-        why: String,
-    },
-    /// With how many proxies there are: all of them have to be ready.
-    Start {
-        release: Index,
-        proxies: u16,
-    },
-    /// All of the waves before run it, and nothing speaks against it.
-    OpenWave {
-        release: Index,
-        wave: u8,
-    },
-    Halt {
-        release: Index,
-        why: String,
-    },
-    RollBack {
-        release: Index,
-    },
+    /// Stages a file, by its BLAKE3 hash; each proxy has to find it beside its state.
+    Stage { kind: Kind, sum: Hash, by: String, why: String, unix_ms: u64 },
+    /// The proxy has a valid file.
+    Ready { release: Index, proxy: Id },
+    /// The proxy's file is missing or invalid.
+    Rejected { release: Index, proxy: Id, why: String },
+    /// Starts the release; `proxies` is the number of proxies that have to be ready.
+    Start { release: Index, proxies: u16 },
+    /// Opens a wave: all earlier waves run the release, and no harm was found.
+    OpenWave { release: Index, wave: u8 },
+    /// Halts the release.
+    Halt { release: Index, why: String },
+    /// Calls off a staged release, or returns to what ran before.
+    RollBack { release: Index },
 }
 
-/// What became of it.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
     Done,
     NoEffect,
-    /// Not all are ready: so many are.
+    /// Not all proxies are ready.
     NotReady {
         ready: u16,
         proxies: u16,
     },
-    /// Another release is under way.
+    /// Another release is in progress.
     AnotherInProgress {
         release: Index,
     },
     Invalid,
 }
 
+/// A software release.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
     pub number: Index,
@@ -106,21 +89,23 @@
     pub phase: Phase,
     pub ready: BTreeSet<Id>,
     pub rejected: BTreeMap<Id, String>,
-    /// By wave, once it is started.
+    /// The proxies of each wave, once the release is started.
     pub waves: Vec<Vec<Id>>,
 }
 
 impl Release {
+    /// The wave that a proxy is in.
     pub fn wave_of(&self, proxy: Id) -> Option<u8> {
         self.waves.iter().position(|wave| wave.contains(&proxy)).map(|wave| wave as u8)
     }
 
+    /// Whether the release is done.
     pub fn is_finished(&self) -> bool {
         self.phase == Phase::Done
     }
 }
 
-/// The release that is under way, or was last, and who runs which.
+/// The current or last release, and the release that each proxy runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Releases {
     current: Option<Release>,
@@ -128,16 +113,18 @@
 }
 
 impl Releases {
+    /// The current or last release.
     pub fn current(&self) -> Option<&Release> {
         self.current.as_ref()
     }
 
-    /// The release that a proxy was last seen well with; 0 for none.
+    /// The release that a proxy was last confirmed healthy with; 0 for none.
     pub fn running_release(&self, proxy: Id) -> Index {
         self.running.get(&proxy).copied().unwrap_or(0)
     }
 
-    /// Whether a proxy may ask to go out for the release now, and whether that is to run it or to go back.
+    /// The release for which a proxy may request a grant now, and whether to run it or to return to what
+    /// ran before.
     pub fn next_change(&self, proxy: Id) -> Option<(&Release, bool)> {
         let release = self.current.as_ref()?;
         let wave = release.wave_of(proxy)?;
@@ -155,7 +142,7 @@
         }
     }
 
-    /// The wave that may open next, once all that are open run the release.
+    /// The wave that may open next, once all proxies of the open waves run the release.
     pub fn next_wave(&self) -> Option<(Index, u8)> {
         let release = self.current.as_ref()?;
         let Phase::Running { wave } = release.phase else { return None };
@@ -164,7 +151,7 @@
         (all && usize::from(wave) + 1 < release.waves.len()).then_some((release.number, wave + 1))
     }
 
-    /// A proxy was seen well again.
+    /// Records the release that a proxy was confirmed healthy with.
     pub(crate) fn set_running(&mut self, proxy: Id, running_release: Index) {
         if running_release == 0 {
             self.running.remove(&proxy);
@@ -173,7 +160,8 @@
         }
     }
 
-    /// It is done when all run it, or, going back, none does, nor is one away that may come back with it.
+    /// Finishes the release when all proxies run it, or, going back, when none does and none is unavailable
+    /// that may return with it.
     pub(crate) fn finish_if_complete(&mut self, is_unavailable: impl Fn(Id) -> bool) {
         let Some(release) = &self.current else { return };
         let mut runs_release =
@@ -191,6 +179,7 @@
         }
     }
 
+    /// Applies a command with the index of its decision.
     pub fn decide(&mut self, decision: Index, command: Command) -> Verdict {
         if let Command::Stage { kind, sum, by, why, unix_ms } = command {
             if let Some(release) = self.current.as_ref().filter(|release| !release.is_finished()) {
@@ -251,23 +240,23 @@
                 current.phase = Phase::Running { wave: 0 };
                 Verdict::Done
             }
-            // An operator's word that the next wave may open, whatever is known.
+            // An operator opens the next wave without waiting for evidence.
             (Command::Start { .. }, Phase::Running { .. }) => match self.next_wave() {
                 Some((_, wave)) => {
-                    let current = self.current.as_mut().expect("it opens");
+                    let current = self.current.as_mut().expect("the next wave can open");
                     current.phase = Phase::Running { wave };
                     Verdict::Done
                 }
                 None => Verdict::NoEffect,
             },
-            // An operator who starts it again goes on where it was halted.
+            // An operator who starts it again continues at the wave where it was halted.
             (Command::Start { .. }, Phase::Halted { wave, .. }) => {
                 current.phase = Phase::Running { wave };
                 Verdict::Done
             }
             (Command::OpenWave { wave, .. }, Phase::Running { .. }) => match self.next_wave() {
                 Some((_, next)) if next == wave => {
-                    let current = self.current.as_mut().expect("it opens");
+                    let current = self.current.as_mut().expect("the next wave can open");
                     current.phase = Phase::Running { wave };
                     Verdict::Done
                 }
@@ -292,7 +281,7 @@
     }
 }
 
-/// Who is in which wave.
+/// Assigns the ready proxies to waves.
 fn waves(number: Index, ready: &BTreeSet<Id>) -> Vec<Vec<Id>> {
     let draw = |id: Id| {
         let mut hasher = siphasher::sip::SipHasher13::new_with_keys(number, 0);
--- a/outs/tests/distributed.rs
+++ b/outs/tests/distributed.rs
@@ -1,4 +1,4 @@
-//! What is decided of drains is distributed by the scopes of their pools, and each change is handed on once.
+//! Decided drains are distributed in the scopes of their pools, and each change is handed on once.
 
 use agree::Machine;
 use distribution::{Key, Scope};
@@ -6,7 +6,9 @@
 use outs::{AVAILABILITY_PART, Availability, Changes};
 
 fn decide(availability: &mut Availability, index: u64, command: Command) {
-    availability.decide(index, AVAILABILITY_PART, &outs::Command::Drains(command).write()).expect("known");
+    availability
+        .decide(index, AVAILABILITY_PART, &outs::Command::Drains(command).write())
+        .expect("a known command");
 }
 
 fn drain(availability: &mut Availability, index: u64, server: &str, pool: u16) {
@@ -23,9 +25,9 @@
     decide(availability, index, Command::Undrain { server: server.to_owned() });
 }
 
-/// Changes as scope, server, version and whether it is drained.
+/// The changes as scope, server, version and whether the server is drained.
 fn changes(availability: &mut Availability) -> Vec<(Scope, String, u64, bool)> {
-    let Changes::Since(changes) = availability.take_changes() else { panic!("all anew") };
+    let Changes::Since(changes) = availability.take_changes() else { panic!("reset") };
     let summary = |change: distribution::Change| {
         let server = drains::server_of(&change.key).expect("a drain").to_owned();
         (change.scope, server, change.version, change.value.is_some())
@@ -34,24 +36,24 @@
 }
 
 #[test]
-fn a_drain_stands_in_the_scope_of_its_pool_until_it_is_taken_back() {
+fn a_drain_is_in_the_scope_of_its_pool_until_undrained() {
     let mut availability = Availability::default();
     let empty = availability.root();
     drain(&mut availability, 4, "a", 3);
     drain(&mut availability, 5, "b", 70);
-    let key = |server: &str| Key::new(format!("drain/{server}")).expect("fits");
-    let (version, value) = availability.scoped().get(Scope::Service(3), &key("a")).expect("there");
+    let key = |server: &str| Key::new(format!("drain/{server}")).expect("a valid key");
+    let (version, value) = availability.scoped().get(Scope::Service(3), &key("a")).expect("the entry exists");
     assert_eq!(version, 4);
     assert_eq!(Notice::read(value), Some(Notice { by: "p1".into(), why: "disk".into(), unix_ms: 7 }));
     assert!(availability.scoped().get(Scope::Service(70), &key("b")).is_some());
     assert_ne!(availability.root(), empty);
     undrain(&mut availability, 9, "a");
     assert_eq!(availability.scoped().get(Scope::Service(3), &key("a")), None);
-    assert_eq!(availability.scoped().summary(Scope::Service(3)).version, 9, "empty, and changed last by 9");
+    assert_eq!(availability.scoped().summary(Scope::Service(3)).version, 9, "empty, last changed by 9");
 }
 
 #[test]
-fn changes_are_handed_on_once_in_their_order_and_only_what_changed() {
+fn only_real_changes_are_handed_on_once_and_in_order() {
     let mut availability = Availability::default();
     drain(&mut availability, 4, "a", 3);
     drain(&mut availability, 5, "a", 3);
@@ -65,11 +67,11 @@
 }
 
 #[test]
-fn after_a_snapshot_and_where_nobody_takes_them_for_long_all_is_to_be_taken_anew() {
+fn after_a_snapshot_or_too_many_untaken_changes_the_feed_resets() {
     let mut availability = Availability::default();
     drain(&mut availability, 4, "a", 3);
     let mut other = Availability::default();
-    other.restore(4, &availability.state()).expect("its own form");
+    other.restore(4, &availability.state()).expect("its own state is readable");
     assert_eq!((&other, other.root()), (&availability, availability.root()));
     assert_eq!(other.take_changes(), Changes::Reset);
     undrain(&mut other, 5, "a");
@@ -83,7 +85,7 @@
 }
 
 #[test]
-fn what_a_command_would_come_to_can_be_tried_on_a_copy_without_an_index() {
+fn a_command_can_be_tried_on_a_copy_without_an_index() {
     let mut availability = Availability::default();
     drain(&mut availability, 4, "a", 3);
     let mut copy = availability.clone();
@@ -93,7 +95,7 @@
 }
 
 #[test]
-fn a_state_of_the_form_before_is_not_read() {
+fn a_state_of_an_older_version_is_an_error() {
     let mut state = Availability::default().state();
     state[0] = 1;
     assert!(Availability::default().restore(4, &state).is_err());
--- a/outs/tests/drains.rs
+++ b/outs/tests/drains.rs
@@ -1,4 +1,4 @@
-//! Drains are decided alike everywhere, within their pool's budget.
+//! Drains are decided the same on all replicas, within the budget of their pool.
 
 use agree::Machine;
 use outs::drains::{Command, MAX_REASON_BYTES, Verdict, max_unavailable};
@@ -27,17 +27,17 @@
 }
 
 fn decide(availability: &mut Availability, command: &Command) -> Verdict {
-    let answer = availability.decide(5, AVAILABILITY_PART, &encoded(command)).expect("known");
+    let answer = availability.decide(5, AVAILABILITY_PART, &encoded(command)).expect("a known command");
     let Some(outs::Verdict::Drains(verdict)) = outs::Verdict::read(&answer) else { panic!("{answer:?}") };
     verdict
 }
 
 #[test]
-fn a_pool_has_no_more_out_than_it_may_by_drains_and_list_together() {
+fn drains_and_the_list_together_stay_within_the_pools_budget() {
     let mut availability = Availability::default();
     assert_eq!(decide(&mut availability, &drain("a", 0, 2, 0)), Verdict::Done);
     assert_eq!(decide(&mut availability, &drain("a", 0, 2, 0)), Verdict::Unchanged);
-    // Asked for elsewhere at the same time, by one that knew of no other.
+    // Requested at the same time by a proxy that knew of no other drain.
     assert_eq!(
         decide(&mut availability, &drain("b", 0, 2, 1)),
         Verdict::OverBudget { unavailable: 3, max_unavailable: 2, drained: vec!["a".into()] }
@@ -49,7 +49,7 @@
     let remaining: Vec<&str> = availability.drains.iter().map(|(server, _)| server).collect();
     assert_eq!(remaining, ["b", "c"]);
     let mut other = Availability::default();
-    other.restore(9, &availability.state()).expect("its own form");
+    other.restore(9, &availability.state()).expect("its own state is readable");
     assert_eq!(other, availability);
 }
 
@@ -58,15 +58,15 @@
 #[case::a_long_reason(Command::Drain {
     server: "a".into(), pool: 0, max_unavailable: 2, listed_unavailable: 0, by: "p".into(), why: "x".repeat(MAX_REASON_BYTES + 1), unix_ms: 0,
 })]
-fn what_is_too_long_or_empty_is_refused(#[case] command: Command) {
+fn a_too_long_or_empty_text_is_invalid(#[case] command: Command) {
     assert_eq!(decide(&mut Availability::default(), &command), Verdict::Invalid);
 }
 
 #[rstest]
 #[case::another_part(9, &encoded(&drain("a", 0, 1, 0)))]
 #[case::another_version(AVAILABILITY_PART, &[2, 0])]
-#[case::rubbish(AVAILABILITY_PART, &[1, 9, 9])]
-fn what_this_program_does_not_know_is_an_error(#[case] part: u8, #[case] command: &[u8]) {
+#[case::garbage(AVAILABILITY_PART, &[1, 9, 9])]
+fn an_unknown_part_version_or_command_is_an_error(#[case] part: u8, #[case] command: &[u8]) {
     assert!(Availability::default().decide(3, part, command).is_err());
     assert!(Availability::default().restore(3, &[7]).is_err());
 }
@@ -75,10 +75,6 @@
 #[case(0.25, 12, 3)]
 #[case(0.25, 3, 1)]
 #[case(0.0, 3, 1)]
-fn the_part_that_may_be_out_is_one_at_least(
-    #[case] part: f64,
-    #[case] servers: usize,
-    #[case] expected: u16,
-) {
+fn at_least_one_server_may_be_unavailable(#[case] part: f64, #[case] servers: usize, #[case] expected: u16) {
     assert_eq!(max_unavailable(part, servers), expected);
 }
--- a/outs/tests/evidence.rs
+++ b/outs/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! A release that does nothing goes on; one that serves worse is halted, how soon depends on the traffic.
+//! A release without effect continues; one that serves worse is halted, sooner with more traffic.
 
 use agree::Id;
 use outs::evidence::{COMPARED_PERIODS, Evidence, FALSE_ALARM, Judgement, MIN_CONVERSATIONS, Report};
@@ -7,11 +7,11 @@
 use rstest::rstest;
 
 const PROXIES: u64 = 40;
-/// Those that run the release after each wave but the last.
+/// Proxies that run the release after each wave but the last.
 const RELEASED: [u64; 3] = [1, 2, 4];
 
-/// Conversations of a proxy in a span, each served with its proxy's own chance, worse by some part where it
-/// runs the release.
+/// A proxy's report for a period. Each conversation succeeds with the proxy's own probability, reduced by
+/// `worse` where it runs the release.
 fn report(rng: &mut Pcg64Mcg, proxy: Id, traffic: f64, worse: f64) -> Report {
     let own = 0.85 + 0.1 * (proxy as f64 * 0.618).fract();
     let conversations = (traffic * (0.5 + rng.random::<f64>())) as u16;
@@ -21,7 +21,7 @@
     Report { conversations, earned, failed: 1.0 - earned, setup_quantile: (quantile * 50.0).ceil() / 50.0 }
 }
 
-/// Plays a release through its waves; gives the wave after which it was halted.
+/// Runs a release through its waves. Returns the wave after which it was halted.
 fn play(seed: u64, traffic: f64, worse: f64) -> Option<usize> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut evidence = Evidence::default();
@@ -39,7 +39,7 @@
         loop {
             pass(&mut evidence, released, &mut span);
             match evidence.judge(span, 7, wave, |id| id < released) {
-                Judgement::Wait => assert!(span < 1_000, "waits for ever"),
+                Judgement::Wait => assert!(span < 1_000, "waits forever"),
                 Judgement::Go => break,
                 Judgement::Halt { .. } => return Some(wave),
             }
@@ -49,11 +49,11 @@
 }
 
 #[test]
-fn a_release_that_does_nothing_is_seldom_halted() {
+fn a_release_without_effect_is_rarely_halted() {
     let runs = 400;
     let alarms = (0..runs).filter(|&seed| play(seed, 40.0, 0.0).is_some()).count();
     eprintln!("{alarms} false alarms in {runs}");
-    // Twice the stated rate: these many runs tell it no nearer.
+    // Twice the stated rate, as this number of runs does not measure it more exactly.
     assert!((alarms as f64) < 2.0 * FALSE_ALARM * runs as f64, "{alarms} of {runs}");
 }
 
@@ -63,7 +63,7 @@
 #[case::three_in_a_hundred_worse(0.03, 2000.0, 0.9)]
 #[case::three_in_a_hundred_worse_with_little_traffic(0.03, 200.0, 0.9)]
 #[case::three_in_a_hundred_worse_with_very_little(0.03, 40.0, 0.2)]
-fn one_that_serves_worse_is_halted_before_the_last_wave(
+fn a_release_that_serves_worse_is_halted_before_the_last_wave(
     #[case] worse: f64,
     #[case] traffic: f64,
     #[case] least: f64,
@@ -72,13 +72,13 @@
     let halted = waves.iter().flatten().count() as f64 / 60.0;
     let first_two = waves.iter().flatten().filter(|&&wave| wave < 2).count();
     eprintln!(
-        "{worse} worse at {traffic} a span: {halted:.2} halted, {first_two} of 60 by the first two waves"
+        "{worse} worse with {traffic} conversations per period: {halted:.2} halted, {first_two} of 60 by the first two waves"
     );
     assert!(halted >= least, "{halted}");
 }
 
 #[test]
-fn too_little_traffic_means_to_wait() {
+fn too_little_traffic_gives_no_verdict() {
     let mut evidence = Evidence::default();
     let quiet =
         Report { conversations: MIN_CONVERSATIONS - 1, earned: 0.0, failed: 1.0, setup_quantile: 1.0 };
@@ -98,6 +98,6 @@
 #[case(&[1, 2, 3])]
 #[case(&Report { earned: f32::NAN, ..Report::default() }.write())]
 #[case(&Report { failed: 7.0, ..Report::default() }.write())]
-fn a_report_of_no_use_is_none(#[case] bytes: &[u8]) {
+fn a_malformed_or_out_of_range_report_is_rejected(#[case] bytes: &[u8]) {
     assert_eq!(Report::read(bytes), None);
 }
--- a/outs/tests/grants.rs
+++ b/outs/tests/grants.rs
@@ -1,5 +1,5 @@
-//! All orders of a few decisions, and longer ones by chance: never more granted than may be out, one that
-//! goes is counted until it is seen well, and from everywhere there is a way back in.
+//! All orders of a few decisions, and longer random ones: grants never exceed the budget, a proxy that
+//! leaves counts until it is confirmed healthy, and every state has a way back to available.
 
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
@@ -33,7 +33,7 @@
     Command::Returned { proxy, running_release: 7, caller_address: ([127, 0, 0, 1], 4569).into() }
 }
 
-/// All that can be said next, by anybody, in time or late.
+/// All commands that any proxy could send next, in time or delayed.
 fn possible_commands(grants: &Grants) -> Vec<Command> {
     let mut all = Vec::new();
     for proxy in PROXIES {
@@ -57,15 +57,15 @@
     all
 }
 
-/// What holds after each decision.
+/// Checks the invariants of one decision.
 fn check(before: &Grants, command: &Command, verdict: &Verdict, after: &Grants) {
     let (was, is): (BTreeSet<Id>, BTreeSet<Id>) =
         (before.unavailable().collect(), after.unavailable().collect());
-    // Losses are not asked for: only by them the sum goes over, and then nothing is granted.
+    // Failures are not requested: only they can exceed the budget, and then nothing may be granted.
     let granted = matches!(command, Command::Request { .. }) && *verdict == Verdict::Done;
-    assert!(!granted || is.len() <= usize::from(MAX_UNAVAILABLE), "{command:?} with {was:?} out");
+    assert!(!granted || is.len() <= usize::from(MAX_UNAVAILABLE), "{command:?} with {was:?} unavailable");
     for proxy in PROXIES {
-        // Out comes only of a grant, and the one that is held.
+        // A proxy may go offline only by a grant that it holds.
         let begins = matches!(after.unavailability(proxy), Some(Unavailability::Offline { .. }));
         if begins && !matches!(before.unavailability(proxy), Some(Unavailability::Offline { .. })) {
             assert!(
@@ -73,7 +73,7 @@
                 "{command:?}"
             );
         }
-        // In again only by witnesses, by giving the grant back, or by an operator's word.
+        // A proxy becomes available only by witnesses, by returning its grant, or by an operator.
         if was.contains(&proxy) && !is.contains(&proxy) {
             let allowed = matches!(
                 command,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Whatever the state, words that are sure to come in the end bring all proxies in.
+/// In any state, the commands that eventually arrive make all proxies available.
 fn assert_can_return(mut grants: Grants) {
     for proxy in PROXIES {
         let grant = grant(&grants, proxy);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn in_all_orders_of_four_decisions_the_sum_holds_and_there_is_a_way_back() {
+fn four_decisions_in_any_order_keep_the_budget_and_allow_a_return() {
     let mut visited = HashSet::new();
     let mut next = VecDeque::from([(new_grants(), 2)]);
     while let Some((grants, decided)) = next.pop_front() {
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn long_random_orders_hold_too() {
+fn long_random_orders_keep_the_budget_and_allow_a_return() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut grants = new_grants();
@@ -138,23 +138,23 @@
 }
 
 #[rstest]
-#[case::killed_between_grant_and_drain(&[Command::Request { proxy: 1, release: 7 }, Command::Revoke { proxy: 1, grant: 2 }], false)]
-#[case::a_holder_that_wakes_after_its_grant_was_taken_back(
+#[case::killed_between_grant_and_begin(&[Command::Request { proxy: 1, release: 7 }, Command::Revoke { proxy: 1, grant: 2 }], false)]
+#[case::resumed_after_its_grant_was_revoked(
     &[Command::Request { proxy: 1, release: 7 }, Command::Revoke { proxy: 1, grant: 2 }, Command::Begin { proxy: 1, grant: 2 }], false
 )]
-#[case::killed_while_out(&[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }], true)]
-#[case::killed_just_before_it_says_that_it_is_back(
+#[case::killed_while_offline(&[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }], true)]
+#[case::killed_just_before_it_reports_its_return(
     &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, Command::Suspected { proxy: 1, witness: 2 }], true
 )]
-#[case::back_but_seen_by_one_alone(
+#[case::confirmed_by_one_witness_only(
     &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, returned(1),
       Command::Healthy { proxy: 1, witness: 2 }, Command::Healthy { proxy: 1, witness: 2 }], true
 )]
-#[case::its_own_word_counts_nothing(
+#[case::its_own_confirmation_does_not_count(
     &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, returned(1),
       Command::Healthy { proxy: 1, witness: 1 }, Command::Healthy { proxy: 1, witness: 2 }], true
 )]
-#[case::seen_by_enough(
+#[case::confirmed_by_enough_witnesses(
     &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 }, returned(1),
       Command::Healthy { proxy: 1, witness: 2 }, Command::Healthy { proxy: 1, witness: 3 }], false
 )]
@@ -162,9 +162,9 @@
     &[Command::Request { proxy: 1, release: 7 }, Command::Begin { proxy: 1, grant: 2 },
       Command::WriteOff { proxy: 1, why: "burnt".into() }], false
 )]
-#[case::one_misses_it(&[Command::Suspected { proxy: 1, witness: 2 }], false)]
-#[case::enough_miss_it(&[Command::Suspected { proxy: 1, witness: 2 }, Command::Suspected { proxy: 1, witness: 3 }], true)]
-fn a_place_is_taken_up(#[case] commands: &[Command], #[case] counts: bool) {
+#[case::suspected_by_one(&[Command::Suspected { proxy: 1, witness: 2 }], false)]
+#[case::suspected_by_enough(&[Command::Suspected { proxy: 1, witness: 2 }, Command::Suspected { proxy: 1, witness: 3 }], true)]
+fn a_proxy_counts_against_the_budget_in_these_states(#[case] commands: &[Command], #[case] counts: bool) {
     let mut grants = new_grants();
     for (command, decided) in commands.iter().zip(2..) {
         grants.decide(decided, command.clone());
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn while_losses_use_the_budget_up_none_goes() {
+fn no_grant_while_suspected_proxies_use_up_the_budget() {
     let mut grants = new_grants();
     for (lost, witness) in [(3, 1), (3, 2), (4, 1), (4, 2)] {
         grants.decide(2, Command::Suspected { proxy: lost, witness });
@@ -184,7 +184,7 @@
     );
     grants.decide(4, Command::SuspicionCleared { proxy: 4, witness: 1 });
     assert_eq!(grants.decide(5, Command::Request { proxy: 1, release: 7 }), Verdict::Done);
-    // A smaller budget calls nobody back.
+    // A smaller budget recalls nobody.
     assert_eq!(grants.decide(6, Command::Budget { max_unavailable: 1, witnesses: 2 }), Verdict::Done);
     assert_eq!(grants.unavailable().count(), 2);
     assert_eq!(grants.decide(7, Command::Budget { max_unavailable: 0, witnesses: 2 }), Verdict::Invalid);
--- a/outs/tests/releases.rs
+++ b/outs/tests/releases.rs
@@ -1,5 +1,5 @@
-//! A release through all orders of a few decisions: nobody is let out before its wave or after a halt, and
-//! from every state the way back ends with nobody running it.
+//! A release through all orders of a few decisions: no proxy gets a grant before its wave or after a halt,
+//! and rolling back from any state ends with no proxy running it.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -12,7 +12,7 @@
 const RELEASE: u64 = 2;
 
 fn decide(availability: &mut Availability, index: u64, command: &Command) -> Verdict {
-    Verdict::read(&availability.decide(index, AVAILABILITY_PART, &command.write()).expect("known"))
+    Verdict::read(&availability.decide(index, AVAILABILITY_PART, &command.write()).expect("a known command"))
         .expect("a verdict")
 }
 
@@ -40,7 +40,7 @@
     availability
 }
 
-/// One that is out runs the release, or what ran before it.
+/// The commands that could come next. A returned proxy may run the release or what ran before it.
 fn possible_commands(availability: &Availability) -> Vec<Command> {
     let mut commands = vec![
         Command::Releases(releases::Command::Halt { release: RELEASE, why: "bad".into() }),
@@ -70,7 +70,7 @@
     PROXIES.iter().filter(|&&proxy| availability.releases.running_release(proxy) == RELEASE).count()
 }
 
-/// Words that are sure to come in the end: back it goes, and nobody runs it any more.
+/// The commands that eventually arrive roll the release back, so that no proxy runs it.
 fn assert_rolls_back(mut availability: Availability) {
     let back = Command::Releases(releases::Command::RollBack { release: RELEASE });
     decide(&mut availability, 50, &back);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn in_all_orders_nobody_goes_before_its_wave_or_after_a_halt_and_the_way_back_ends() {
+fn no_order_grants_before_the_wave_or_after_a_halt_and_every_rollback_ends() {
     let mut availability = staged();
     PROXIES.iter().for_each(|&proxy| {
         assert!(matches!(decide(&mut availability, 3, &ready(proxy)), Verdict::Releases(_)))
@@ -122,18 +122,18 @@
                 .grants
                 .unavailabilities()
                 .any(|(_, unavailability)| matches!(unavailability, Unavailability::Granted { .. }));
-            assert!(!(halted && granted), "let out though halted: {command:?}");
+            assert!(!(halted && granted), "granted after a halt: {command:?}");
             if visited.insert(format!("{after:?}")) {
                 assert_rolls_back(after.clone());
                 next.push_back((after, index + 1));
             }
         }
     }
-    assert!(visited.len() > 60, "all states that there are: {}", visited.len());
+    assert!(visited.len() > 60, "too few states: {}", visited.len());
 }
 
 #[test]
-fn all_have_to_be_ready_and_one_release_goes_at_a_time() {
+fn a_release_starts_only_when_all_are_ready_and_no_other_is_in_progress() {
     let mut availability = staged();
     decide(&mut availability, 3, &ready(1));
     let rejected =
@@ -158,12 +158,12 @@
     let waves = &availability.releases.current().expect("staged").waves;
     assert_eq!(waves.iter().map(Vec::len).collect::<Vec<_>>(), [1, 1, 1], "{waves:?}");
     let mut other = Availability::default();
-    other.restore(9, &availability.state()).expect("its own form");
+    other.restore(9, &availability.state()).expect("its own state is readable");
     assert_eq!(other, availability);
 }
 
 #[test]
-fn of_a_wave_only_so_many_ask_as_there_are_places() {
+fn no_more_proxies_request_than_the_budget_has_places() {
     const ALL: u64 = 40;
     let mut availability = Availability::default();
     decide(
@@ -218,5 +218,5 @@
         }
     }
     assert!(availability.releases.current().expect("staged").is_finished());
-    assert_eq!(requested, ALL, "nobody asks in vain");
+    assert_eq!(requested, ALL, "a request was in vain");
 }
