--- a/outs/src/drains.rs
+++ b/outs/src/drains.rs
@@ -86,7 +86,7 @@
 
 impl Notice {
     /// Reads an entry's value; `None` if its form is unknown.
-    pub fn read(value: &[u8]) -> Option<Self> {
+    pub fn decode(value: &[u8]) -> Option<Self> {
         crate::decode(crate::VERSION, value)
     }
 }
--- a/outs/src/evidence.rs
+++ b/outs/src/evidence.rs
@@ -40,12 +40,12 @@
 
 impl Report {
     /// Encodes a report.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("plain data can be encoded")
     }
 
     /// Reads a report; `None` if it is malformed or a number is out of range.
-    pub fn read(bytes: &[u8]) -> Option<Self> {
+    pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (report, rest) = postcard::take_from_bytes::<Self>(bytes).ok()?;
         let fractions = [report.earned, report.failed, report.setup_quantile];
         (rest.is_empty() && fractions.iter().all(|fraction| (0.0..=1.0).contains(fraction))).then_some(report)
--- a/outs/src/lib.rs
+++ b/outs/src/lib.rs
@@ -61,14 +61,14 @@
 
 impl Command {
     /// Encodes the command.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         encode(VERSION, self)
     }
 }
 
 impl Verdict {
     /// Decodes a verdict; `None` if malformed.
-    pub fn read(bytes: &[u8]) -> Option<Self> {
+    pub fn decode(bytes: &[u8]) -> Option<Self> {
         decode(VERSION, bytes)
     }
 }
--- a/outs/tests/distributed.rs
+++ b/outs/tests/distributed.rs
@@ -7,7 +7,7 @@
 
 fn decide(availability: &mut Availability, index: u64, command: Command) {
     availability
-        .decide(index, AVAILABILITY_PART, &outs::Command::Drains(command).write())
+        .decide(index, AVAILABILITY_PART, &outs::Command::Drains(command).encode())
         .expect("a known command");
 }
 
@@ -44,7 +44,7 @@
     let key = |server: &str| Key::new(format!("drain/{server}")).expect("a valid key");
     let (version, value) = availability.scoped().get(Scope::Service(3), &key("a")).expect("the entry exists");
     assert_eq!(version, 4);
-    assert_eq!(Notice::read(value), Some(Notice { by: "p1".into(), why: "disk".into(), unix_ms: 7 }));
+    assert_eq!(Notice::decode(value), Some(Notice { by: "p1".into(), why: "disk".into(), unix_ms: 7 }));
     assert!(availability.scoped().get(Scope::Service(70), &key("b")).is_some());
     assert_ne!(availability.root(), empty);
     undrain(&mut availability, 9, "a");
--- a/outs/tests/drains.rs
+++ b/outs/tests/drains.rs
@@ -23,12 +23,12 @@
 }
 
 fn encoded(command: &Command) -> Vec<u8> {
-    outs::Command::Drains(command.clone()).write()
+    outs::Command::Drains(command.clone()).encode()
 }
 
 fn decide(availability: &mut Availability, command: &Command) -> Verdict {
     let answer = availability.decide(5, AVAILABILITY_PART, &encoded(command)).expect("a known command");
-    let Some(outs::Verdict::Drains(verdict)) = outs::Verdict::read(&answer) else { panic!("{answer:?}") };
+    let Some(outs::Verdict::Drains(verdict)) = outs::Verdict::decode(&answer) else { panic!("{answer:?}") };
     verdict
 }
 
--- a/outs/tests/evidence.rs
+++ b/outs/tests/evidence.rs
@@ -96,8 +96,8 @@
 
 #[rstest]
 #[case(&[1, 2, 3])]
-#[case(&Report { earned: f32::NAN, ..Report::default() }.write())]
-#[case(&Report { failed: 7.0, ..Report::default() }.write())]
+#[case(&Report { earned: f32::NAN, ..Report::default() }.encode())]
+#[case(&Report { failed: 7.0, ..Report::default() }.encode())]
 fn a_malformed_or_out_of_range_report_is_rejected(#[case] bytes: &[u8]) {
-    assert_eq!(Report::read(bytes), None);
+    assert_eq!(Report::decode(bytes), None);
 }
--- a/outs/tests/releases.rs
+++ b/outs/tests/releases.rs
@@ -12,8 +12,10 @@
 const RELEASE: u64 = 2;
 
 fn decide(availability: &mut Availability, index: u64, command: &Command) -> Verdict {
-    Verdict::read(&availability.decide(index, AVAILABILITY_PART, &command.write()).expect("a known command"))
-        .expect("a verdict")
+    Verdict::decode(
+        &availability.decide(index, AVAILABILITY_PART, &command.encode()).expect("a known command"),
+    )
+    .expect("a verdict")
 }
 
 fn stage() -> Command {
--- a/proxy/src/decided/mod.rs
+++ b/proxy/src/decided/mod.rs
@@ -137,7 +137,7 @@
             self.agreement.receive(now, from, &bytes);
         }
         while let Some((from, bytes)) = node.said_to(Part::Evidence) {
-            if let Some((report, span)) = Report::read(&bytes).zip(self.terms.span) {
+            if let Some((report, span)) = Report::decode(&bytes).zip(self.terms.span) {
                 self.evidence.record((now / span) as u64, from, report);
             }
         }
@@ -199,7 +199,7 @@
         for command in wanted {
             let waits =
                 self.asked.values().chain(self.rests.iter().map(|(of, _)| of)).any(|of| *of == command);
-            if !waits && let Ok(request) = self.agreement.propose(now, AVAILABILITY_PART, command.write()) {
+            if !waits && let Ok(request) = self.agreement.propose(now, AVAILABILITY_PART, command.encode()) {
                 self.asked.insert(request, command);
             }
         }
@@ -217,7 +217,7 @@
         self.evidence.record((now / span) as u64, self.own.id, report);
         let council = self.agreement.status(now).council;
         for member in council.ids().filter(|&id| id != self.own.id) {
-            node.say_to(now, member, Part::Evidence, report.write());
+            node.say_to(now, member, Part::Evidence, report.encode());
         }
     }
 
--- a/proxy/src/decided/wishes.rs
+++ b/proxy/src/decided/wishes.rs
@@ -139,9 +139,9 @@
     pub fn try_wish(&self, wish: &Wish, node: &Node, pool: &PoolList, unix: f64) -> Result<Answer, String> {
         Ok(match self.command(wish, node, pool, unix)? {
             Asked::Outs(command) => {
-                let told = self.agreement.machine().clone().decide(0, AVAILABILITY_PART, &command.write());
+                let told = self.agreement.machine().clone().decide(0, AVAILABILITY_PART, &command.encode());
                 let told = told.map_err(|unknown| unknown.to_string())?;
-                Verdict::read(&told).map_or(Answer::Already, |told| verdict(0, &told))
+                Verdict::decode(&told).map_or(Answer::Already, |told| verdict(0, &told))
             }
             Asked::Council(council) if council.follows(&self.agreement.status(0.0).council) => {
                 Answer::Done { decision: 0 }
@@ -160,7 +160,7 @@
         pool: &PoolList,
     ) -> Result<u64, String> {
         match self.command(wish, node, pool, unix)? {
-            Asked::Outs(command) => self.agreement.propose(now, AVAILABILITY_PART, command.write()),
+            Asked::Outs(command) => self.agreement.propose(now, AVAILABILITY_PART, command.encode()),
             Asked::Council(council) => self.agreement.propose_council(now, council),
         }
         .map_err(refusal)
@@ -184,7 +184,7 @@
             Outcome::Refused(why) => Answer::Refused { why: refusal(why) },
             Outcome::Done { by } => Answer::Done { decision: by },
             Outcome::Decided { index, answer } if answer.is_empty() => Answer::Done { decision: index },
-            Outcome::Decided { index, answer } => match Verdict::read(&answer) {
+            Outcome::Decided { index, answer } => match Verdict::decode(&answer) {
                 Some(told) => verdict(index, &told),
                 None => Answer::Done { decision: index },
             },
--- a/proxy/src/distributed/subscription.rs
+++ b/proxy/src/distributed/subscription.rs
@@ -137,7 +137,7 @@
         let drain = |entry: distribution::Entry| {
             let server = drains::server_of(&entry.key)?.to_owned();
             // Of another form than is known here, it drains all the same.
-            let notice = Notice::read(&entry.value);
+            let notice = Notice::decode(&entry.value);
             let (by, why) = notice.map(|notice| (notice.by, notice.why)).unwrap_or_default();
             Some(DistributedDrain { server, by, why, decision: entry.version })
         };
