--- a/agree/src/agreement.rs
+++ b/agree/src/agreement.rs
@@ -511,8 +511,8 @@
     /// The matched index of each other council member, for operators.
     pub(crate) fn follower_progress(&self) -> BTreeMap<Id, Index> {
         match &self.role_state {
-            RoleState::Leader(lead) => {
-                lead.progress.iter().map(|(&id, progress)| (id, progress.matched)).collect()
+            RoleState::Leader(leader_state) => {
+                leader_state.progress.iter().map(|(&id, progress)| (id, progress.matched)).collect()
             }
             _ => BTreeMap::new(),
         }
--- a/agree/src/bootstrap.rs
+++ b/agree/src/bootstrap.rs
@@ -130,8 +130,8 @@
             self.bootstrap.unadmitted_disks.insert(from, disk_id);
         }
         // What it acknowledged no longer counts until it acknowledges it again.
-        if let RoleState::Leader(lead) = &mut self.role_state
-            && let Some(progress) = lead.progress.get_mut(&from)
+        if let RoleState::Leader(leader_state) = &mut self.role_state
+            && let Some(progress) = leader_state.progress.get_mut(&from)
         {
             let (former_disk_id, matched) = (progress.disk_id, progress.matched);
             (progress.matched, progress.disk_matches) = (0, false);
--- a/agree/src/dissemination.rs
+++ b/agree/src/dissemination.rs
@@ -151,7 +151,7 @@
             .persisted
             .council_proofs
             .iter()
-            .any(|of| of.certificate.statement.version >= proof.certificate.statement.version)
+            .any(|kept| kept.certificate.statement.version >= proof.certificate.statement.version)
         {
             self.persist(disk::encode_council_proof(&proof));
             self.persisted.council_proofs.push(proof);
--- a/agree/src/freshness_requests.rs
+++ b/agree/src/freshness_requests.rs
@@ -56,7 +56,7 @@
     /// How old this proxy's knowledge of the decisions can be, in milliseconds; infinite before the first
     /// answer.
     pub fn age(&self, now: f64) -> f64 {
-        self.freshness.fresh_as_of.map_or(f64::INFINITY, |at| now - at)
+        self.freshness.fresh_as_of.map_or(f64::INFINITY, |as_of| now - as_of)
     }
 
     /// Asks the council now, even if no request is due. [`Agreement::age`] shows when it has answered.
@@ -72,8 +72,8 @@
         if self.freshness.requested_nonces.len() > MAX_PROOFS {
             self.freshness.requested_nonces.pop_front();
         }
-        if let RoleState::Leader(lead) = &self.role_state {
-            self.freshness.waiting.push_back((self.id, nonce, lead.round + 1));
+        if let RoleState::Leader(leader_state) = &self.role_state {
+            self.freshness.waiting.push_back((self.id, nonce, leader_state.round + 1));
         } else if let Some(to) = if self.is_voter() { self.leader() } else { self.random_voter() } {
             self.send(to, &Message::FreshnessRequest { nonce });
         }
@@ -92,7 +92,7 @@
         let timed_out = self
             .freshness
             .own_request
-            .is_some_and(|(_, at)| now - at >= interval.min(self.election_timeout()));
+            .is_some_and(|(_, sent_at)| now - sent_at >= interval.min(self.election_timeout()));
         if timed_out {
             (self.freshness.own_request, self.freshness.relayed) = (None, Vec::new());
         }
@@ -104,8 +104,8 @@
     /// Sends the proxy's own request, which also covers the requests of others.
     fn send_freshness_request(&mut self, now: f64) {
         let nonce: Nonce = self.rng.random();
-        if let RoleState::Leader(lead) = &self.role_state {
-            let round = lead.round + 1;
+        if let RoleState::Leader(leader_state) = &self.role_state {
+            let round = leader_state.round + 1;
             self.freshness.own_request = Some((nonce, now));
             self.freshness.waiting.push_back((self.id, nonce, round));
             return;
@@ -124,7 +124,7 @@
             return;
         }
         let round = match &self.role_state {
-            RoleState::Leader(lead) => lead.round + 1,
+            RoleState::Leader(leader_state) => leader_state.round + 1,
             _ => 0,
         };
         self.freshness.waiting.push_back((from, nonce, round));
@@ -137,10 +137,15 @@
 
     /// As the leader, answers the requests whose round a majority has answered.
     pub(crate) fn answer_waiting(&mut self) {
-        let RoleState::Leader(lead) = &self.role_state else { return };
+        let RoleState::Leader(leader_state) = &self.role_state else { return };
         let council = self.persisted.log.council();
-        let last_round =
-            |id: Id| lead.progress.get(&id).filter(|of| of.disk_matches).map_or(0, |of| of.round);
+        let last_round = |id: Id| {
+            leader_state
+                .progress
+                .get(&id)
+                .filter(|progress| progress.disk_matches)
+                .map_or(0, |progress| progress.round)
+        };
         let round_acknowledged =
             |round: u64| council.is_majority(|voter| voter.id == self.id || last_round(voter.id) >= round);
         // Before an entry of its own term is decided, a leader may not know what earlier leaders decided.
@@ -185,17 +190,17 @@
             self.counts.unproved += 1;
             return;
         }
-        if let Some(at) = requested {
-            self.freshness.requested_nonces.remove(at);
+        if let Some(position) = requested {
+            self.freshness.requested_nonces.remove(position);
             self.freshness.proofs.push_back(proof);
             if self.freshness.proofs.len() > MAX_PROOFS {
                 self.freshness.proofs.pop_front();
             }
             return;
         }
-        let Some((_, at)) = own else { return };
+        let Some((_, sent_at)) = own else { return };
         self.freshness.own_request = None;
-        self.freshness.confirmed = Some((at, proof.index));
+        self.freshness.confirmed = Some((sent_at, proof.index));
         for (to, nonce) in std::mem::take(&mut self.freshness.relayed) {
             self.send_freshness_response(to, nonce, proof.index);
         }
@@ -204,8 +209,9 @@
 
     /// Counts a confirmed answer once its index is applied.
     pub(crate) fn complete_refresh(&mut self) {
-        if let Some((at, _)) = self.freshness.confirmed.filter(|(_, index)| self.applied >= *index) {
-            self.freshness.fresh_as_of = Some(self.freshness.fresh_as_of.map_or(at, |before| before.max(at)));
+        if let Some((as_of, _)) = self.freshness.confirmed.filter(|(_, index)| self.applied >= *index) {
+            self.freshness.fresh_as_of =
+                Some(self.freshness.fresh_as_of.map_or(as_of, |before| before.max(as_of)));
             self.freshness.confirmed = None;
         }
     }
--- a/agree/src/replication.rs
+++ b/agree/src/replication.rs
@@ -68,8 +68,8 @@
         let log_position = self.persisted.log.append(entry.clone());
         self.persist(disk::encode_append(log_position.index - 1, &[entry]));
         let disk_position = self.disk.position();
-        let RoleState::Leader(lead) = &mut self.role_state else { return };
-        lead.unsynced.push_back((disk_position, log_position.index));
+        let RoleState::Leader(leader_state) = &mut self.role_state else { return };
+        leader_state.unsynced.push_back((disk_position, log_position.index));
         let new_progress = Progress {
             next: log_position.index,
             matched: 0,
@@ -80,25 +80,25 @@
         };
         let council = self.persisted.log.council();
         council.ids().filter(|&id| id != self.id).for_each(|id| {
-            lead.progress.entry(id).or_insert(new_progress);
+            leader_state.progress.entry(id).or_insert(new_progress);
         });
-        lead.progress.retain(|&id, _| council.contains(id));
+        leader_state.progress.retain(|&id, _| council.contains(id));
         self.update_own_progress(now);
         self.send_append_to_all();
     }
 
     fn send_append_to_all(&mut self) {
-        let RoleState::Leader(lead) = &self.role_state else { return };
-        for to in lead.progress.keys().copied().collect::<Vec<_>>() {
+        let RoleState::Leader(leader_state) = &self.role_state else { return };
+        for to in leader_state.progress.keys().copied().collect::<Vec<_>>() {
             self.send_append(to);
         }
     }
 
     /// Sends a member the entries that it lacks.
     fn send_append(&mut self, to: Id) {
-        let RoleState::Leader(lead) = &self.role_state else { return };
-        let Some(progress) = lead.progress.get(&to) else { return };
-        let (next, round) = (progress.next, lead.round);
+        let RoleState::Leader(leader_state) = &self.role_state else { return };
+        let Some(progress) = leader_state.progress.get(&to) else { return };
+        let (next, round) = (progress.next, leader_state.round);
         let log_position = self.persisted.log.position_at(next - 1).unwrap_or_else(|| {
             // What the member knows to be decided is before the start of this log. It may still have the
             // entry at the log's base undecided; if not, it gets a snapshot by the certificate and reports
@@ -116,13 +116,15 @@
     /// Sends the leader's heartbeat to all, and steps down if no majority was heard.
     pub(crate) fn leader_heartbeat(&mut self, now: f64) {
         let timeout = self.election_timeout();
-        let RoleState::Leader(lead) = &mut self.role_state else { return };
-        let is_heard = |id: Id| lead.progress.get(&id).is_some_and(|of| now - of.last_heard_at < timeout);
+        let RoleState::Leader(leader_state) = &mut self.role_state else { return };
+        let is_heard = |id: Id| {
+            leader_state.progress.get(&id).is_some_and(|progress| now - progress.last_heard_at < timeout)
+        };
         if !self.persisted.log.council().is_majority(|voter| voter.id == self.id || is_heard(voter.id)) {
             self.counts.stepped_down += 1;
             return self.become_follower(now);
         }
-        lead.round += 1;
+        leader_state.round += 1;
         self.send_append_to_all();
     }
 
@@ -220,8 +222,9 @@
             return self.observe_term(now, term);
         }
         let last = self.persisted.log.last().index;
-        let RoleState::Leader(lead) = &mut self.role_state else { return };
-        let Some(progress) = lead.progress.get_mut(&from).filter(|_| term == self.persisted.term) else {
+        let RoleState::Leader(leader_state) = &mut self.role_state else { return };
+        let Some(progress) = leader_state.progress.get_mut(&from).filter(|_| term == self.persisted.term)
+        else {
             return;
         };
         if progress.disk_id != disk_id {
@@ -257,22 +260,29 @@
     /// Updates how much of the leader's own log is synced to its disk.
     pub(crate) fn update_own_progress(&mut self, now: f64) {
         let synced = self.disk.synced();
-        let RoleState::Leader(lead) = &mut self.role_state else { return };
-        while let Some((_, index)) = lead.unsynced.pop_front_if(|(disk_position, _)| *disk_position <= synced)
+        let RoleState::Leader(leader_state) = &mut self.role_state else { return };
+        while let Some((_, index)) =
+            leader_state.unsynced.pop_front_if(|(disk_position, _)| *disk_position <= synced)
         {
-            lead.own_synced = index;
+            leader_state.own_synced = index;
         }
         self.advance_decided(now);
     }
 
     /// Advances the decided index. Returns whether it did.
     fn advance_decided(&mut self, now: f64) -> bool {
-        let RoleState::Leader(lead) = &self.role_state else { return false };
+        let RoleState::Leader(leader_state) = &self.role_state else { return false };
         let (log, council) = (&self.persisted.log, self.persisted.log.council());
-        let matched = |id: Id| lead.progress.get(&id).filter(|of| of.disk_matches).map_or(0, |of| of.matched);
+        let matched = |id: Id| {
+            leader_state
+                .progress
+                .get(&id)
+                .filter(|progress| progress.disk_matches)
+                .map_or(0, |progress| progress.matched)
+        };
         let has_majority = |index: Index| {
             council.is_majority(|voter| {
-                index <= if voter.id == self.id { lead.own_synced } else { matched(voter.id) }
+                index <= if voter.id == self.id { leader_state.own_synced } else { matched(voter.id) }
             })
         };
         // A majority is not enough for entries of an earlier term: another leader may still replace them.
--- a/agree/src/requests.rs
+++ b/agree/src/requests.rs
@@ -191,14 +191,16 @@
         let own_term_decided = log
             .position_at(self.decided)
             .is_some_and(|log_position| log_position.term == self.persisted.term);
-        let RoleState::Leader(lead) = &self.role_state else { return None };
+        let RoleState::Leader(leader_state) = &self.role_state else { return None };
         // A member that lags behind this log can only catch up with a certificate, and the change itself
         // first has to be certified by a majority of the current council.
         let log_start = log.base().index;
         let can_vote = |id: Id| {
-            let progress = lead.progress.get(&id);
-            progress.is_some_and(|of| {
-                of.disk_matches && of.matched >= log_start && now - of.last_heard_at < self.election_timeout()
+            let progress = leader_state.progress.get(&id);
+            progress.is_some_and(|progress| {
+                progress.disk_matches
+                    && progress.matched >= log_start
+                    && now - progress.last_heard_at < self.election_timeout()
             })
         };
         if !own_term_decided || log.council_version() > self.decided || !self.is_council_proved() {
--- a/outs/src/holder.rs
+++ b/outs/src/holder.rs
@@ -150,17 +150,18 @@
     /// The commands about this proxy itself.
     fn own_commands(&self, availability: &Availability, own: &LocalState, wanted: &mut Vec<Command>) {
         let proxy = own.id;
-        if let Some(release) = availability.releases.current().filter(|of| of.phase == Phase::Staged)
+        if let Some(release) =
+            availability.releases.current().filter(|release| release.phase == Phase::Staged)
             && let Some((_, check_result)) = own.staged.as_ref().filter(|(sum, _)| *sum == release.sum)
         {
             let release_number = release.number;
-            let known = (release.ready.contains(&proxy), release.rejected.get(&proxy));
+            let reported = (release.ready.contains(&proxy), release.rejected.get(&proxy));
             match check_result {
-                Ok(()) if !known.0 => {
+                Ok(()) if !reported.0 => {
                     wanted
                         .push(Command::Releases(releases::Command::Ready { release: release_number, proxy }));
                 }
-                Err(why) if known.1 != Some(why) => {
+                Err(why) if reported.1 != Some(why) => {
                     let why = why.clone();
                     wanted.push(Command::Releases(releases::Command::Rejected {
                         release: release_number,
@@ -172,8 +173,9 @@
             }
         }
         if let Some((release, why)) = &own.failed
-            && let Some(of) = availability.releases.current().filter(|of| of.number == *release)
-            && matches!(of.phase, Phase::Running { .. })
+            && let Some(current) =
+                availability.releases.current().filter(|current| current.number == *release)
+            && matches!(current.phase, Phase::Running { .. })
         {
             let (release, why) = (*release, why.clone());
             wanted.push(Command::Releases(releases::Command::Halt { release, why }));
@@ -213,8 +215,8 @@
     ) -> Option<(&'a Release, bool)> {
         let failed = own.failed.as_ref().map(|(release, _)| *release);
         let next = availability.releases.next_change(own.id);
-        next.filter(|(of, forward)| {
-            *forward != (own.running_release == of.number) && failed != Some(of.number)
+        next.filter(|(release, forward)| {
+            *forward != (own.running_release == release.number) && failed != Some(release.number)
         })
     }
 
--- a/outs/tests/evidence.rs
+++ b/outs/tests/evidence.rs
@@ -22,24 +22,24 @@
 }
 
 /// Runs a release through its waves. Returns the wave after which it was halted.
-fn play(seed: u64, traffic: f64, worse: f64) -> Option<usize> {
+fn run_release(seed: u64, traffic: f64, worse: f64) -> Option<usize> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut evidence = Evidence::default();
-    let mut span = 0;
-    let mut pass = |evidence: &mut Evidence, released: u64, span: &mut u64| {
-        *span += 1;
+    let mut period = 0;
+    let mut run_period = |evidence: &mut Evidence, released: u64, period: &mut u64| {
+        *period += 1;
         for proxy in 0..PROXIES {
             let worse = if proxy < released { worse } else { 0.0 };
-            evidence.record(*span, proxy, report(&mut rng, proxy, traffic, worse));
+            evidence.record(*period, proxy, report(&mut rng, proxy, traffic, worse));
         }
     };
-    (0..40).for_each(|_| pass(&mut evidence, 0, &mut span));
+    (0..40).for_each(|_| run_period(&mut evidence, 0, &mut period));
     evidence.start_release(7);
     for (wave, released) in RELEASED.into_iter().enumerate() {
         loop {
-            pass(&mut evidence, released, &mut span);
-            match evidence.judge(span, 7, wave, |id| id < released) {
-                Judgement::Wait => assert!(span < 1_000, "waits forever"),
+            run_period(&mut evidence, released, &mut period);
+            match evidence.judge(period, 7, wave, |id| id < released) {
+                Judgement::Wait => assert!(period < 1_000, "waits forever"),
                 Judgement::Go => break,
                 Judgement::Halt { .. } => return Some(wave),
             }
@@ -51,7 +51,7 @@
 #[test]
 fn a_release_without_effect_is_rarely_halted() {
     let runs = 400;
-    let alarms = (0..runs).filter(|&seed| play(seed, 40.0, 0.0).is_some()).count();
+    let alarms = (0..runs).filter(|&seed| run_release(seed, 40.0, 0.0).is_some()).count();
     eprintln!("{alarms} false alarms in {runs}");
     // Twice the stated rate, as this number of runs does not measure it more exactly.
     assert!((alarms as f64) < 2.0 * FALSE_ALARM * runs as f64, "{alarms} of {runs}");
@@ -66,15 +66,15 @@
 fn a_release_that_serves_worse_is_halted_before_the_last_wave(
     #[case] worse: f64,
     #[case] traffic: f64,
-    #[case] least: f64,
+    #[case] min_halted: f64,
 ) {
-    let waves: Vec<_> = (0..60).map(|seed| play(seed, traffic, worse)).collect();
+    let waves: Vec<_> = (0..60).map(|seed| run_release(seed, traffic, worse)).collect();
     let halted = waves.iter().flatten().count() as f64 / 60.0;
     let first_two = waves.iter().flatten().filter(|&&wave| wave < 2).count();
     eprintln!(
         "{worse} worse with {traffic} conversations per period: {halted:.2} halted, {first_two} of 60 by the first two waves"
     );
-    assert!(halted >= least, "{halted}");
+    assert!(halted >= min_halted, "{halted}");
 }
 
 #[test]
@@ -82,14 +82,14 @@
     let mut evidence = Evidence::default();
     let quiet =
         Report { conversations: MIN_CONVERSATIONS - 1, earned: 0.0, failed: 1.0, setup_quantile: 1.0 };
-    for span in 1..200 {
-        (0..PROXIES).for_each(|proxy| evidence.record(span, proxy, quiet));
-        assert_eq!(evidence.judge(span, 7, 0, |id| id == 0), Judgement::Wait);
+    for period in 1..200 {
+        (0..PROXIES).for_each(|proxy| evidence.record(period, proxy, quiet));
+        assert_eq!(evidence.judge(period, 7, 0, |id| id == 0), Judgement::Wait);
     }
-    let well = Report { conversations: MIN_CONVERSATIONS, earned: 1.0, failed: 0.0, setup_quantile: 0.1 };
-    for span in 200..200 + COMPARED_PERIODS as u64 {
-        assert_eq!(evidence.judge(span, 7, 0, |id| id == 0), Judgement::Wait);
-        (0..PROXIES).for_each(|proxy| evidence.record(span, proxy, well));
+    let healthy = Report { conversations: MIN_CONVERSATIONS, earned: 1.0, failed: 0.0, setup_quantile: 0.1 };
+    for period in 200..200 + COMPARED_PERIODS as u64 {
+        assert_eq!(evidence.judge(period, 7, 0, |id| id == 0), Judgement::Wait);
+        (0..PROXIES).for_each(|proxy| evidence.record(period, proxy, healthy));
     }
     assert_eq!(evidence.judge(200 + COMPARED_PERIODS as u64, 7, 0, |id| id == 0), Judgement::Go);
 }
--- a/outs/tests/grants.rs
+++ b/outs/tests/grants.rs
@@ -59,11 +59,14 @@
 
 /// Checks the invariants of one decision.
 fn check(before: &Grants, command: &Command, verdict: &Verdict, after: &Grants) {
-    let (was, is): (BTreeSet<Id>, BTreeSet<Id>) =
+    let (before_ids, after_ids): (BTreeSet<Id>, BTreeSet<Id>) =
         (before.unavailable().collect(), after.unavailable().collect());
     // Failures are not requested: only they can exceed the budget, and then nothing may be granted.
     let granted = matches!(command, Command::Request { .. }) && *verdict == Verdict::Done;
-    assert!(!granted || is.len() <= usize::from(MAX_UNAVAILABLE), "{command:?} with {was:?} unavailable");
+    assert!(
+        !granted || after_ids.len() <= usize::from(MAX_UNAVAILABLE),
+        "{command:?} with {before_ids:?} unavailable"
+    );
     for proxy in PROXIES {
         // A proxy may go offline only by a grant that it holds.
         let begins = matches!(after.unavailability(proxy), Some(Unavailability::Offline { .. }));
@@ -74,7 +77,7 @@
             );
         }
         // A proxy becomes available only by witnesses, by returning its grant, or by an operator.
-        if was.contains(&proxy) && !is.contains(&proxy) {
+        if before_ids.contains(&proxy) && !after_ids.contains(&proxy) {
             let allowed = matches!(
                 command,
                 Command::Healthy { .. }
