--- a/agree/src/disk.rs
+++ b/agree/src/disk.rs
@@ -21,6 +21,8 @@
 
 /// Bytes of a snapshot in one frame.
 const CHUNK_BYTES: usize = 2048;
+/// Log entries in one frame.
+const ENTRIES_PER_FRAME: usize = 4;
 
 /// The state after the decisions up to a log position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -109,9 +111,10 @@
     let mut bytes = Vec::new();
     // A truncation without new entries is written too.
     let no_entries: &[Entry] = &[];
-    let chunks = if entries.is_empty() { vec![no_entries] } else { entries.chunks(4).collect() };
+    let chunks =
+        if entries.is_empty() { vec![no_entries] } else { entries.chunks(ENTRIES_PER_FRAME).collect() };
     for (i, entries) in chunks.into_iter().enumerate() {
-        let after = after + 4 * i as u64;
+        let after = after + (ENTRIES_PER_FRAME * i) as u64;
         write_frame(&mut bytes, &Record::Append { after, entries: entries.to_vec() });
     }
     bytes
--- a/outs/src/drains.rs
+++ b/outs/src/drains.rs
@@ -16,6 +16,8 @@
 pub const MAX_REASON_BYTES: usize = 120;
 /// Most servers drained at the same time.
 pub const MAX_DRAINS: usize = 1024;
+/// Drained servers that an answer names; more would not fit.
+const MAX_REPORTED_DRAINS: usize = 8;
 
 /// A command about drains.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -157,8 +159,7 @@
                 let mut drained: Vec<String> = in_pool.map(|(server, _)| server.clone()).collect();
                 let unavailable = listed_unavailable.saturating_add(drained.len() as u16).saturating_add(1);
                 if unavailable > max_unavailable {
-                    // As many as fit in an answer.
-                    drained.truncate(8);
+                    drained.truncate(MAX_REPORTED_DRAINS);
                     return Verdict::OverBudget { unavailable, max_unavailable, drained };
                 }
                 self.drains.insert(server, Drain { pool, by, why, unix_ms, decision });
