--- a/agree/src/agreement.rs
+++ b/agree/src/agreement.rs
@@ -1,4 +1,4 @@
-//! One proxy's part in the agreement: what it holds, what it is told, what is to be sent and written.
+//! One proxy's replica: its state, the messages it receives, and what it has to send and write.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,43 +7,46 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::Id;
+use crate::bootstrap::Bootstrap;
 use crate::certificate::Signer;
 use crate::council::Council;
-use crate::disk::{DiskWrite, Pending, PersistedState, RecoveryError, Snapshot};
-use crate::election::Post;
-use crate::follow::Following;
-use crate::founding::Founding;
-use crate::fresh::Freshness;
+use crate::disk::{DiskWrite, PersistedState, RecoveryError, Snapshot, WriteQueue};
+use crate::dissemination::Dissemination;
+use crate::election::RoleState;
 use crate::freshness::FreshnessProof;
+use crate::freshness_requests::FreshnessRequests;
 use crate::log::{Entry, Hash, Index, Log, LogPosition, Payload};
 use crate::machine::{Machine, UnsupportedDecision};
 use crate::requests::Requests;
 use crate::status::Counts;
-use crate::wire::{self, Message, Stage, Unfit};
-
-/// Messages that wait to be sent, or for the disk; past that the oldest are lost, as on the network.
-const MOST_OUT: usize = 256;
-/// A snapshot is taken at every so many entries, the same ones at each member: its digest is part of what is
-/// signed.
-pub(crate) const SNAPSHOT_EVERY: u64 = 128;
-/// Entries kept for those who are behind: those since the last snapshot but one.
-const SNAPSHOTS: usize = 2;
-/// Entries that are kept at most for members whose signatures a new council waits for.
-const MOST_LOG: u64 = 8 * SNAPSHOT_EVERY;
-/// Requests that are remembered as done, so that one asked for again is not done again.
-const RECENT: usize = 512;
-/// The machine's roots that are kept, for statements on decisions that are not the newest: as far back as the
+use crate::wire::{self, DecodeError, Message, Stage};
+
+/// Messages that wait to be sent or for a disk write. Beyond that the oldest are dropped, as on the
+/// network.
+const MAX_OUTGOING: usize = 256;
+/// Entries between two snapshots. All members take them at the same indexes, since the digest is part of
+/// the signed statement.
+pub(crate) const SNAPSHOT_INTERVAL: u64 = 128;
+/// Snapshots that are kept. The log keeps the entries since the last snapshot but one, for members that lag
+/// behind.
+const KEPT_SNAPSHOTS: usize = 2;
+/// Most entries kept for members whose signatures a new council still needs.
+const MAX_LOG_ENTRIES: u64 = 8 * SNAPSHOT_INTERVAL;
+/// Request numbers that are remembered after being decided, so that a resent request is not applied twice.
+const MAX_RECENT_REQUESTS: usize = 512;
+/// State roots that are kept, for statements on decisions other than the newest: as far back as the
 /// snapshots that statements name.
-const ROOTS: usize = SNAPSHOTS * SNAPSHOT_EVERY as usize;
+const MAX_ROOTS: usize = KEPT_SNAPSHOTS * SNAPSHOT_INTERVAL as usize;
 
-/// What is agreed for the agreement itself.
+/// Settings of the replicated log. All proxies have to use the same values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgreementTerms {
-    /// Who votes at first.
+    /// The first voters.
     pub bootstrap_members: Vec<Id>,
-    /// How often a leader speaks, and anybody looks at what it needs: milliseconds.
+    /// How often the leader sends a heartbeat and each replica runs its periodic work, in milliseconds.
     pub heartbeat: f64,
-    /// How old the word may become by which a proxy acts: it is asked for well before.
+    /// How old, in milliseconds, a proxy's knowledge of the decisions may be when it acts on them. It is
+    /// refreshed well before.
     pub lease: f64,
 }
 
@@ -54,56 +57,60 @@
     pub bytes: Vec<u8>,
 }
 
-/// A message that waits for the disk.
+/// A message that is sent once the disk has synced up to a position.
 #[derive(Clone, Debug, Hash)]
-struct Held {
-    position: u64,
-    out: Outgoing,
+struct QueuedMessage {
+    disk_position: u64,
+    outgoing: Outgoing,
 }
 
-/// One proxy's part.
+/// One proxy's replica of the log and of the machine that the decisions apply to.
 #[derive(Clone)]
 pub struct Agreement<M, S> {
     pub(crate) id: Id,
     pub(crate) terms: AgreementTerms,
     pub(crate) keys: S,
     pub(crate) machine: M,
-    pub(crate) chance: Pcg64Mcg,
-    /// Others that are there, as far as is known.
+    pub(crate) rng: Pcg64Mcg,
+    /// The other proxies that are currently known to be there.
     peers: Vec<Id>,
-    pub(crate) kept: PersistedState,
-    pub(crate) disk: Pending,
-    pub(crate) founding: Founding,
-    pub(crate) post: Post,
-    /// Up to where decisions are known, and are carried out.
+    pub(crate) persisted: PersistedState,
+    pub(crate) disk: WriteQueue,
+    pub(crate) bootstrap: Bootstrap,
+    pub(crate) role_state: RoleState,
+    /// The last index known to be decided, and the last index that is applied.
     pub(crate) decided: Index,
     pub(crate) applied: Index,
     pub(crate) stopped: Option<UnsupportedDecision>,
-    /// The council whose proofs are believed, by the index since which it votes, and the one before it.
-    pub(crate) trust: (Index, Council),
-    pub(crate) former: Option<Council>,
-    /// The council before the present one by what is carried out: the same at all that have come as far, while
-    /// `trust` and `former` may be ahead by a proof.
-    applied_former: Option<Council>,
-    recent: VecDeque<u64>,
-    /// The machine's roots after the latest decisions.
+    /// The council whose certificates are accepted, with the index since which it votes, and the council
+    /// before it.
+    pub(crate) trusted: (Index, Council),
+    pub(crate) former_council: Option<Council>,
+    /// The council before the current one, by the applied entries. It is the same on all replicas that have
+    /// applied as much, while `trusted` and `former_council` may be ahead by a council proof.
+    applied_former_council: Option<Council>,
+    recent_requests: VecDeque<u64>,
+    /// The machine's state roots after the latest decisions.
     roots: VecDeque<(Index, Hash)>,
-    /// Snapshots that are still of use, the newest last, with their digests.
+    /// The snapshots that are still needed, the newest last, with their digests.
     pub(crate) snapshots: VecDeque<(Snapshot, [u8; 32])>,
-    pub(crate) following: Following,
-    pub(crate) fresh: Freshness,
+    pub(crate) dissemination: Dissemination,
+    pub(crate) freshness: FreshnessRequests,
     pub(crate) requests: Requests,
-    out: VecDeque<Held>,
-    beat_at: f64,
-    pub(crate) beats: u64,
+    outgoing: VecDeque<QueuedMessage>,
+    next_heartbeat_at: f64,
+    pub(crate) heartbeats: u64,
     pub(crate) counts: Counts,
     #[cfg(test)]
     pub(crate) fault: Option<crate::tests::Fault>,
 }
 
 impl<M: Machine, S: Signer> Agreement<M, S> {
-    /// `file` is what the disk gave, as [`crate::disk::recover`] reads it. An error only where the machine
-    /// makes nothing of its own snapshot.
+    /// Creates a replica from what [`crate::disk::recover`] read from its file.
+    ///
+    /// # Errors
+    ///
+    /// Fails only when the machine cannot read its own snapshot.
     pub fn new(
         id: Id,
         terms: AgreementTerms,
@@ -113,86 +120,89 @@
         seed: u64,
         now: f64,
     ) -> Result<Self, UnsupportedDecision> {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let founders = Council::bootstrap(terms.bootstrap_members.iter().copied());
-        let kept = file.unwrap_or_else(|_| PersistedState {
-            stage: Stage::Fresh,
-            // 0 is a founder's.
-            disk_id: chance.random_range(1..=u64::MAX),
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let bootstrap_council = Council::bootstrap(terms.bootstrap_members.iter().copied());
+        let persisted = file.unwrap_or_else(|_| PersistedState {
+            stage: Stage::New,
+            // 0 is reserved for bootstrap members.
+            disk_id: rng.random_range(1..=u64::MAX),
             term: 0,
             voted: None,
-            log: Log::new(LogPosition::default(), 0, founders.clone()),
+            log: Log::new(LogPosition::default(), 0, bootstrap_council.clone()),
             snapshot: None,
-            links: Vec::new(),
+            council_proofs: Vec::new(),
         });
         let mut agreement = Self {
             id,
             machine,
             keys,
             peers: Vec::new(),
-            disk: Pending::default(),
-            founding: Founding::new(chance.random(), now),
-            post: Post::idle(now, 0.0),
+            disk: WriteQueue::default(),
+            bootstrap: Bootstrap::new(rng.random(), now),
+            role_state: RoleState::follower(now, 0.0),
             decided: 0,
             applied: 0,
             stopped: None,
-            trust: (0, founders),
-            former: None,
-            applied_former: None,
-            recent: VecDeque::new(),
+            trusted: (0, bootstrap_council),
+            former_council: None,
+            applied_former_council: None,
+            recent_requests: VecDeque::new(),
             roots: VecDeque::new(),
             snapshots: VecDeque::new(),
-            following: Following::default(),
-            fresh: Freshness::default(),
+            dissemination: Dissemination::default(),
+            freshness: FreshnessRequests::default(),
             requests: Requests::default(),
-            out: VecDeque::new(),
-            beat_at: now + terms.heartbeat * chance.random::<f64>(),
-            beats: 0,
+            outgoing: VecDeque::new(),
+            next_heartbeat_at: now + terms.heartbeat * rng.random::<f64>(),
+            heartbeats: 0,
             counts: Counts::default(),
             #[cfg(test)]
             fault: None,
-            chance,
+            rng,
             terms,
-            kept,
+            persisted,
         };
-        if let Some(snapshot) = agreement.kept.snapshot.clone() {
+        if let Some(snapshot) = agreement.persisted.snapshot.clone() {
             agreement.restore(&snapshot)?;
         }
-        agreement.believe_links();
-        agreement.idle(now);
-        // A torn tail goes with it, and a disk that cannot be written shows at once.
+        agreement.trust_council_proofs();
+        agreement.become_follower(now);
+        // Rewriting the file removes a torn tail, and shows at once whether the disk can be written.
         agreement.disk.replace_file();
         Ok(agreement)
     }
 
+    /// This proxy's id.
     pub fn id(&self) -> Id {
         self.id
     }
 
-    /// Up to where decisions are carried out.
+    /// The last index that is applied.
     pub fn applied(&self) -> Index {
         self.applied
     }
 
-    /// The decision since which the council votes that is believed here.
+    /// The index of the decision since which the trusted council votes.
     pub fn council_since(&self) -> Index {
-        self.trust.0
+        self.trusted.0
     }
 
+    /// The machine that the decisions apply to.
     pub fn machine(&self) -> &M {
         &self.machine
     }
 
+    /// The machine, for calls that do not change the decided state.
     pub fn machine_mut(&mut self) -> &mut M {
         &mut self.machine
     }
 
-    /// Goes on with other keys, as in a rotation.
+    /// Replaces the keys, as in a key rotation.
     pub fn rekey(&mut self, keys: S) {
         self.keys = keys;
     }
 
-    /// Who else is there now.
+    /// Sets the other proxies that are currently there.
     pub fn set_peers(&mut self, peers: impl IntoIterator<Item = Id>) {
         self.peers = peers.into_iter().filter(|&peer| peer != self.id).collect();
     }
@@ -201,80 +211,91 @@
         &self.peers
     }
 
-    /// Any other proxy, or any other of the council.
-    pub(crate) fn any_peer(&mut self) -> Option<Id> {
-        self.peers.choose(&mut self.chance).copied()
+    /// A random other proxy.
+    pub(crate) fn random_peer(&mut self) -> Option<Id> {
+        self.peers.choose(&mut self.rng).copied()
     }
 
-    pub(crate) fn any_voter(&mut self) -> Option<Id> {
-        let voters: Vec<Id> = self.trust.1.ids().filter(|&id| id != self.id).collect();
-        voters.choose(&mut self.chance).copied()
+    /// A random other member of the trusted council.
+    pub(crate) fn random_voter(&mut self) -> Option<Id> {
+        let voters: Vec<Id> = self.trusted.1.ids().filter(|&id| id != self.id).collect();
+        voters.choose(&mut self.rng).copied()
     }
 
-    /// When [`Agreement::turn`] is wanted.
+    /// The time when [`Agreement::turn`] has to be called next.
     pub fn due(&self) -> f64 {
-        self.beat_at.min(self.disk.due())
+        self.next_heartbeat_at.min(self.disk.due())
     }
 
-    /// Does what has fallen due.
+    /// Runs the work that is due: one turn of the event loop.
     pub fn turn(&mut self, now: f64) {
-        if now < self.beat_at {
+        if now < self.next_heartbeat_at {
             return;
         }
-        let next = self.beat_at + self.terms.heartbeat * (0.9 + 0.2 * self.chance.random::<f64>());
-        self.beat_at = if next > now { next } else { now + self.terms.heartbeat };
-        self.beats += 1;
-        self.found(now);
-        self.stand(now);
-        self.lead_on(now);
-        self.spread();
-        self.ask_again(now);
-        self.keep_fresh(now);
-    }
-
-    /// A message of another proxy, proved to be its own. Anything may stand in it.
+        let next = self.next_heartbeat_at + self.terms.heartbeat * (0.9 + 0.2 * self.rng.random::<f64>());
+        self.next_heartbeat_at = if next > now { next } else { now + self.terms.heartbeat };
+        self.heartbeats += 1;
+        self.query_bootstrap_peers(now);
+        self.start_election_if_due(now);
+        self.leader_heartbeat(now);
+        self.disseminate();
+        self.resend_requests(now);
+        self.refresh_if_due(now);
+    }
+
+    /// Handles a message of another proxy. The caller has authenticated the sender; the contents are
+    /// untrusted.
     pub fn receive(&mut self, now: f64, from: Id, bytes: &[u8]) {
-        let message = match wire::read(bytes) {
+        let message = match wire::decode(bytes) {
             Ok(message) => message,
-            Err(unfit) => {
+            Err(error) => {
                 let counts = &mut self.counts;
-                *(if unfit == Unfit::Version { &mut counts.unknown } else { &mut counts.malformed }) += 1;
+                *(if error == DecodeError::Version { &mut counts.unknown } else { &mut counts.malformed }) +=
+                    1;
                 return;
             }
         };
         if from == self.id {
-            self.counts.stray += 1;
+            self.counts.unexpected_sender += 1;
             return;
         }
         match message {
-            Message::Hello { nonce, stage, disk_id } => self.hello(from, nonce, stage, disk_id),
-            Message::Known { nonce, stage, term, acked } => self.known(now, from, nonce, stage, term, acked),
-            Message::Ask { term, trial, disk_id, index, of } => {
-                self.asked(now, from, term, trial, disk_id, index, of);
+            Message::Hello { nonce, stage, disk_id } => self.handle_hello(from, nonce, stage, disk_id),
+            Message::HelloResponse { nonce, stage, term, acked } => {
+                self.handle_hello_response(now, from, nonce, stage, term, acked)
             }
-            Message::Vote { term, trial, granted, disk_id } => {
-                self.voted(now, from, term, trial, granted, disk_id)
+            Message::RequestVote { term, pre_vote, disk_id, last_index, last_term } => {
+                self.handle_vote_request(now, from, term, pre_vote, disk_id, last_index, last_term);
+            }
+            Message::Vote { term, pre_vote, granted, disk_id } => {
+                self.handle_vote(now, from, term, pre_vote, granted, disk_id)
             }
             Message::Append { term, round, disk_id, prev, hash, entries, decided } => {
-                self.appended(now, from, term, round, disk_id, (prev, hash), entries, decided);
+                self.handle_append(now, from, term, round, disk_id, (prev, hash), entries, decided);
             }
-            Message::Have { term, round, disk_id, index, fits, signed } => {
-                self.has(now, from, term, round, disk_id, index, fits, signed);
+            Message::AppendResponse { term, round, disk_id, index, fits, signed } => {
+                self.handle_append_response(now, from, term, round, disk_id, index, fits, signed);
             }
-            Message::Tell { seal } => self.told(from, seal),
-            Message::Pull { index, hash, version, sealed, piece } => {
-                self.pulled(from, index, &hash, version, sealed, piece);
+            Message::Certificate { certificate } => self.handle_certificate(from, certificate),
+            Message::Pull { index, hash, council_version, certified, chunk } => {
+                self.handle_pull(from, index, &hash, council_version, certified, chunk);
             }
-            Message::Entries { prev, hash, entries } => self.entries(from, prev, &hash, entries),
-            Message::Council { link } => self.linked(from, *link),
-            Message::Piece { index, hash, term, at, of, bytes } => {
-                self.piece(from, LogPosition { index, term, hash }, at, of, &bytes);
+            Message::Entries { prev, hash, entries } => self.handle_entries(from, prev, &hash, entries),
+            Message::Council { proof } => self.handle_council_proof(from, *proof),
+            Message::SnapshotChunk { index, hash, term, offset, total_bytes, bytes } => {
+                self.handle_snapshot_chunk(
+                    from,
+                    LogPosition { index, term, hash },
+                    offset,
+                    total_bytes,
+                    &bytes,
+                );
             }
-            Message::Propose { request, payload } => self.proposed(now, from, request, payload),
-            Message::Refused { request, refusal } => self.refused(from, request, refusal),
-            Message::Fresh { nonce } => self.fresh_wanted(from, nonce),
-            Message::FreshIs { nonce, index, signature } => {
-                self.fresh_told(FreshnessProof { nonce, index, signer: from, signature });
+            Message::Propose { request, payload } => self.handle_propose(now, from, request, payload),
+            Message::Refused { request, refusal } => self.handle_refused(from, request, refusal),
+            Message::FreshnessRequest { nonce } => self.handle_freshness_request(from, nonce),
+            Message::FreshnessResponse { nonce, index, signature } => {
+                self.handle_freshness_response(FreshnessProof { nonce, index, signer: from, signature });
             }
         }
     }
@@ -282,81 +303,86 @@
     /// The next message to send.
     pub fn outgoing(&mut self) -> Option<Outgoing> {
         let synced = self.disk.synced();
-        let at = self.out.iter().position(|held| held.position <= synced)?;
-        self.out.remove(at).map(|held| held.out)
+        let ready = self.outgoing.iter().position(|message| message.disk_position <= synced)?;
+        self.outgoing.remove(ready).map(|message| message.outgoing)
     }
 
     pub(crate) fn send(&mut self, to: Id, message: &Message) {
         self.send_after(0, to, message);
     }
 
-    /// Sends what rests on all that was written by now.
-    pub(crate) fn send_kept(&mut self, to: Id, message: &Message) {
+    /// Sends a message once everything that is written so far is synced to the disk.
+    pub(crate) fn send_after_sync(&mut self, to: Id, message: &Message) {
         self.send_after(self.disk.position(), to, message);
     }
 
-    fn send_after(&mut self, position: u64, to: Id, message: &Message) {
-        let bytes = wire::write(message);
-        debug_assert!(bytes.len() <= wire::LARGEST, "{} bytes: {message:?}", bytes.len());
-        if self.out.len() >= MOST_OUT {
-            self.out.pop_front();
-            self.counts.crowded += 1;
+    fn send_after(&mut self, disk_position: u64, to: Id, message: &Message) {
+        let bytes = wire::encode(message);
+        debug_assert!(bytes.len() <= wire::MAX_MESSAGE_BYTES, "{} bytes: {message:?}", bytes.len());
+        if self.outgoing.len() >= MAX_OUTGOING {
+            self.outgoing.pop_front();
+            self.counts.dropped_outgoing += 1;
         }
-        self.out.push_back(Held { position, out: Outgoing { to, bytes } });
+        self.outgoing.push_back(QueuedMessage { disk_position, outgoing: Outgoing { to, bytes } });
     }
 
-    /// Whether anything of this proxy's must last: it was named as a founder, or has a seat.
-    pub(crate) fn keeps(&self) -> bool {
-        self.terms.bootstrap_members.contains(&self.id) || self.kept.log.council().contains(self.id)
+    /// Whether this proxy has to persist state: it is a bootstrap member or in the council.
+    pub(crate) fn persists_state(&self) -> bool {
+        self.terms.bootstrap_members.contains(&self.id) || self.persisted.log.council().contains(self.id)
     }
 
-    pub(crate) fn keep(&mut self, bytes: Vec<u8>) {
-        if self.keeps() {
-            self.disk.keep(&bytes);
+    /// Queues bytes to be appended to the file, if this proxy persists state.
+    pub(crate) fn persist(&mut self, bytes: Vec<u8>) {
+        if self.persists_state() {
+            self.disk.append(&bytes);
         }
     }
 
-    /// Bytes for the disk: to be written and synced, in place of the whole file where they begin anew. The
-    /// next ones come when these are told as [`Agreement::write_succeeded`] or [`Agreement::write_failed`].
+    /// The next bytes to write and sync; they replace the whole file where [`DiskWrite::replaces_file`]
+    /// says so. The next write is only returned after [`Agreement::write_succeeded`] or
+    /// [`Agreement::write_failed`].
     pub fn next_write(&mut self, now: f64) -> Option<DiskWrite> {
-        if !self.keeps() {
-            self.disk.skip();
+        if !self.persists_state() {
+            self.disk.discard();
             return None;
         }
-        self.disk.begin(now, || self.kept.whole())
+        self.disk.next_write(now, || self.persisted.encode_file())
     }
 
+    /// Reports that the last write is synced.
     pub fn write_succeeded(&mut self, now: f64) {
-        self.disk.done();
-        self.has_own(now);
-        self.tally(now);
+        self.disk.write_succeeded();
+        self.update_own_progress(now);
+        self.count_votes(now);
     }
 
-    /// The disk refused: it is tried again after a while, with all that is to last.
+    /// Reports that the write failed. The whole state is written again after a while.
     pub fn write_failed(&mut self, now: f64) {
-        self.disk.refused(now, self.terms.heartbeat);
-        self.idle(now);
+        self.disk.write_failed(now, self.terms.heartbeat);
+        self.become_follower(now);
     }
 
-    /// Carries out what is decided.
+    /// Applies the decided entries.
     pub(crate) fn apply(&mut self) {
         while self.applied < self.decided && self.stopped.is_none() {
             let index = self.applied + 1;
-            let Some(Entry { request, payload, .. }) = self.kept.log.entry(index).cloned() else { return };
-            let done = request != 0 && self.recent.contains(&request);
+            let Some(Entry { request, payload, .. }) = self.persisted.log.entry(index).cloned() else {
+                return;
+            };
+            let done = request != 0 && self.recent_requests.contains(&request);
             let mut answer = Vec::new();
             let changes_council = matches!(payload, Payload::Council(_));
             match payload {
                 Payload::Begin => {}
                 Payload::Council(council) => {
-                    self.applied_former = Some(self.kept.log.council_at(index - 1).1.clone());
-                    self.trust_at_least((index, council), self.applied_former.clone());
+                    self.applied_former_council = Some(self.persisted.log.council_at(index - 1).1.clone());
+                    self.trust_logged_council((index, council), self.applied_former_council.clone());
                 }
                 Payload::Decide { part, command } if !done => {
                     match self.machine.decide(index, part, &command) {
-                        Ok(came_to) => answer = came_to,
-                        Err(unknown) => {
-                            self.stopped = Some(unknown);
+                        Ok(result) => answer = result,
+                        Err(unsupported) => {
+                            self.stopped = Some(unsupported);
                             return;
                         }
                     }
@@ -364,11 +390,11 @@
                 Payload::Decide { .. } => {}
             }
             self.applied = index;
-            self.note_root();
+            self.record_root();
             if request != 0 && !done {
-                self.recent.push_back(request);
-                if self.recent.len() > RECENT {
-                    self.recent.pop_front();
+                self.recent_requests.push_back(request);
+                if self.recent_requests.len() > MAX_RECENT_REQUESTS {
+                    self.recent_requests.pop_front();
                 }
                 if changes_council {
                     self.requests.council_decided(request, index);
@@ -376,113 +402,118 @@
                     self.requests.decided(request, index, answer);
                 }
             }
-            if index.is_multiple_of(SNAPSHOT_EVERY) {
-                self.snap();
+            if index.is_multiple_of(SNAPSHOT_INTERVAL) {
+                self.take_snapshot();
             }
         }
-        self.tell_proved();
-        self.arrive();
+        self.report_proved_councils();
+        self.complete_refresh();
     }
 
-    fn note_root(&mut self) {
+    fn record_root(&mut self) {
         self.roots.push_back((self.applied, self.machine.root()));
-        if self.roots.len() > ROOTS {
+        if self.roots.len() > MAX_ROOTS {
             self.roots.pop_front();
         }
     }
 
-    /// The machine's root after a decision; none where that is too long ago.
+    /// The machine's state root after a decision, or `None` if that was too long ago.
     pub(crate) fn root_at(&self, index: Index) -> Option<Hash> {
         let found = self.roots.iter().rev().find(|(at, _)| *at == index);
         found.map(|(_, root)| *root)
     }
 
-    /// A council of the log takes the place of the trusted one, where no proof of a later one came before.
-    fn trust_at_least(&mut self, council: (Index, Council), former: Option<Council>) {
-        if council.0 >= self.trust.0 {
-            (self.trust, self.former) = (council, former);
+    /// Trusts a council from the log, unless a proof of a later council came first.
+    fn trust_logged_council(&mut self, council: (Index, Council), former: Option<Council>) {
+        if council.0 >= self.trusted.0 {
+            (self.trusted, self.former_council) = (council, former);
         }
     }
 
-    /// What the decisions so far came to: nothing in it may depend on the way they came here.
-    fn snap(&mut self) {
-        let mark = self.kept.log.mark(self.applied).expect("just carried out");
-        let council = self.kept.log.council_at(self.applied);
-        let state = (council, &self.applied_former, &self.recent, self.machine.state());
-        let bytes = postcard::to_stdvec(&state).expect("plain data");
-        self.hold(Snapshot { mark, bytes });
+    /// Takes a snapshot of the state after the applied decisions. It may only depend on the decisions, not
+    /// on how they came here.
+    fn take_snapshot(&mut self) {
+        let log_position = self.persisted.log.position_at(self.applied).expect("just applied");
+        let council = self.persisted.log.council_at(self.applied);
+        let state = (council, &self.applied_former_council, &self.recent_requests, self.machine.state());
+        let bytes = postcard::to_stdvec(&state).expect("plain data can be encoded");
+        self.store_snapshot(Snapshot { log_position, bytes });
     }
 
-    fn hold(&mut self, snapshot: Snapshot) {
+    fn store_snapshot(&mut self, snapshot: Snapshot) {
         let digest = snapshot.digest();
         self.snapshots.push_back((snapshot.clone(), digest));
-        while self.snapshots.len() > SNAPSHOTS {
+        while self.snapshots.len() > KEPT_SNAPSHOTS {
             self.snapshots.pop_front();
         }
-        // A member of the council before may have to sign for the present one, and is behind: it gets a snapshot
-        // only by a proof that waits for its signature, so it must find the entries here.
-        let awaits_signatures =
-            !self.is_linked() && self.kept.log.last().index < self.kept.log.base().index + MOST_LOG;
-        if awaits_signatures && self.kept.snapshot.is_some() {
+        // A member of the previous council may have to sign for the current one while it lags behind. It
+        // can get a snapshot only with a certificate that waits for its own signature, so the entries have
+        // to stay in this log.
+        let awaits_signatures = !self.is_council_proved()
+            && self.persisted.log.last().index < self.persisted.log.base().index + MAX_LOG_ENTRIES;
+        if awaits_signatures && self.persisted.snapshot.is_some() {
             return;
         }
-        // Not at the first one already: whoever is behind it gets it only once it is proved.
-        if self.snapshots.len() == SNAPSHOTS {
-            self.kept.log.fold(self.snapshots[0].0.mark.index);
+        // The log is not compacted at the first snapshot: members that lag behind get that snapshot only
+        // once it is certified.
+        if self.snapshots.len() == KEPT_SNAPSHOTS {
+            self.persisted.log.compact(self.snapshots[0].0.log_position.index);
         }
-        self.kept.snapshot = Some(snapshot);
+        self.persisted.snapshot = Some(snapshot);
         self.disk.replace_file();
     }
 
-    /// Begins anew from a snapshot that is proved, or its own.
+    /// Replaces the state with that of a certified snapshot, or of this replica's own.
     pub(crate) fn restore(&mut self, snapshot: &Snapshot) -> Result<(), UnsupportedDecision> {
         type State = ((Index, Council), Option<Council>, VecDeque<u64>, Vec<u8>);
-        let mark = snapshot.mark;
-        let unread = |_| UnsupportedDecision {
-            index: mark.index,
+        let log_position = snapshot.log_position;
+        let unreadable = |_| UnsupportedDecision {
+            index: log_position.index,
             part: 0,
-            reason: "a snapshot of no known form".to_owned(),
+            reason: "the snapshot has an unknown form".to_owned(),
         };
         let (council, former, recent, state): State =
-            postcard::from_bytes(&snapshot.bytes).map_err(unread)?;
-        self.machine.restore(mark.index, &state)?;
-        // Entries that follow it are kept: this member may have given its word for them.
+            postcard::from_bytes(&snapshot.bytes).map_err(unreadable)?;
+        self.machine.restore(log_position.index, &state)?;
+        // Entries after the snapshot stay: this member may have acknowledged them.
         #[cfg(test)]
-        let goes_on =
-            self.kept.log.has(mark.index, &mark.hash) && !self.planted(crate::tests::Fault::SnapshotOver);
+        let log_continues = self.persisted.log.contains(log_position.index, &log_position.hash)
+            && !self.has_fault(crate::tests::Fault::SnapshotOverwritesEntries);
         #[cfg(not(test))]
-        let goes_on = self.kept.log.has(mark.index, &mark.hash);
-        if !goes_on {
-            self.kept.log = Log::new(mark, council.0, council.1.clone());
+        let log_continues = self.persisted.log.contains(log_position.index, &log_position.hash);
+        if !log_continues {
+            self.persisted.log = Log::new(log_position, council.0, council.1.clone());
         }
-        (self.applied_former, self.recent) = (former.clone(), recent);
-        self.trust_at_least(council, former);
-        (self.decided, self.applied) = (self.decided.max(mark.index), mark.index);
+        (self.applied_former_council, self.recent_requests) = (former.clone(), recent);
+        self.trust_logged_council(council, former);
+        (self.decided, self.applied) = (self.decided.max(log_position.index), log_position.index);
         self.roots.clear();
-        self.note_root();
-        self.requests.passed_over(&self.recent, mark.index);
+        self.record_root();
+        self.requests.skipped_by_snapshot(&self.recent_requests, log_position.index);
         self.snapshots.clear();
-        self.hold(snapshot.clone());
+        self.store_snapshot(snapshot.clone());
         self.apply();
         Ok(())
     }
 
     #[cfg(test)]
-    pub(crate) fn planted(&self, fault: crate::tests::Fault) -> bool {
+    pub(crate) fn has_fault(&self, fault: crate::tests::Fault) -> bool {
         self.fault == Some(fault)
     }
 
-    /// Whether a request is done, or on its way in the log.
-    pub(crate) fn knows(&self, request: u64) -> bool {
-        let log = &self.kept.log;
+    /// Whether a request is already decided, or in the log and undecided.
+    pub(crate) fn knows_request(&self, request: u64) -> bool {
+        let log = &self.persisted.log;
         let open = (self.applied + 1..=log.last().index).filter_map(|index| log.entry(index));
-        self.recent.contains(&request) || open.into_iter().any(|entry| entry.request == request)
+        self.recent_requests.contains(&request) || open.into_iter().any(|entry| entry.request == request)
     }
 
-    /// How far each of the council has come, for operators.
-    pub(crate) fn heard_of(&self) -> BTreeMap<Id, Index> {
-        match &self.post {
-            Post::Leading(lead) => lead.progress.iter().map(|(&id, progress)| (id, progress.has)).collect(),
+    /// The matched index of each other council member, for operators.
+    pub(crate) fn follower_progress(&self) -> BTreeMap<Id, Index> {
+        match &self.role_state {
+            RoleState::Leader(leader_state) => {
+                leader_state.progress.iter().map(|(&id, progress)| (id, progress.matched)).collect()
+            }
             _ => BTreeMap::new(),
         }
     }
--- a/proxy/src/decided/commands.rs
+++ b/proxy/src/decided/commands.rs
@@ -155,9 +155,9 @@
     ) -> Result<CommandOutcome, String> {
         Ok(match self.command(wish, node, pool, unix)? {
             Asked::Outs(command) => {
-                let told = self.agreement.machine().clone().decide(0, AVAILABILITY_PART, &command.write());
+                let told = self.agreement.machine().clone().decide(0, AVAILABILITY_PART, &command.encode());
                 let told = told.map_err(|unknown| unknown.to_string())?;
-                Verdict::read(&told).map_or(CommandOutcome::Already, |told| verdict(0, &told))
+                Verdict::decode(&told).map_or(CommandOutcome::Already, |told| verdict(0, &told))
             }
             Asked::Council(council) if council.follows(&self.agreement.status(0.0).council) => {
                 CommandOutcome::Done { decision: 0 }
@@ -176,7 +176,7 @@
         pool: &PoolList,
     ) -> Result<u64, String> {
         match self.command(wish, node, pool, unix)? {
-            Asked::Outs(command) => self.agreement.propose(now, AVAILABILITY_PART, command.write()),
+            Asked::Outs(command) => self.agreement.propose(now, AVAILABILITY_PART, command.encode()),
             Asked::Council(council) => self.agreement.propose_council(now, council),
         }
         .map_err(refusal)
@@ -202,7 +202,7 @@
             Outcome::Decided { index, answer } if answer.is_empty() => {
                 CommandOutcome::Done { decision: index }
             }
-            Outcome::Decided { index, answer } => match Verdict::read(&answer) {
+            Outcome::Decided { index, answer } => match Verdict::decode(&answer) {
                 Some(told) => verdict(index, &told),
                 None => CommandOutcome::Done { decision: index },
             },
--- a/proxy/src/decided/mod.rs
+++ b/proxy/src/decided/mod.rs
@@ -139,7 +139,7 @@
             self.agreement.receive(now, from, &bytes);
         }
         while let Some((from, bytes)) = node.next_payload(Subsystem::Evidence) {
-            if let Some((report, span)) = Report::read(&bytes).zip(self.terms.comparison_period) {
+            if let Some((report, span)) = Report::decode(&bytes).zip(self.terms.comparison_period) {
                 self.evidence.record((now / span) as u64, from, report);
             }
         }
@@ -201,7 +201,7 @@
         for command in wanted {
             let waits =
                 self.asked.values().chain(self.rests.iter().map(|(of, _)| of)).any(|of| *of == command);
-            if !waits && let Ok(request) = self.agreement.propose(now, AVAILABILITY_PART, command.write()) {
+            if !waits && let Ok(request) = self.agreement.propose(now, AVAILABILITY_PART, command.encode()) {
                 self.asked.insert(request, command);
             }
         }
@@ -219,7 +219,7 @@
         self.evidence.record((now / span) as u64, self.own.id, report);
         let council = self.agreement.status(now).council;
         for member in council.ids().filter(|&id| id != self.own.id) {
-            node.send_payload(now, member, Subsystem::Evidence, report.write());
+            node.send_payload(now, member, Subsystem::Evidence, report.encode());
         }
     }
 
