--- a/proxy/src/border/callers.rs
+++ b/proxy/src/border/callers.rs
@@ -9,101 +9,110 @@
 use records::entry::Outcome;
 use siphasher::sip::SipHasher13;
 
-use super::hands::Conversation;
-use super::{BorderProxy, CARRIED};
+use super::host::Conversation;
+use super::{BorderProxy, FORWARDED_ELEMENTS};
 use crate::causes;
 use crate::decisions::Decisions;
 use crate::hints::Hints;
 
 impl<D: Decisions> BorderProxy<D> {
-    pub(super) fn hear_callers(&mut self, waited: f64) {
-        while let Some((leg, happening)) = self.hands.callers.next_event() {
-            match happening {
-                Event::Offered { elements, retransmitted: again, .. } => {
-                    self.offered(leg, &elements, again, waited)
+    pub(super) fn handle_caller_events(&mut self, waited: f64) {
+        while let Some((leg, event)) = self.host.callers.next_event() {
+            match event {
+                Event::Offered { elements, retransmitted, .. } => {
+                    self.handle_new_call(leg, &elements, retransmitted, waited)
                 }
                 Event::Media(media) => {
-                    let Some(&handle) = self.hands.by_caller.get(leg) else { continue };
-                    let now = self.hands.now;
-                    let shot =
-                        self.hands.conversation(handle).filter(|c| c.stands).and_then(|c| c.shot.as_ref());
-                    if let Some(to) = shot.map(|shot| shot.leg) {
-                        self.hands.servers.media(now, to, &media);
+                    let Some(&handle) = self.host.by_caller.get(leg) else { continue };
+                    let now = self.host.now;
+                    let attempt = self
+                        .host
+                        .conversation(handle)
+                        .filter(|c| c.established)
+                        .and_then(|c| c.attempt.as_ref());
+                    if let Some(server_leg) = attempt.map(|attempt| attempt.leg) {
+                        self.host.servers.media(now, server_leg, &media);
                     }
                 }
                 Event::Ended(_) => {
-                    if let Some(&handle) = self.hands.by_caller.get(leg) {
-                        self.caller_left(handle);
+                    if let Some(&handle) = self.host.by_caller.get(leg) {
+                        self.handle_caller_gone(handle);
                     }
                 }
-                Event::Poked(poke) => self.hands.callers.pong(&poke, &Elements::new()),
+                Event::Poked(poke) => self.host.callers.pong(&poke, &Elements::new()),
                 _ => {}
             }
         }
     }
 
-    pub(super) fn offered(&mut self, caller: Leg, elements: &Elements, again: bool, waited: f64) {
-        let now = self.hands.now;
-        let mut turn_away = |code| self.hands.callers.end(now, caller, &Elements::new().with_cause(code));
+    pub(super) fn handle_new_call(
+        &mut self,
+        caller: Leg,
+        elements: &Elements,
+        retransmitted: bool,
+        waited: f64,
+    ) {
+        let now = self.host.now;
+        let mut turn_away = |code| self.host.callers.end(now, caller, &Elements::new().with_cause(code));
         let text = |kind| elements.text(kind).unwrap_or_default();
         let (called, context) = (text(element::CALLED_NUMBER), text(element::CALLED_CONTEXT));
         if self.stopping {
-            self.hands.tally.turned_away += 1;
+            self.host.counters.turned_away += 1;
             return turn_away(causes::STOPPING);
         }
-        if let Some(come_back) = self.unrecordable {
-            self.hands.tally.unrecordable += 1;
-            let hints = Hints { retry_after: Some(come_back as u32), ..Hints::default() };
+        if let Some(retry_after) = self.recording_retry_after {
+            self.host.counters.unrecordable += 1;
+            let hints = Hints { retry_after: Some(retry_after as u32), ..Hints::default() };
             let answer = hints.add_to(Elements::new().with_cause(causes::REFUSED));
-            return self.hands.callers.end(now, caller, &answer);
+            return self.host.callers.end(now, caller, &answer);
         }
         let Some((grade, first)) = self.routes.find(context, called) else {
-            self.hands.tally.unrouted += 1;
-            self.hands.earned.lost(None);
+            self.host.counters.unrouted += 1;
+            self.host.earnings.conversation_lost(None);
             return turn_away(causes::NO_ROUTE);
         };
         let hints = Hints::read(elements);
         // An earlier copy of it was lost: the caller has waited for at least the first gap.
-        let waited = waited + if again { self.caller_resend } else { 0.0 };
-        let patience = hints.caller_timeout.map_or(self.patience[grade], f64::from);
+        let waited = waited + if retransmitted { self.caller_resend_delay } else { 0.0 };
+        let caller_timeout = hints.caller_timeout.map_or(self.caller_timeout[grade], f64::from);
         let calling = text(element::CALLING_NUMBER);
         let call = Call {
             grade,
             tenant: self.routes.tenant(text(element::USERNAME), context),
             first,
-            number: (!calling.is_empty()).then(|| self.number(calling, called)),
-            remaining: patience.min(self.patience[grade]) - waited - self.answer_lead,
+            number: (!calling.is_empty()).then(|| self.caller_key(calling, called)),
+            remaining: caller_timeout.min(self.caller_timeout[grade]) - waited - self.answer_lead,
             redial: hints.redial,
         };
-        self.hands.tally.accepted += 1;
-        if let Some((limits, tenant)) = self.hands.limits.as_mut().zip(call.tenant) {
+        self.host.counters.accepted += 1;
+        if let Some((limits, tenant)) = self.host.limits.as_mut().zip(call.tenant) {
             self.module.set_within_share(tenant, limits.within_share(now, tenant));
         }
-        let scribe = self.hands.scribe.as_mut();
-        let serial = scribe.map_or(0, |scribe| scribe.opened(now, calling, called, grade, call.tenant));
+        let journal = self.host.journal.as_mut();
+        let serial = journal.map_or(0, |journal| journal.opened(now, calling, called, grade, call.tenant));
         let handle = self.module.accept(&call);
         let conversation = Conversation {
             caller,
             serial,
-            shot: None,
-            carried: elements.only(&CARRIED),
-            accepted: false,
-            ringing: false,
-            stands: false,
+            attempt: None,
+            forwarded: elements.only(&FORWARDED_ELEMENTS),
+            accept_sent: false,
+            ringing_sent: false,
+            established: false,
             grade,
-            taken: now - waited,
+            accepted_at: now - waited,
         };
         let index = handle.0 as usize;
-        if self.hands.conversations.len() <= index {
-            self.hands.conversations.resize_with(index + 1, || None);
+        if self.host.conversations.len() <= index {
+            self.host.conversations.resize_with(index + 1, || None);
         }
-        self.hands.conversations[index] = Some(conversation);
-        self.hands.by_caller.insert(caller, handle);
+        self.host.conversations[index] = Some(conversation);
+        self.host.by_caller.insert(caller, handle);
         self.module.place(handle);
     }
 
     /// A caller that dials again is known by its own number and the one it calls: many call the same.
-    pub(super) fn number(&self, calling: &str, called: &str) -> u64 {
+    pub(super) fn caller_key(&self, calling: &str, called: &str) -> u64 {
         let mut hasher = SipHasher13::new_with_keys(self.number_key.0, self.number_key.1);
         hasher.write(calling.as_bytes());
         hasher.write_u8(0xff);
@@ -111,30 +120,30 @@
         hasher.finish()
     }
 
-    pub(super) fn caller_left(&mut self, handle: Handle) {
-        let stands = self.hands.conversation(handle).is_some_and(|c| c.stands);
-        self.hands.closed(handle, if stands { Outcome::Stood } else { Outcome::Left });
-        let Some(conversation) = self.hands.drop_conversation(handle) else { return };
-        let now = self.hands.now;
-        if let Some(shot) = &conversation.shot {
-            self.hands.servers.end(now, shot.leg, &Elements::new().with_cause(cause::NORMAL_CLEARING));
-            if !conversation.stands {
-                self.hands.witness(shot.server, Evidence::called_off);
+    pub(super) fn handle_caller_gone(&mut self, handle: Handle) {
+        let established = self.host.conversation(handle).is_some_and(|c| c.established);
+        self.host.record_outcome(handle, if established { Outcome::Stood } else { Outcome::Left });
+        let Some(conversation) = self.host.remove_conversation(handle) else { return };
+        let now = self.host.now;
+        if let Some(attempt) = &conversation.attempt {
+            self.host.servers.end(now, attempt.leg, &Elements::new().with_cause(cause::NORMAL_CLEARING));
+            if !conversation.established {
+                self.host.record_evidence(attempt.server, Evidence::called_off);
             }
         }
-        if conversation.stands {
-            self.hands.tally.cleared += 1;
+        if conversation.established {
+            self.host.counters.cleared += 1;
         } else {
-            self.hands.tally.caller_gone += 1;
+            self.host.counters.caller_gone += 1;
         }
-        // The conversation is over for the module too: its shot, if any, has been called off with it.
-        let ending = if conversation.stands { Ending::Ok } else { Ending::Cancelled };
-        let out = conversation.shot.is_some();
-        if !conversation.stands {
+        // The conversation is over for the module too: its attempt, if any, has been called off with it.
+        let ending = if conversation.established { Ending::Ok } else { Ending::Cancelled };
+        let had_attempt = conversation.attempt.is_some();
+        if !conversation.established {
             self.module.caller_gone(handle);
         }
-        if out {
-            self.module.ended(handle, ending, true, &mut self.hands);
+        if had_attempt {
+            self.module.ended(handle, ending, true, &mut self.host);
         }
     }
 }
--- a/proxy/src/border/mod.rs
+++ b/proxy/src/border/mod.rs
@@ -6,7 +6,7 @@
 
 mod callers;
 mod distribution;
-mod hands;
+mod host;
 mod peers;
 mod servers;
 
@@ -25,16 +25,16 @@
 use crate::decided::DecidedState;
 use crate::decisions::Decisions;
 use crate::distributed::Distribution;
-use crate::earned::Earned;
+use crate::earnings::EarningsPeriod;
 use crate::journal_writer::JournalWriter;
 use crate::pool::{PoolList, PoolListError, PoolUpdates};
 use crate::routes::Routes;
 use crate::status::{ConversationCounts, Counters, ServerStatus, Status};
 use crate::timers::Timers;
-use hands::Hands;
+use host::HostState;
 
 /// Elements of a caller's NEW that its shots carry on.
-const CARRIED: [u8; 7] = [
+const FORWARDED_ELEMENTS: [u8; 7] = [
     element::CALLED_NUMBER,
     element::CALLING_NUMBER,
     element::CALLING_NAME,
@@ -77,16 +77,16 @@
 /// One border proxy, with what decides for it.
 pub struct BorderProxy<D = Proxy> {
     module: D,
-    hands: Hands,
+    host: HostState,
     routes: Routes,
-    patience: Vec<f64>,
+    caller_timeout: Vec<f64>,
     answer_lead: f64,
     /// The first wait after which a caller sends its NEW again.
-    caller_resend: f64,
+    caller_resend_delay: f64,
     number_key: (u64, u64),
     stopping: bool,
     /// What is taken now could not be recorded: when to come back instead, in milliseconds.
-    unrecordable: Option<f64>,
+    recording_retry_after: Option<f64>,
 }
 
 impl BorderProxy {
@@ -101,50 +101,50 @@
     pub fn with_decisions(module: D, terms: ProxyTerms, seed: u64, now: f64) -> Self {
         Self {
             routes: terms.routes,
-            patience: terms.caller_timeout,
+            caller_timeout: terms.caller_timeout,
             answer_lead: terms.answer_lead,
-            caller_resend: terms.callers.resend_delay,
-            hands: Hands {
+            caller_resend_delay: terms.callers.resend_delay,
+            host: HostState {
                 callers: Endpoint::new(terms.callers, seed),
                 servers: Endpoint::new(terms.servers, seed.rotate_left(32)),
                 pool: PoolList::default(),
                 conversations: Vec::new(),
                 by_caller: SecondaryMap::new(),
-                by_server: SecondaryMap::new(),
+                by_attempt: SecondaryMap::new(),
                 timers: Timers::default(),
                 notes: VecDeque::new(),
-                tally: Counters::default(),
+                counters: Counters::default(),
                 now,
                 gossip: None,
-                gossiped: false,
-                believed: Vec::new(),
-                scribe: None,
+                gossip_changed: false,
+                suspected_servers: Vec::new(),
+                journal: None,
                 limits: None,
                 decided: None,
-                distributed: None,
-                earned: Earned::new(terms.terms.grades),
+                distribution: None,
+                earnings: EarningsPeriod::new(terms.terms.grades),
             },
             module,
             number_key: (seed, !seed),
             stopping: false,
-            unrecordable: None,
+            recording_retry_after: None,
         }
     }
 
     /// Has conversations recorded from now on.
-    pub fn start_recording(&mut self, scribe: JournalWriter) {
-        self.hands.scribe = Some(scribe);
+    pub fn start_recording(&mut self, journal: JournalWriter) {
+        self.host.journal = Some(journal);
     }
 
     /// The next entry for the journal: to be kept before what is [`BorderProxy::outbound`] to callers leaves.
     pub fn next_journal_entry(&mut self) -> Option<Entry> {
-        self.hands.scribe.as_mut()?.next_entry()
+        self.host.journal.as_mut()?.next_entry()
     }
 
     /// Whether what is taken can be recorded as promised; if not, callers are told to come back in so many
     /// milliseconds.
-    pub fn set_recording_unavailable(&mut self, come_back: Option<f64>) {
-        self.unrecordable = come_back;
+    pub fn set_recording_unavailable(&mut self, retry_after: Option<f64>) {
+        self.recording_retry_after = retry_after;
     }
 
     /// A datagram of one of the sockets. `arrived` is when it is thought to have come, before `now` where
@@ -153,25 +153,25 @@
         self.advance_clock(now);
         match side {
             Side::Callers => {
-                self.hands.callers.receive(now, peer, datagram);
-                self.hear_callers(now - arrived);
+                self.host.callers.receive(now, peer, datagram);
+                self.handle_caller_events(now - arrived);
             }
             Side::Servers => {
-                self.hands.servers.receive(now, peer, datagram);
-                self.hear_servers();
+                self.host.servers.receive(now, peer, datagram);
+                self.handle_server_events();
             }
-            Side::Peers if self.hear_distribution(peer, datagram) => self.drain(),
+            Side::Peers if self.receive_distribution(peer, datagram) => self.apply_drains(),
             Side::Peers => {
-                if let Some(node) = &mut self.hands.gossip {
+                if let Some(node) = &mut self.host.gossip {
                     node.receive(now, peer, datagram);
-                    self.hands.gossiped = true;
-                    if let Some(limits) = &mut self.hands.limits {
+                    self.host.gossip_changed = true;
+                    if let Some(limits) = &mut self.host.limits {
                         limits.exchange(now, node);
                     }
-                    if let Some(decided) = &mut self.hands.decided {
+                    if let Some(decided) = &mut self.host.decided {
                         decided.exchange(now, node);
                     }
-                    self.drain();
+                    self.apply_drains();
                 }
             }
         }
@@ -181,111 +181,112 @@
     pub fn connection_refused(&mut self, now: f64, side: Side, peer: SocketAddr) {
         self.advance_clock(now);
         match side {
-            Side::Callers => self.hands.callers.connection_refused(now, peer),
-            Side::Servers => self.hands.servers.connection_refused(now, peer),
+            Side::Callers => self.host.callers.connection_refused(now, peer),
+            Side::Servers => self.host.servers.connection_refused(now, peer),
             Side::Peers => {}
         }
-        self.hear_callers(0.0);
-        self.hear_servers();
+        self.handle_caller_events(0.0);
+        self.handle_server_events();
     }
 
-    /// News of the pool list; `unix` is the wall clock in milliseconds. Told wrong, the old list stands.
+    /// News of the pool list; `unix` is the wall clock in milliseconds. Told wrong, the old list established.
     pub fn update_server_list(
         &mut self,
         now: f64,
         unix: f64,
-        news: &PoolUpdates,
+        updates: &PoolUpdates,
     ) -> Result<(), PoolListError> {
         self.advance_clock(now);
-        let lines = self.hands.pool.apply(news, now, unix)?;
-        self.module.update_server_list(&lines, news.whole, &mut self.hands);
-        if let Some(limits) = &mut self.hands.limits {
-            limits.update_server_list(now, &self.hands.pool);
+        let lines = self.host.pool.apply(updates, now, unix)?;
+        self.module.update_server_list(&lines, updates.whole, &mut self.host);
+        if let Some(limits) = &mut self.host.limits {
+            limits.update_server_list(now, &self.host.pool);
         }
         Ok(())
     }
 
     /// The pool list as this proxy has it.
     pub fn pool(&self) -> &PoolList {
-        &self.hands.pool
+        &self.host.pool
     }
 
     /// Does what has fallen due.
     pub fn turn(&mut self, now: f64) {
         self.advance_clock(now);
-        self.hands.callers.turn(now);
-        self.hands.servers.turn(now);
-        if let Some(node) = self.hands.gossip.as_mut().filter(|node| node.due() <= now) {
+        self.host.callers.turn(now);
+        self.host.servers.turn(now);
+        if let Some(node) = self.host.gossip.as_mut().filter(|node| node.due() <= now) {
             node.turn(now);
-            self.hands.gossiped = true;
+            self.host.gossip_changed = true;
         }
-        if let Some((limits, node)) = self.hands.limits.as_mut().zip(self.hands.gossip.as_mut()) {
+        if let Some((limits, node)) = self.host.limits.as_mut().zip(self.host.gossip.as_mut()) {
             limits.exchange(now, node);
         }
-        if let Some((decided, node)) = self.hands.decided.as_mut().zip(self.hands.gossip.as_mut()) {
+        if let Some((decided, node)) = self.host.decided.as_mut().zip(self.host.gossip.as_mut()) {
             decided.exchange(now, node);
             if decided.report_due(now) {
-                decided.send_report(now, node, self.hands.earned.report());
+                decided.send_report(now, node, self.host.earnings.take_report());
             }
         }
         self.turn_distribution();
-        self.drain();
-        self.hear_callers(0.0);
-        self.hear_servers();
-        while let Some(leg) = self.hands.timers.next_timed_out(now) {
-            let Some(&handle) = self.hands.by_server.get(leg) else { continue };
-            let stands = self.hands.conversation(handle).is_none_or(|c| c.stands);
-            if !stands && self.hands.hang_up_shot(handle, cause::RECOVERY_ON_TIMER) {
-                self.ended(handle, Ending::TimedOut);
+        self.apply_drains();
+        self.handle_caller_events(0.0);
+        self.handle_server_events();
+        while let Some(leg) = self.host.timers.next_timed_out(now) {
+            let Some(&handle) = self.host.by_attempt.get(leg) else { continue };
+            let established = self.host.conversation(handle).is_none_or(|c| c.established);
+            if !established && self.host.hang_up_attempt(handle, cause::RECOVERY_ON_TIMER) {
+                self.finish_attempt(handle, Ending::TimedOut);
             }
         }
     }
 
     /// To be called when all that has come at one time is told.
     pub fn run_pending(&mut self) {
-        if std::mem::take(&mut self.hands.gossiped) {
-            self.suspect();
+        if std::mem::take(&mut self.host.gossip_changed) {
+            self.apply_suspicions();
         }
         loop {
-            self.allot();
-            self.module.run_pending(&mut self.hands);
-            // Each of these uses up a shot of its conversation, so there is an end to it.
-            let unheard = self.hands.timers.take_deferred_endings();
-            if unheard.is_empty() {
+            self.apply_fleet_limits();
+            self.module.run_pending(&mut self.host);
+            // Each of these uses up a attempt of its conversation, so there is an end to it.
+            let endings = self.host.timers.take_deferred_endings();
+            if endings.is_empty() {
                 break;
             }
-            for (handle, ending) in unheard {
-                self.ended(handle, ending);
+            for (handle, ending) in endings {
+                self.finish_attempt(handle, ending);
             }
         }
     }
 
     /// When [`BorderProxy::turn`] is next wanted.
     pub fn due(&self) -> f64 {
-        let hands = &self.hands;
-        let node = hands.gossip.as_ref().map(Node::due);
-        let limits = hands.limits.as_ref().map(|limits| limits.due(hands.now));
-        let decided = hands.decided.as_ref().map(DecidedState::due);
-        let distributed = hands.distributed.as_ref().map(Distribution::due);
-        let legs = [hands.callers.due(), hands.servers.due(), node, limits, decided, distributed];
-        legs.into_iter().flatten().fold(hands.timers.due(), f64::min)
+        let host = &self.host;
+        let node = host.gossip.as_ref().map(Node::due);
+        let limits = host.limits.as_ref().map(|limits| limits.due(host.now));
+        let decided = host.decided.as_ref().map(DecidedState::due);
+        let distribution = host.distribution.as_ref().map(Distribution::due);
+        let legs = [host.callers.due(), host.servers.due(), node, limits, decided, distribution];
+        legs.into_iter().flatten().fold(host.timers.due(), f64::min)
     }
 
     /// The next datagram to send.
     pub fn outbound(&mut self) -> Option<Outbound> {
-        let hands = &mut self.hands;
-        let of = |side| move |d: iax2::Datagram| Outbound { side, peer: d.peer, bytes: d.bytes };
-        let peers = |d: gossip::Outgoing| Outbound { side: Side::Peers, peer: d.peer, bytes: d.bytes.into() };
-        let servers = hands.servers.next_datagram().map(of(Side::Servers));
-        let legs = servers.or_else(|| hands.callers.next_datagram().map(of(Side::Callers)));
-        let (node, distributed) = (&mut hands.gossip, &mut hands.distributed);
-        let gossiped = legs.or_else(|| node.as_mut().and_then(Node::outgoing).map(peers));
-        gossiped.or_else(|| distributed.as_mut().and_then(Distribution::outgoing).map(peers))
+        let host = &mut self.host;
+        let leg_datagram = |side| move |d: iax2::Datagram| Outbound { side, peer: d.peer, bytes: d.bytes };
+        let peer_datagram =
+            |d: gossip::Outgoing| Outbound { side: Side::Peers, peer: d.peer, bytes: d.bytes.into() };
+        let servers = host.servers.next_datagram().map(leg_datagram(Side::Servers));
+        let legs = servers.or_else(|| host.callers.next_datagram().map(leg_datagram(Side::Callers)));
+        let (node, distribution) = (&mut host.gossip, &mut host.distribution);
+        let gossip_changed = legs.or_else(|| node.as_mut().and_then(Node::outgoing).map(peer_datagram));
+        gossip_changed.or_else(|| distribution.as_mut().and_then(Distribution::outgoing).map(peer_datagram))
     }
 
     /// The next line for the log.
     pub fn note(&mut self) -> Option<String> {
-        self.hands.notes.pop_front()
+        self.host.notes.pop_front()
     }
 
     /// Takes nothing new from now on; what it has goes on.
@@ -296,32 +297,33 @@
     /// Ends all that is left: those that stand are cut, the others fail.
     pub fn close_all(&mut self, now: f64) {
         self.advance_clock(now);
-        for index in 0..self.hands.conversations.len() as u32 {
-            let Some(conversation) = self.hands.conversation(Handle(index)) else { continue };
-            let stands = conversation.stands;
-            let count = if stands { &mut self.hands.tally.cut } else { &mut self.hands.tally.failed };
+        for index in 0..self.host.conversations.len() as u32 {
+            let Some(conversation) = self.host.conversation(Handle(index)) else { continue };
+            let established = conversation.established;
+            let count =
+                if established { &mut self.host.counters.cut } else { &mut self.host.counters.failed };
             *count += 1;
-            self.hands.closed(Handle(index), if stands { Outcome::Cut } else { Outcome::Failed });
-            self.hands.close(Handle(index), if stands { causes::CUT } else { causes::FAILED }, None);
+            self.host.record_outcome(Handle(index), if established { Outcome::Cut } else { Outcome::Failed });
+            self.host.close(Handle(index), if established { causes::CUT } else { causes::FAILED }, None);
         }
     }
 
     /// Conversations there are.
     pub fn conversations(&self) -> usize {
-        self.hands.conversations.iter().flatten().count()
+        self.host.conversations.iter().flatten().count()
     }
 
     pub fn status(&self) -> Status {
-        let mut present = ConversationCounts::default();
-        for conversation in self.hands.conversations.iter().flatten() {
-            match (conversation.stands, &conversation.shot) {
-                (true, _) => present.established += 1,
-                (false, Some(_)) => present.attempting += 1,
-                (false, None) => present.waiting += 1,
+        let mut counts = ConversationCounts::default();
+        for conversation in self.host.conversations.iter().flatten() {
+            match (conversation.established, &conversation.attempt) {
+                (true, _) => counts.established += 1,
+                (false, Some(_)) => counts.attempting += 1,
+                (false, None) => counts.waiting += 1,
             }
         }
-        let pool = &self.hands.pool;
-        let row = |server: Server| {
+        let pool = &self.host.pool;
+        let server_status = |server: Server| {
             let view = self.module.view(server)?;
             Some(ServerStatus {
                 name: pool.name(server).to_owned(),
@@ -345,17 +347,17 @@
         Status {
             list_version: pool.version(),
             stopping: self.stopping,
-            legs: self.hands.callers.legs() + self.hands.servers.legs(),
-            conversations: present,
-            counters: self.hands.tally,
-            servers: pool.servers().filter_map(row).collect(),
+            legs: self.host.callers.legs() + self.host.servers.legs(),
+            conversations: counts,
+            counters: self.host.counters,
+            servers: pool.servers().filter_map(server_status).collect(),
             watch: self.module.differences(),
         }
     }
 
     fn advance_clock(&mut self, now: f64) {
-        self.hands.now = now;
-        self.hands.timers.clear_passed_wake(now);
+        self.host.now = now;
+        self.host.timers.clear_passed_wake(now);
         self.module.advance_clock(now);
     }
 }
--- a/proxy/src/border/servers.rs
+++ b/proxy/src/border/servers.rs
@@ -1,4 +1,4 @@
-//! Central servers: what becomes of shots, and what stands.
+//! Central servers: what becomes of shots, and what established.
 
 use frostthread::host::{Ending, Handle, Report, Server};
 use iax2::element::{self, Elements};
@@ -11,114 +11,116 @@
 use crate::hints::Hints;
 
 impl<D: Decisions> BorderProxy<D> {
-    pub(super) fn hear_servers(&mut self) {
-        while let Some((leg, happening)) = self.hands.servers.next_event() {
-            match happening {
+    pub(super) fn handle_server_events(&mut self) {
+        while let Some((leg, event)) = self.host.servers.next_event() {
+            match event {
                 Event::Pong { peer, elements } => {
-                    let now = self.hands.now;
-                    self.hands.tally.pongs += 1;
-                    if let Some(decided) = &mut self.hands.decided {
+                    let now = self.host.now;
+                    self.host.counters.pongs += 1;
+                    if let Some(decided) = &mut self.host.decided {
                         decided.probe_answered(now, peer);
                     }
-                    if let Some(server) = self.hands.pool.server_at(peer) {
-                        self.hands.witness(server, |evidence, life| evidence.answered(now, life));
-                        self.reported(server, Hints::read(&elements).report());
+                    if let Some(server) = self.host.pool.server_at(peer) {
+                        self.host.record_evidence(server, |evidence, generation| {
+                            evidence.answered(now, generation)
+                        });
+                        self.handle_report(server, Hints::read(&elements).report());
                     }
                 }
-                Event::Poked(poke) => self.hands.servers.pong(&poke, &Elements::new()),
+                Event::Poked(poke) => self.host.servers.pong(&poke, &Elements::new()),
                 // No server has anything to offer here.
                 Event::Offered { .. } => {
-                    let now = self.hands.now;
-                    self.hands.servers.end(now, leg, &Elements::new().with_cause(cause::REJECTED));
+                    let now = self.host.now;
+                    self.host.servers.end(now, leg, &Elements::new().with_cause(cause::REJECTED));
                 }
-                happening => {
-                    if let Some(&handle) = self.hands.by_server.get(leg) {
-                        self.of_shot(handle, happening);
+                event => {
+                    if let Some(&handle) = self.host.by_attempt.get(leg) {
+                        self.handle_attempt_event(handle, event);
                     }
                 }
             }
         }
     }
 
-    pub(super) fn of_shot(&mut self, handle: Handle, happening: Event) {
-        let now = self.hands.now;
-        let Some(conversation) = self.hands.conversation(handle) else { return };
+    pub(super) fn handle_attempt_event(&mut self, handle: Handle, event: Event) {
+        let now = self.host.now;
+        let Some(conversation) = self.host.conversation(handle) else { return };
         let caller = conversation.caller;
-        let Some(server) = conversation.shot.as_ref().map(|shot| shot.server) else { return };
-        if !matches!(happening, Event::Ended(EndReason::Silent { .. } | EndReason::Refused)) {
-            self.hands.witness(server, |evidence, life| evidence.answered(now, life));
+        let Some(server) = conversation.attempt.as_ref().map(|attempt| attempt.server) else { return };
+        if !matches!(event, Event::Ended(EndReason::Silent { .. } | EndReason::Refused)) {
+            self.host.record_evidence(server, |evidence, generation| evidence.answered(now, generation));
         }
-        let Some(conversation) = self.hands.conversation(handle) else { return };
-        match happening {
+        let Some(conversation) = self.host.conversation(handle) else { return };
+        match event {
             Event::Accepted(elements) => {
-                let first = !std::mem::replace(&mut conversation.accepted, true);
-                self.reported(server, Hints::read(&elements).report());
+                let first = !std::mem::replace(&mut conversation.accept_sent, true);
+                self.handle_report(server, Hints::read(&elements).report());
                 if first {
-                    self.hands.callers.accept(now, caller, &elements.only(&[element::FORMAT]));
+                    self.host.callers.accept(now, caller, &elements.only(&[element::FORMAT]));
                 }
             }
-            Event::Ringing if !std::mem::replace(&mut conversation.ringing, true) => {
-                self.hands.callers.ringing(now, caller);
+            Event::Ringing if !std::mem::replace(&mut conversation.ringing_sent, true) => {
+                self.host.callers.ringing(now, caller);
             }
             Event::Answered(elements) => {
-                if std::mem::replace(&mut conversation.stands, true) {
+                if std::mem::replace(&mut conversation.established, true) {
                     return;
                 }
-                let (serial, grade, took) =
-                    (conversation.serial, conversation.grade, now - conversation.taken);
-                if !std::mem::replace(&mut conversation.accepted, true) {
-                    self.hands.callers.accept(now, caller, &Elements::new());
+                let (serial, grade, set_up_ms) =
+                    (conversation.serial, conversation.grade, now - conversation.accepted_at);
+                if !std::mem::replace(&mut conversation.accept_sent, true) {
+                    self.host.callers.accept(now, caller, &Elements::new());
                 }
-                self.hands.tally.established += 1;
-                self.hands.earned.stood(grade, took);
-                if let Some(scribe) = &mut self.hands.scribe {
-                    scribe.answered(now, serial);
+                self.host.counters.established += 1;
+                self.host.earnings.conversation_established(grade, set_up_ms);
+                if let Some(journal) = &mut self.host.journal {
+                    journal.answered(now, serial);
                 }
-                self.hands.callers.answer(now, caller, &Elements::new());
-                self.reported(server, Hints::read(&elements).report());
+                self.host.callers.answer(now, caller, &Elements::new());
+                self.handle_report(server, Hints::read(&elements).report());
                 self.module.established(handle);
             }
-            Event::Media(media) if conversation.stands => self.hands.callers.media(now, caller, &media),
-            Event::Ended(end) => self.shot_ended(handle, server, &end),
+            Event::Media(media) if conversation.established => self.host.callers.media(now, caller, &media),
+            Event::Ended(end) => self.attempt_ended(handle, server, &end),
             _ => {}
         }
     }
 
-    pub(super) fn shot_ended(&mut self, handle: Handle, server: Server, end: &EndReason) {
+    pub(super) fn attempt_ended(&mut self, handle: Handle, server: Server, end: &EndReason) {
         if let EndReason::Peer { elements, .. } = end {
-            self.reported(server, Hints::read(elements).report());
+            self.handle_report(server, Hints::read(elements).report());
         }
-        let Some(conversation) = self.hands.conversation(handle) else { return };
-        let shot = conversation.shot.take().expect("it ended");
-        let stands = conversation.stands;
-        self.hands.by_server.remove(shot.leg);
-        if !stands {
-            return self.ended(handle, causes::attempt_ending(end));
+        let Some(conversation) = self.host.conversation(handle) else { return };
+        let attempt = conversation.attempt.take().expect("it ended");
+        let established = conversation.established;
+        self.host.by_attempt.remove(attempt.leg);
+        if !established {
+            return self.finish_attempt(handle, causes::attempt_ending(end));
         }
         let ending = causes::established_ending(end);
         let cut = ending != Ending::Ok;
         if cut {
-            self.hands.earned.cut();
+            self.host.earnings.conversation_cut();
         }
-        *(if cut { &mut self.hands.tally.cut } else { &mut self.hands.tally.cleared }) += 1;
-        self.hands.closed(handle, if cut { Outcome::Cut } else { Outcome::Stood });
-        self.hands.close(handle, if cut { causes::CUT } else { cause::NORMAL_CLEARING }, None);
-        self.module.ended(handle, ending, true, &mut self.hands);
+        *(if cut { &mut self.host.counters.cut } else { &mut self.host.counters.cleared }) += 1;
+        self.host.record_outcome(handle, if cut { Outcome::Cut } else { Outcome::Stood });
+        self.host.close(handle, if cut { causes::CUT } else { cause::NORMAL_CLEARING }, None);
+        self.module.ended(handle, ending, true, &mut self.host);
     }
 
-    pub(super) fn ended(&mut self, handle: Handle, ending: Ending) {
-        let tally = &mut self.hands.tally;
+    pub(super) fn finish_attempt(&mut self, handle: Handle, ending: Ending) {
+        let counters = &mut self.host.counters;
         match ending {
-            Ending::Nacked | Ending::NoLine => tally.rejected += 1,
-            Ending::TimedOut => tally.timed_out += 1,
-            Ending::Reset => tally.reset += 1,
+            Ending::Nacked | Ending::NoLine => counters.rejected += 1,
+            Ending::TimedOut => counters.timed_out += 1,
+            Ending::Reset => counters.reset += 1,
             _ => {}
         }
-        self.module.ended(handle, ending, false, &mut self.hands);
+        self.module.ended(handle, ending, false, &mut self.host);
     }
 
-    pub(super) fn reported(&mut self, server: Server, report: Report) {
-        if let Some((limits, rate)) = self.hands.limits.as_mut().zip(report.rate) {
+    pub(super) fn handle_report(&mut self, server: Server, report: Report) {
+        if let Some((limits, rate)) = self.host.limits.as_mut().zip(report.rate) {
             limits.set_reported_rate(server, rate);
         }
         self.module.reported(server, report);
--- a/proxy/src/decided/commands.rs
+++ b/proxy/src/decided/commands.rs
@@ -5,7 +5,7 @@
 use outs::{Command, Kind, OUTS, Verdict, drains, grants, releases};
 use serde::{Deserialize, Serialize};
 
-use super::{AGAIN_BEATS, DecidedState};
+use super::{DecidedState, RETRY_INTERVALS};
 use crate::pool::PoolList;
 
 /// What an operator wants decided.
@@ -46,7 +46,7 @@
     },
 }
 
-/// What became of a wish.
+/// What became of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommandOutcome {
@@ -60,7 +60,7 @@
     },
 }
 
-fn refusal(refusal: Refusal) -> String {
+fn refusal_text(refusal: Refusal) -> String {
     match refusal {
         Refusal::NotOneSeat => "a council changes by one seat at a time, and keeps one at least",
         Refusal::ChangeUnderWay => "the change before it is not decided yet, or not proved to all: ask again",
@@ -79,52 +79,52 @@
     }
 
     /// What would be asked for, and why it would not be.
-    fn command(
+    fn proposal_for(
         &self,
-        wish: &OperatorCommand,
+        command: &OperatorCommand,
         node: &Node,
         pool: &PoolList,
         unix: f64,
-    ) -> Result<Asked, String> {
+    ) -> Result<Proposal, String> {
         let id = |name: &str| {
             node.fleet()
                 .find(|&id| node.name(id) == Some(name))
                 .ok_or_else(|| format!("{name}: not in the roster"))
         };
         let standing = self.agreement.standing(0.0);
-        Ok(match wish {
+        Ok(match command {
             OperatorCommand::Undrain { server } => {
-                Asked::Outs(Command::Drains(drains::Command::Undrain { server: server.clone() }))
+                Proposal::Availability(Command::Drains(drains::Command::Undrain { server: server.clone() }))
             }
             OperatorCommand::Stage { kind, sum, why } => {
-                Asked::Outs(Command::Releases(releases::Command::Stage {
+                Proposal::Availability(Command::Releases(releases::Command::Stage {
                     kind: *kind,
-                    sum: unhex(sum).ok_or_else(|| format!("{sum}: 64 hexadecimal digits wanted"))?,
+                    sum: parse_hash(sum).ok_or_else(|| format!("{sum}: 64 hexadecimal digits wanted"))?,
                     by: self.name.clone(),
                     why: why.clone(),
                     unix: unix as u64,
                 }))
             }
-            OperatorCommand::Start => Asked::Outs(Command::Releases(releases::Command::Start {
+            OperatorCommand::Start => Proposal::Availability(Command::Releases(releases::Command::Start {
                 release: self.release()?,
                 proxies: node.fleet().count() as u16,
             })),
             OperatorCommand::Halt { why } => {
                 let (release, why) = (self.release()?, why.clone());
-                Asked::Outs(Command::Releases(releases::Command::Halt { release, why }))
-            }
-            OperatorCommand::Back => {
-                Asked::Outs(Command::Releases(releases::Command::Back { release: self.release()? }))
+                Proposal::Availability(Command::Releases(releases::Command::Halt { release, why }))
             }
+            OperatorCommand::Back => Proposal::Availability(Command::Releases(releases::Command::Back {
+                release: self.release()?,
+            })),
             OperatorCommand::WriteOff { proxy, why } => {
                 let (proxy, why) = (id(proxy)?, why.clone());
-                Asked::Outs(Command::Grants(grants::Command::WriteOff { proxy, why }))
+                Proposal::Availability(Command::Grants(grants::Command::WriteOff { proxy, why }))
             }
             OperatorCommand::Drain { server, why } => {
                 let listed =
                     pool.server_by_name(server).ok_or_else(|| format!("{server}: not on the pool list"))?;
                 let (of, listed_out) = pool.count_listed_and_draining(pool.pool(listed));
-                Asked::Outs(Command::Drains(drains::Command::Drain {
+                Proposal::Availability(Command::Drains(drains::Command::Drain {
                     server: server.clone(),
                     pool: pool.pool(listed),
                     most: drains::most_out(self.terms.pool_part, of),
@@ -134,35 +134,35 @@
                     unix: unix as u64,
                 }))
             }
-            OperatorCommand::Remove { proxy } => Asked::Council(standing.council.without(id(proxy)?)),
+            OperatorCommand::Remove { proxy } => Proposal::Council(standing.council.without(id(proxy)?)),
             OperatorCommand::Add { proxy, generation: life } => {
                 let id = id(proxy)?;
                 let life = life.or(standing.lives.get(&id).copied());
                 let unheard =
                     || format!("{proxy}: its disk's number is not known here; `council state` there has it");
-                Asked::Council(standing.council.with(Seat { id, life: life.ok_or_else(unheard)? }))
+                Proposal::Council(standing.council.with(Seat { id, life: life.ok_or_else(unheard)? }))
             }
         })
     }
 
-    /// What a wish would come to by what this proxy knows now, without asking for it.
+    /// What a command would come to by what this proxy knows now, without asking for it.
     pub fn evaluate_command(
         &self,
-        wish: &OperatorCommand,
+        command: &OperatorCommand,
         node: &Node,
         pool: &PoolList,
         unix: f64,
     ) -> Result<CommandOutcome, String> {
-        Ok(match self.command(wish, node, pool, unix)? {
-            Asked::Outs(command) => {
-                let told = self.agreement.machine().clone().decide(0, OUTS, &command.write());
-                let told = told.map_err(|unknown| unknown.to_string())?;
-                Verdict::read(&told).map_or(CommandOutcome::Already, |told| verdict(0, &told))
+        Ok(match self.proposal_for(command, node, pool, unix)? {
+            Proposal::Availability(proposed) => {
+                let answer = self.agreement.machine().clone().decide(0, OUTS, &proposed.write());
+                let answer = answer.map_err(|unknown| unknown.to_string())?;
+                Verdict::read(&answer).map_or(CommandOutcome::Already, |verdict| verdict_outcome(0, &verdict))
             }
-            Asked::Council(council) if council.follows(&self.agreement.standing(0.0).council) => {
+            Proposal::Council(council) if council.follows(&self.agreement.standing(0.0).council) => {
                 CommandOutcome::Done { decision: 0 }
             }
-            Asked::Council(_) => CommandOutcome::Refused { why: refusal(Refusal::NotOneSeat) },
+            Proposal::Council(_) => CommandOutcome::Refused { why: refusal_text(Refusal::NotOneSeat) },
         })
     }
 
@@ -171,18 +171,18 @@
         &mut self,
         now: f64,
         unix: f64,
-        wish: &OperatorCommand,
+        command: &OperatorCommand,
         node: &Node,
         pool: &PoolList,
     ) -> Result<u64, String> {
-        match self.command(wish, node, pool, unix)? {
-            Asked::Outs(command) => self.agreement.propose(now, OUTS, command.write()),
-            Asked::Council(council) => self.agreement.propose_council(now, council),
+        match self.proposal_for(command, node, pool, unix)? {
+            Proposal::Availability(proposed) => self.agreement.propose(now, OUTS, proposed.write()),
+            Proposal::Council(council) => self.agreement.propose_council(now, council),
         }
-        .map_err(refusal)
+        .map_err(refusal_text)
     }
 
-    /// No longer wants to know what became of a wish.
+    /// No longer wants to know what became of a command.
     pub fn forget_command(&mut self, request: u64) {
         self.agreement.forget(request);
     }
@@ -190,20 +190,22 @@
     pub fn next_outcome(&mut self) -> Option<(u64, CommandOutcome)> {
         let (request, outcome) = loop {
             let (request, outcome) = self.agreement.outcome()?;
-            match self.asked.remove(&request) {
+            match self.pending.remove(&request) {
                 // What is wanted all the same, as where it was refused, is asked for again after a while.
-                Some(command) => self.rests.push((command, self.turn_at + AGAIN_BEATS * self.beat)),
+                Some(command) => {
+                    self.retry_later.push((command, self.next_turn_at + RETRY_INTERVALS * self.interval))
+                }
                 None => break (request, outcome),
             }
         };
         let answer = match outcome {
-            Outcome::Refused(why) => CommandOutcome::Refused { why: refusal(why) },
+            Outcome::Refused(why) => CommandOutcome::Refused { why: refusal_text(why) },
             Outcome::Done { by } => CommandOutcome::Done { decision: by },
             Outcome::Decided { index, answer } if answer.is_empty() => {
                 CommandOutcome::Done { decision: index }
             }
             Outcome::Decided { index, answer } => match Verdict::read(&answer) {
-                Some(told) => verdict(index, &told),
+                Some(verdict) => verdict_outcome(index, &verdict),
                 None => CommandOutcome::Done { decision: index },
             },
         };
@@ -211,16 +213,16 @@
     }
 }
 
-enum Asked {
-    Outs(Command),
+enum Proposal {
+    Availability(Command),
     Council(Council),
 }
 
-fn unhex(digits: &str) -> Option<agree::Hash> {
+fn parse_hash(digits: &str) -> Option<agree::Hash> {
     hex::decode(digits).ok()?.try_into().ok()
 }
 
-fn verdict(decision: u64, verdict: &Verdict) -> CommandOutcome {
+fn verdict_outcome(decision: u64, verdict: &Verdict) -> CommandOutcome {
     use {drains::Verdict as D, grants::Verdict as G, releases::Verdict as R};
     let why = match verdict {
         Verdict::Drains(D::Done) | Verdict::Grants(G::Done) | Verdict::Releases(R::Done) => {
--- a/proxy/src/decided/mod.rs
+++ b/proxy/src/decided/mod.rs
@@ -24,7 +24,7 @@
 };
 
 /// What was decided and is still wanted is asked for again after so many beats.
-const AGAIN_BEATS: f64 = 10.0;
+const RETRY_INTERVALS: f64 = 10.0;
 
 /// What is agreed for who may be out.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -59,15 +59,15 @@
     own: Own,
     /// What this proxy itself has asked for, by number; and what was decided lately, with when it may ask
     /// again.
-    asked: BTreeMap<u64, Command>,
-    rests: Vec<(Command, f64)>,
-    looks: Vec<SocketAddr>,
+    pending: BTreeMap<u64, Command>,
+    retry_later: Vec<(Command, f64)>,
+    probe_addresses: Vec<SocketAddr>,
     replace: Option<Replace>,
-    turn_at: f64,
-    beat: f64,
+    next_turn_at: f64,
+    interval: f64,
     /// What proxies told of their conversations, kept where this one may have to judge.
     evidence: Evidence,
-    report_at: f64,
+    next_report_at: f64,
 }
 
 impl DecidedState {
@@ -82,7 +82,7 @@
         now: f64,
     ) -> Result<Self, Unknown> {
         let name = node.name(node.id()).unwrap_or_default().to_owned();
-        let beat = terms.0.beat;
+        let interval = terms.0.beat;
         let agreement = Agreement::new(node.id(), terms.0, keys, Outs::default(), file, seed, now)?;
         let ProcessInfo { running_release: runs, failed_release: failed, caller_address: callers } = process;
         let (fleet, silent) = (node.fleet().collect(), BTreeSet::new());
@@ -94,14 +94,14 @@
             drained: BTreeSet::new(),
             holder: Holder::default(),
             own,
-            asked: BTreeMap::new(),
-            rests: Vec::new(),
-            looks: Vec::new(),
+            pending: BTreeMap::new(),
+            retry_later: Vec::new(),
+            probe_addresses: Vec::new(),
             replace: None,
-            turn_at: now,
-            beat,
+            next_turn_at: now,
+            interval,
             evidence: Evidence::default(),
-            report_at: now + terms.1.comparison_period.unwrap_or(f64::INFINITY),
+            next_report_at: now + terms.1.comparison_period.unwrap_or(f64::INFINITY),
         })
     }
 
@@ -130,8 +130,8 @@
             self.agreement.receive(now, from, &bytes);
         }
         while let Some((from, bytes)) = node.said_to(Part::Evidence) {
-            if let Some((report, span)) = Report::read(&bytes).zip(self.terms.comparison_period) {
-                self.evidence.told((now / span) as u64, from, report);
+            if let Some((report, period)) = Report::read(&bytes).zip(self.terms.comparison_period) {
+                self.evidence.told((now / period) as u64, from, report);
             }
         }
         if self.agreement.due() <= now {
@@ -139,75 +139,79 @@
             self.agreement.set_peers(alive.map(|(id, _)| id).collect::<Vec<_>>());
             self.agreement.turn(now);
         }
-        if now >= self.turn_at {
-            self.turn_at = now + self.beat;
-            self.hold(now, node);
+        if now >= self.next_turn_at {
+            self.next_turn_at = now + self.interval;
+            self.act_on_decisions(now, node);
         }
-        while let Some(out) = self.agreement.outgoing() {
+        while let Some(message) = self.agreement.outgoing() {
             // What the cap forbids is lost, as on the network: it is said again.
-            node.say_to(now, out.to, Part::Agreement, out.bytes);
+            node.say_to(now, message.to, Part::Agreement, message.bytes);
         }
     }
 
     pub fn due(&self) -> f64 {
-        self.agreement.due().min(self.turn_at).min(self.report_at)
+        self.agreement.due().min(self.next_turn_at).min(self.next_report_at)
     }
 
     /// What this proxy itself does by what is decided.
-    fn hold(&mut self, now: f64, node: &Node) {
+    fn act_on_decisions(&mut self, now: f64, node: &Node) {
         let dead = node.members.all().filter(|(_, member)| member.standing == Standing::Dead);
         self.own.silent = dead.map(|(id, _)| id).collect();
         self.own.fleet = node.fleet().collect();
         self.own.leads = self.agreement.role() == agree::Role::Leads;
         let outs = self.agreement.machine();
         let runs = |id: Id, release: u64| outs.releases.runs(id) == release;
-        let (span, evidence) = (self.terms.comparison_period, &mut self.evidence);
+        let (period, evidence) = (self.terms.comparison_period, &mut self.evidence);
         if let Some(release) = outs.releases.current().filter(|of| of.phase == Phase::Staged) {
             evidence.begins(release.number);
         }
-        let judge = |release, wave| match span {
-            Some(span) => evidence.judge((now / span) as u64, release, wave, |id| runs(id, release)),
+        let judge = |release, wave| match period {
+            Some(period) => evidence.judge((now / period) as u64, release, wave, |id| runs(id, release)),
             None => Judgement::Go,
         };
         let (wanted, replace) = self.holder.turn(now, outs, &self.own, &self.terms.holder, judge);
-        self.looks = self.holder.to_look_at(outs, &self.own).into_iter().map(|(_, at)| at).collect();
+        self.probe_addresses =
+            self.holder.to_look_at(outs, &self.own).into_iter().map(|(_, at)| at).collect();
         self.replace = replace.or(self.replace.take());
-        self.ask(now, wanted);
+        self.propose_wanted(now, wanted);
     }
 
     /// Asks for what is wanted and not asked for yet, and for nothing that is wanted no more: what waits
     /// while no majority is heard would all be decided at once afterwards.
-    fn ask(&mut self, now: f64, wanted: Vec<Command>) {
-        let vain: Vec<u64> = self
-            .asked
+    fn propose_wanted(&mut self, now: f64, wanted: Vec<Command>) {
+        let obsolete: Vec<u64> = self
+            .pending
             .iter()
             .filter(|(_, command)| !wanted.contains(command))
             .map(|(&request, _)| request)
             .collect();
-        for request in vain {
-            self.asked.remove(&request);
+        for request in obsolete {
+            self.pending.remove(&request);
             self.agreement.forget(request);
         }
-        self.rests.retain(|(_, until)| now < *until);
+        self.retry_later.retain(|(_, until)| now < *until);
         for command in wanted {
-            let waits =
-                self.asked.values().chain(self.rests.iter().map(|(of, _)| of)).any(|of| *of == command);
-            if !waits && let Ok(request) = self.agreement.propose(now, OUTS, command.write()) {
-                self.asked.insert(request, command);
+            let already_asked = self
+                .pending
+                .values()
+                .chain(self.retry_later.iter().map(|(later, _)| later))
+                .any(|other| *other == command);
+            if !already_asked && let Ok(request) = self.agreement.propose(now, OUTS, command.write()) {
+                self.pending.insert(request, command);
             }
         }
     }
 
     /// Whether what became of conversations is to be told now.
     pub fn report_due(&self, now: f64) -> bool {
-        now >= self.report_at
+        now >= self.next_report_at
     }
 
-    /// Tells the council what became of this proxy's conversations in the span that is over.
+    /// Tells the council what became of this proxy's conversations in the period that is over.
     pub fn send_report(&mut self, now: f64, node: &mut Node, report: Report) {
-        let Some(span) = self.terms.comparison_period else { return };
-        self.report_at = now + span;
-        self.evidence.told((now / span) as u64, self.own.id, report);
+        let Some(period) = self.terms.comparison_period else { return };
+        self.next_report_at = now + period;
+        self.evidence.told((now / period) as u64, self.own.id, report);
         let council = self.agreement.standing(now).council;
         for member in council.ids().filter(|&id| id != self.own.id) {
             node.say_to(now, member, Part::Evidence, report.write());
@@ -216,7 +220,7 @@
 
     /// Callers' sockets of others that are to be asked for a sign of life now.
     pub fn addresses_to_probe(&mut self) -> Vec<SocketAddr> {
-        std::mem::take(&mut self.looks)
+        std::mem::take(&mut self.probe_addresses)
     }
 
     /// Somebody answered at that address.
@@ -278,7 +282,7 @@
     }
 
     /// What the disk came to.
-    pub fn write_finished(&mut self, now: f64, well: bool) {
-        if well { self.agreement.written(now) } else { self.agreement.unwritten(now) }
+    pub fn write_finished(&mut self, now: f64, succeeded: bool) {
+        if succeeded { self.agreement.written(now) } else { self.agreement.unwritten(now) }
     }
 }
--- a/proxy/src/decided/status.rs
+++ b/proxy/src/decided/status.rs
@@ -51,12 +51,12 @@
 impl CouncilStatus {
     pub fn of(standing: AgreeStanding, node: &Node) -> Self {
         let name = |id: Id| node.name(id).unwrap_or("?").to_owned();
-        let seat = |seat: &Seat| VoterStatus {
+        let voter = |seat: &Seat| VoterStatus {
             name: name(seat.id),
             generation: seat.life,
             log_index: standing.progress.get(&seat.id).copied(),
         };
-        let voteless = standing.lives.iter().map(|(&id, &life)| VoterStatus {
+        let non_voters = standing.lives.iter().map(|(&id, &life)| VoterStatus {
             name: name(id),
             generation: life,
             log_index: None,
@@ -71,10 +71,10 @@
             certified: standing.sealed,
             hash: hex::encode(&standing.hash[..8]),
             age_ms: Some(standing.age).filter(|age| age.is_finite()),
-            voters: standing.council.seats().iter().map(seat).collect(),
+            voters: standing.council.seats().iter().map(voter).collect(),
             since: standing.version,
             proved: standing.linked,
-            non_voters: voteless.collect(),
+            non_voters: non_voters.collect(),
             stopped: standing.stopped.clone(),
             counts: standing.counts,
         }
@@ -176,21 +176,26 @@
 }
 
 impl AvailabilityStatus {
-    pub fn of(decided: &DecidedState, node: &Node, now: f64, here: impl Fn(&str) -> usize) -> Self {
+    pub fn of(
+        decided: &DecidedState,
+        node: &Node,
+        now: f64,
+        conversations_at: impl Fn(&str) -> usize,
+    ) -> Self {
         let name = |id: Id| node.name(id).unwrap_or("?").to_owned();
         let Outs { grants, releases, .. } = decided.agreement.machine();
-        let row = |(server, drain): (&str, &outs::Drain)| DrainStatus {
+        let drain_status = |(server, drain): (&str, &outs::Drain)| DrainStatus {
             server: server.to_owned(),
             pool: drain.pool,
             by: drain.by.clone(),
             why: drain.why.clone(),
             since: drain.unix,
             decision: drain.decided,
-            conversations_here: here(server),
+            conversations_here: conversations_at(server),
         };
         let age_ms = Some(decided.age(now)).filter(|age| age.is_finite());
         Self {
-            drains: decided.drains().iter().map(row).collect(),
+            drains: decided.drains().iter().map(drain_status).collect(),
             proxies: grants.out().map(|id| UnavailabilityStatus::of(grants, id, &name)).collect(),
             max_unavailable: grants.most(),
             witnesses: grants.witnesses(),
--- a/proxy/src/distributed/service.rs
+++ b/proxy/src/distributed/service.rs
@@ -37,7 +37,7 @@
     control: Control,
     /// Where each subscriber was last heard; bounded by the roster.
     addresses: BTreeMap<Id, SocketAddr>,
-    out: VecDeque<Outgoing>,
+    queue: VecDeque<Outgoing>,
 }
 
 impl Service {
@@ -61,7 +61,7 @@
             channel: Channel::new(secrets, roster, unix),
             control: Control::new(control_terms, seed, now),
             addresses: BTreeMap::new(),
-            out: VecDeque::new(),
+            queue: VecDeque::new(),
         }
     }
 
@@ -74,7 +74,7 @@
         if let Some(received) = self.channel.open(datagram).filter(|received| received.part == Part::State) {
             self.addresses.insert(received.from, peer);
             self.control.receive(now, received.from, &received.bytes);
-            self.send();
+            self.queue_outgoing();
         }
         true
     }
@@ -100,14 +100,14 @@
         while let Some(nonce) = self.control.ask() {
             agreement.ask_freshness(nonce);
         }
-        self.send();
+        self.queue_outgoing();
     }
 
-    fn send(&mut self) {
-        while let Some(out) = self.control.outgoing() {
-            let Some(&peer) = self.addresses.get(&out.to) else { continue };
-            let sealed = self.channel.seal(Part::State, out.bytes);
-            self.out.extend(sealed.map(|bytes| Outgoing { peer, bytes }));
+    fn queue_outgoing(&mut self) {
+        while let Some(message) = self.control.outgoing() {
+            let Some(&peer) = self.addresses.get(&message.to) else { continue };
+            let packet = self.channel.seal(Part::State, message.bytes);
+            self.queue.extend(packet.map(|bytes| Outgoing { peer, bytes }));
         }
     }
 
@@ -118,13 +118,13 @@
 
     /// The next datagram to send.
     pub fn outgoing(&mut self) -> Option<Outgoing> {
-        self.out.pop_front()
+        self.queue.pop_front()
     }
 
     /// Goes on with other keys, as in a rotation; `roster` is the subscribers'.
     pub fn rekey(&mut self, secrets: Secrets, roster: Roster) {
-        for (gone, _) in self.addresses.extract_if(.., |id, _| !roster.contains(*id)) {
-            self.control.forget(gone);
+        for (removed, _) in self.addresses.extract_if(.., |id, _| !roster.contains(*id)) {
+            self.control.forget(removed);
         }
         self.channel.rekey(secrets, roster);
     }
@@ -172,12 +172,12 @@
 
     /// Who of those that it serves has the newest changes.
     pub fn changes(&self, now: f64) -> Vec<ChangeStatus> {
-        let lacking = |of: &Lacking| LackingStatus {
-            subscriber: self.name(of.id),
-            since_ms: of.since_ms,
-            silent_ms: of.silent_ms,
+        let lacking = |lacking: &Lacking| LackingStatus {
+            subscriber: self.name(lacking.id),
+            since_ms: lacking.since_ms,
+            silent_ms: lacking.silent_ms,
         };
-        let row = |change: ChangeProgress| ChangeStatus {
+        let change_status = |change: ChangeProgress| ChangeStatus {
             scope: change.scope.to_string(),
             key: change.key.to_string(),
             version: change.version,
@@ -187,6 +187,6 @@
             of: change.acknowledged + change.lacking,
             lacking: change.names.iter().map(lacking).collect(),
         };
-        self.control.changes(now).into_iter().map(row).collect()
+        self.control.changes(now).into_iter().map(change_status).collect()
     }
 }
--- a/proxy/src/distributed/subscription.rs
+++ b/proxy/src/distributed/subscription.rs
@@ -49,7 +49,7 @@
     channel: Channel,
     subscriber: Subscriber<FleetKeys>,
     addresses: BTreeMap<Id, SocketAddr>,
-    out: VecDeque<Outgoing>,
+    queue: VecDeque<Outgoing>,
 }
 
 impl Subscription {
@@ -68,7 +68,7 @@
         let mut subscriber = Subscriber::new(subscriber_terms, keys, seed, now);
         terms.scopes.into_iter().for_each(|scope| subscriber.subscribe(scope, now));
         let addresses = terms.controls.iter().map(|control| (control.machine.id, control.address)).collect();
-        Self { channel, subscriber, addresses, out: VecDeque::new() }
+        Self { channel, subscriber, addresses, queue: VecDeque::new() }
     }
 
     /// Puts in force what [`Subscription::state_to_save`] gave before, as far as it is proved.
@@ -91,7 +91,7 @@
     pub fn receive(&mut self, now: f64, datagram: &[u8]) {
         if let Some(received) = self.channel.open(datagram).filter(|received| received.part == Part::State) {
             self.subscriber.receive(now, received.from, &received.bytes);
-            self.send();
+            self.queue_outgoing();
         }
     }
 
@@ -100,14 +100,14 @@
         if self.subscriber.due() <= now {
             self.subscriber.turn(now);
         }
-        self.send();
+        self.queue_outgoing();
     }
 
-    fn send(&mut self) {
-        while let Some(out) = self.subscriber.outgoing() {
-            let Some(&peer) = self.addresses.get(&out.to) else { continue };
-            let sealed = self.channel.seal(Part::State, out.bytes);
-            self.out.extend(sealed.map(|bytes| Outgoing { peer, bytes }));
+    fn queue_outgoing(&mut self) {
+        while let Some(message) = self.subscriber.outgoing() {
+            let Some(&peer) = self.addresses.get(&message.to) else { continue };
+            let packet = self.channel.seal(Part::State, message.bytes);
+            self.queue.extend(packet.map(|bytes| Outgoing { peer, bytes }));
         }
     }
 
@@ -118,7 +118,7 @@
 
     /// The next datagram to send.
     pub fn outgoing(&mut self) -> Option<Outgoing> {
-        self.out.pop_front()
+        self.queue.pop_front()
     }
 
     /// Whether anything of what is in force has changed since this was last asked.
--- a/proxy/src/hints.rs
+++ b/proxy/src/hints.rs
@@ -8,15 +8,15 @@
 
 /// The element's type; RFC 5456 gives out none so high.
 pub const HINTS: u8 = 0xf5;
-const HEAD: [u8; 3] = [b'f', b't', 1];
+const HEADER: [u8; 3] = [b'f', b't', 1];
 
-const COME_BACK: u8 = 1;
+const RETRY_AFTER: u8 = 1;
 const FREE: u8 = 2;
 const LINES: u8 = 3;
 const RATE: u8 = 4;
 const QUEUE: u8 = 5;
 const REDIAL: u8 = 6;
-const PATIENCE: u8 = 7;
+const CALLER_TIMEOUT: u8 = 7;
 const WAIT: u8 = 8;
 
 /// What the element says; everything in it may be left out.
@@ -43,7 +43,7 @@
     /// What a frame's elements say; an element of another form says nothing.
     pub fn read(elements: &Elements) -> Self {
         let mut hints = Self::default();
-        let Some(rest) = elements.get(HINTS).and_then(|body| body.strip_prefix(&HEAD[..])) else {
+        let Some(rest) = elements.get(HINTS).and_then(|body| body.strip_prefix(&HEADER[..])) else {
             return hints;
         };
         let mut rest = rest;
@@ -52,13 +52,13 @@
             rest = more;
             let number = value.try_into().map(u32::from_be_bytes).ok();
             match *tag {
-                COME_BACK => hints.retry_after = number,
+                RETRY_AFTER => hints.retry_after = number,
                 FREE => hints.free = number,
                 LINES => hints.lines = number,
                 RATE => hints.rate = number,
                 QUEUE => hints.queue = number,
                 REDIAL => hints.redial = true,
-                PATIENCE => hints.caller_timeout = number,
+                CALLER_TIMEOUT => hints.caller_timeout = number,
                 WAIT => hints.wait = number,
                 _ => {}
             }
@@ -68,14 +68,14 @@
 
     /// Adds the element, unless there is nothing to say.
     pub fn add_to(&self, elements: Elements) -> Elements {
-        let mut body = HEAD.to_vec();
+        let mut body = HEADER.to_vec();
         let numbers = [
-            (COME_BACK, self.retry_after),
+            (RETRY_AFTER, self.retry_after),
             (FREE, self.free),
             (LINES, self.lines),
             (RATE, self.rate),
             (QUEUE, self.queue),
-            (PATIENCE, self.caller_timeout),
+            (CALLER_TIMEOUT, self.caller_timeout),
             (WAIT, self.wait),
         ];
         for (tag, value) in numbers {
@@ -87,7 +87,7 @@
         if self.redial {
             body.extend([REDIAL, 0]);
         }
-        if body.len() > HEAD.len() { elements.with(HINTS, Bytes::from(body)) } else { elements }
+        if body.len() > HEADER.len() { elements.with(HINTS, Bytes::from(body)) } else { elements }
     }
 
     /// The part that is a server's report.
--- a/proxy/src/journal_writer.rs
+++ b/proxy/src/journal_writer.rs
@@ -10,20 +10,20 @@
     grades: Vec<String>,
     tenants: Vec<String>,
     /// Unix milliseconds at the proxy's time 0: a step of the wall clock moves no entry.
-    epoch: f64,
+    unix_at_zero: f64,
     serial: u64,
     entries: VecDeque<Entry>,
 }
 
 impl JournalWriter {
-    /// Names of service grades and tenants by index; `epoch` is the Unix time in milliseconds at the
+    /// Names of service grades and tenants by index; `unix_at_zero` is the Unix time in milliseconds at the
     /// proxy's time 0.
-    pub fn new(grades: Vec<String>, tenants: Vec<String>, epoch: f64) -> Self {
-        Self { grades, tenants, epoch, serial: 0, entries: VecDeque::new() }
+    pub fn new(grades: Vec<String>, tenants: Vec<String>, unix_at_zero: f64) -> Self {
+        Self { grades, tenants, unix_at_zero, serial: 0, entries: VecDeque::new() }
     }
 
-    fn at(&self, now: f64) -> u64 {
-        (self.epoch + now).max(0.0) as u64
+    fn unix_ms(&self, now: f64) -> u64 {
+        (self.unix_at_zero + now).max(0.0) as u64
     }
 
     /// A conversation is taken; gives its number.
@@ -36,7 +36,7 @@
         tenant: Option<usize>,
     ) -> u64 {
         self.serial += 1;
-        let (serial, at) = (self.serial, self.at(now));
+        let (serial, at) = (self.serial, self.unix_ms(now));
         let tenant = tenant.and_then(|tenant| self.tenants.get(tenant)).cloned().unwrap_or_default();
         let grade = self.grades.get(grade).cloned().unwrap_or_default();
         let (calling, called) = (calling.to_owned(), called.to_owned());
@@ -45,17 +45,17 @@
     }
 
     pub fn attempt_sent(&mut self, now: f64, serial: u64, server: &str) {
-        let at = self.at(now);
+        let at = self.unix_ms(now);
         self.entries.push_back(Entry::Shot { serial, at, server: server.to_owned() });
     }
 
     pub fn answered(&mut self, now: f64, serial: u64) {
-        let at = self.at(now);
+        let at = self.unix_ms(now);
         self.entries.push_back(Entry::Answered { serial, at });
     }
 
     pub fn closed(&mut self, now: f64, serial: u64, outcome: Outcome) {
-        let at = self.at(now);
+        let at = self.unix_ms(now);
         self.entries.push_back(Entry::Closed { serial, at, outcome, over_share: false });
     }
 
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -12,7 +12,7 @@
 mod decisions;
 pub mod differences;
 pub mod distributed;
-mod earned;
+mod earnings;
 pub mod hints;
 pub mod journal_writer;
 pub mod limits;
--- a/proxy/src/limits.rs
+++ b/proxy/src/limits.rs
@@ -27,9 +27,9 @@
     terms: LimitTerms,
     /// Names by server, as members speak of them: one life of it.
     names: Vec<Option<String>>,
-    told: Vec<Option<f64>>,
+    reported_rates: Vec<Option<f64>>,
     /// Names of tenants' shares, by tenant.
-    shares: Vec<String>,
+    tenant_limits: Vec<String>,
 }
 
 impl FleetLimits {
@@ -43,7 +43,7 @@
         now: f64,
     ) -> Self {
         let mut fleet = Fleet::new(node.id(), node.fleet(), terms.fleet, seed, now);
-        let mut shares = Vec::new();
+        let mut tenant_limits = Vec::new();
         for (name, quota) in tenants.into_iter().take_while(|_| terms.share_window.is_some()) {
             // No server's name ends so.
             let name = format!("{name} (tenant)");
@@ -52,15 +52,15 @@
             if quota * window >= 1000.0 {
                 fleet.limit(&name, quota, window);
             }
-            shares.push(name);
+            tenant_limits.push(name);
         }
-        Self { fleet, terms, names: Vec::new(), told: Vec::new(), shares }
+        Self { fleet, terms, names: Vec::new(), reported_rates: Vec::new(), tenant_limits }
     }
 
     /// A conversation of a tenant has come: whether it is within the tenant's share; none where that is not
     /// known, as for a while after a start.
     pub fn within_share(&mut self, now: f64, tenant: usize) -> Option<bool> {
-        let name = self.shares.get(tenant)?;
+        let name = self.tenant_limits.get(tenant)?;
         let free = self.fleet.free(now, name).filter(|_| self.fleet.is_sure(now, name))?;
         if free == 0 {
             self.fleet.missed(now, name, 1);
@@ -74,7 +74,7 @@
             let index = server.0 as usize;
             if self.names.len() <= index {
                 self.names.resize(index + 1, None);
-                self.told.resize(index + 1, None);
+                self.reported_rates.resize(index + 1, None);
             }
             let life = pool.generation(server).filter(|_| pool.state(server) == State::Running);
             let name = life.map(|life| format!("{}@{}", pool.name(server), life.started));
@@ -82,25 +82,25 @@
                 if let Some(former) = std::mem::replace(&mut self.names[index], name) {
                     self.fleet.withdraw(now, &former);
                 }
-                self.told[index] = None;
-                self.set(server);
+                self.reported_rates[index] = None;
+                self.apply_limit(server);
             }
         }
     }
 
     /// A central server has told how many set-ups a second it can take.
     pub fn set_reported_rate(&mut self, server: Server, rate: f64) {
-        if let Some(told) = self.told.get_mut(server.0 as usize) {
-            *told = Some(rate);
-            self.set(server);
+        if let Some(reported) = self.reported_rates.get_mut(server.0 as usize) {
+            *reported = Some(rate);
+            self.apply_limit(server);
         }
     }
 
-    fn set(&mut self, server: Server) {
+    fn apply_limit(&mut self, server: Server) {
         let index = server.0 as usize;
-        let rate = match (self.told[index], self.terms.max_rate) {
-            (Some(told), Some(most)) => told.min(most),
-            (told, most) => match told.or(most) {
+        let rate = match (self.reported_rates[index], self.terms.max_rate) {
+            (Some(reported), Some(max)) => reported.min(max),
+            (reported, max) => match reported.or(max) {
                 Some(rate) => rate,
                 None => return,
             },
@@ -119,8 +119,8 @@
     /// A set-up has been sent there.
     pub fn record_attempt(&mut self, now: f64, server: Server) {
         if let Some(Some(name)) = self.names.get(server.0 as usize) {
-            let taken = self.fleet.take(now, name);
-            debug_assert!(taken, "the module sends no more than it is allotted");
+            let recorded = self.fleet.take(now, name);
+            debug_assert!(recorded, "the module sends no more than it is allotted");
         }
     }
 
@@ -136,9 +136,9 @@
             self.fleet.receive(now, from, &bytes);
         }
         self.fleet.turn(now);
-        while let Some(out) = self.fleet.outgoing() {
+        while let Some(message) = self.fleet.outgoing() {
             // What the cap forbids is lost, as on the network: it lapses.
-            node.say_to(now, out.to, Part::Limits, out.bytes);
+            node.say_to(now, message.to, Part::Limits, message.bytes);
         }
     }
 
--- a/proxy/src/pool.rs
+++ b/proxy/src/pool.rs
@@ -120,7 +120,7 @@
     }
 }
 
-struct Known {
+struct KnownServer {
     entry: PoolEntry,
     server: Server,
     /// When it started, on this proxy's clock. Reckoned once for each start told, so that a step of the
@@ -132,7 +132,7 @@
 #[derive(Default)]
 pub struct PoolList {
     version: Option<u64>,
-    known: BTreeMap<String, Known>,
+    known: BTreeMap<String, KnownServer>,
     addresses: Vec<SocketAddr>,
     names: Vec<String>,
     by_address: HashMap<SocketAddr, Server>,
@@ -159,14 +159,14 @@
     }
 
     pub fn state(&self, server: Server) -> State {
-        self.known.get(self.name(server)).map_or(State::Gone, |known| self.effective(&known.entry))
+        self.known.get(self.name(server)).map_or(State::Gone, |known| self.effective_state(&known.entry))
     }
 
     pub fn pool(&self, server: Server) -> u16 {
         self.known.get(self.name(server)).map_or(0, |known| known.entry.pool)
     }
 
-    fn effective(&self, entry: &PoolEntry) -> State {
+    fn effective_state(&self, entry: &PoolEntry) -> State {
         match entry.state.into() {
             State::Running if self.drained.contains(&entry.name) => State::Draining,
             state => state,
@@ -186,11 +186,11 @@
         let former = std::mem::replace(&mut self.drained, drained.clone());
         let changed = former.symmetric_difference(drained).filter_map(|name| self.known.get(name));
         let running = changed.filter(|known| known.entry.state == Readiness::Running);
-        running.map(|known| self.line(known)).collect()
+        running.map(|known| self.listed(known)).collect()
     }
 
-    fn line(&self, known: &Known) -> Listed {
-        let state = self.effective(&known.entry);
+    fn listed(&self, known: &KnownServer) -> Listed {
+        let state = self.effective_state(&known.entry);
         Listed { server: known.server, state, pool: known.entry.pool, started: known.started }
     }
 
@@ -227,16 +227,16 @@
                 known.entry.state = Readiness::Gone;
             }
         }
-        Ok(news.servers.iter().map(|entry| self.take(entry, now, unix)).collect())
+        Ok(news.servers.iter().map(|entry| self.apply_entry(entry, now, unix)).collect())
     }
 
-    fn take(&mut self, entry: &PoolEntry, now: f64, unix: f64) -> Listed {
+    fn apply_entry(&mut self, entry: &PoolEntry, now: f64, unix: f64) -> Listed {
         let local = |at: f64| now - (unix - at).max(0.0);
         let known = self.known.entry(entry.name.clone()).or_insert_with(|| {
             self.names.push(entry.name.clone());
             self.addresses.push(entry.address);
             let server = Server(self.names.len() as u32 - 1);
-            Known { entry: entry.clone(), server, started: entry.started.map(local) }
+            KnownServer { entry: entry.clone(), server, started: entry.started.map(local) }
         });
         if known.entry.started != entry.started {
             known.started = entry.started.map(local);
@@ -246,7 +246,7 @@
         if entry.state != Readiness::Gone {
             self.by_address.insert(entry.address, known.server);
         }
-        self.line(&self.known[&entry.name])
+        self.listed(&self.known[&entry.name])
     }
 
     /// The list as it is kept on disk: a line with a checksum, then the news that would bring it.
--- a/proxy/src/routes.rs
+++ b/proxy/src/routes.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
     by_context: HashMap<String, BTreeMap<String, (usize, u16)>>,
-    longest: usize,
+    max_prefix_len: usize,
     tenants: HashMap<String, usize>,
 }
 
@@ -29,7 +29,7 @@
     ) -> Self {
         let mut table = Self { tenants: tenants.into_iter().collect(), ..Self::default() };
         for Route { context, prefix, grade, pool } in routes {
-            table.longest = table.longest.max(prefix.len());
+            table.max_prefix_len = table.max_prefix_len.max(prefix.len());
             table.by_context.entry(context).or_default().insert(prefix, (grade, pool));
         }
         table
@@ -38,7 +38,7 @@
     /// Service grade and pool of first choice.
     pub fn find(&self, context: &str, called: &str) -> Option<(usize, u16)> {
         let lines = self.by_context.get(context).or_else(|| self.by_context.get(""))?;
-        let longest = called.len().min(self.longest);
+        let longest = called.len().min(self.max_prefix_len);
         (0..=longest).rev().find_map(|length| lines.get(called.get(..length)?)).copied()
     }
 
--- a/proxy/src/status.rs
+++ b/proxy/src/status.rs
@@ -139,10 +139,11 @@
             state: "this one".to_owned(),
             incarnation: node.incarnation(),
         };
-        let listed = |life| pool.servers().find(|&server| pool.generation(server) == Some(life));
+        let listed_server =
+            |generation| pool.servers().find(|&server| pool.generation(server) == Some(generation));
         let suspicions = node.accused(now).into_iter().map(|accused| SuspicionStatus {
             // What is not on this proxy's list, or not in this life, has no name here.
-            server: listed(accused.life).map_or("?".to_owned(), |server| pool.name(server).to_owned()),
+            server: listed_server(accused.life).map_or("?".to_owned(), |server| pool.name(server).to_owned()),
             started: accused.life.started,
             accusers: node.accusers(accused.life).into_iter().map(name).collect(),
             vouchers: accused.vouchers,
@@ -186,7 +187,7 @@
 
 impl LimitsStatus {
     pub fn of((standings, counts): (Vec<fleet::LimitStanding>, fleet::Counts)) -> Self {
-        let row = |limit: fleet::LimitStanding| {
+        let limit_status = |limit: fleet::LimitStanding| {
             let fleet::Standing { part, lent, borrowed, resting, free, waits_out } = limit.standing;
             let why = match (free, waits_out) {
                 (1.., _) => "",
@@ -208,6 +209,6 @@
                 why: why.to_owned(),
             }
         };
-        Self { limits: standings.into_iter().map(row).collect(), counts }
+        Self { limits: standings.into_iter().map(limit_status).collect(), counts }
     }
 }
--- a/proxy/src/timers.rs
+++ b/proxy/src/timers.rs
@@ -7,32 +7,32 @@
 use frostthread::host::{Ending, Handle};
 use ordered_float::OrderedFloat;
 
-/// `K` names a shot on its wire.
+/// `K` names a attempt on its wire.
 pub struct Timers<K> {
-    time_outs: BinaryHeap<Reverse<(OrderedFloat<f64>, K)>>,
+    timeouts: BinaryHeap<Reverse<(OrderedFloat<f64>, K)>>,
     wake: f64,
-    unheard: VecDeque<(Handle, Ending)>,
+    deferred_endings: VecDeque<(Handle, Ending)>,
 }
 
 impl<K: Ord> Default for Timers<K> {
     fn default() -> Self {
-        Self { time_outs: BinaryHeap::new(), wake: f64::INFINITY, unheard: VecDeque::new() }
+        Self { timeouts: BinaryHeap::new(), wake: f64::INFINITY, deferred_endings: VecDeque::new() }
     }
 }
 
 impl<K: Ord + Clone> Timers<K> {
-    /// The shot is to be given up then, if it is still out.
-    pub fn start_timeout(&mut self, at: f64, shot: K) {
-        self.time_outs.push(Reverse((OrderedFloat(at), shot)));
+    /// The attempt is to be given up then, if it is still out.
+    pub fn start_timeout(&mut self, at: f64, attempt: K) {
+        self.timeouts.push(Reverse((OrderedFloat(at), attempt)));
     }
 
-    /// The next shot whose time is over; it may have ended long ago.
+    /// The next attempt whose time is over; it may have ended long ago.
     pub fn next_timed_out(&mut self, now: f64) -> Option<K> {
-        let Reverse((at, _)) = self.time_outs.peek()?;
+        let Reverse((at, _)) = self.timeouts.peek()?;
         if at.0 > now {
             return None;
         }
-        self.time_outs.pop().map(|Reverse((_, shot))| shot)
+        self.timeouts.pop().map(|Reverse((_, attempt))| attempt)
     }
 
     /// The module asks again only once it has taken the former time for past: this one replaces it.
@@ -47,19 +47,19 @@
         }
     }
 
-    /// When the module or a shot's time wants attention.
+    /// When the module or a attempt's time wants attention.
     pub fn due(&self) -> f64 {
-        let time_out = self.time_outs.peek().map_or(f64::INFINITY, |Reverse((at, _))| at.0);
+        let time_out = self.timeouts.peek().map_or(f64::INFINITY, |Reverse((at, _))| at.0);
         self.wake.min(time_out)
     }
 
-    /// The shot has ended, and the module is to be told when it has finished speaking.
+    /// The attempt has ended, and the module is to be told when it has finished speaking.
     pub fn defer_ending(&mut self, handle: Handle, ending: Ending) {
-        self.unheard.push_back((handle, ending));
+        self.deferred_endings.push_back((handle, ending));
     }
 
     /// All that the module has not heard yet.
     pub fn take_deferred_endings(&mut self) -> VecDeque<(Handle, Ending)> {
-        std::mem::take(&mut self.unheard)
+        std::mem::take(&mut self.deferred_endings)
     }
 }
--- a/proxy/src/watch.rs
+++ b/proxy/src/watch.rs
@@ -14,7 +14,7 @@
 use crate::differences::Differences;
 
 /// Time-outs are the same within this, in milliseconds.
-const SAME_TIME_OUT: f64 = 1.0;
+const TIMEOUT_TOLERANCE_MS: f64 = 1.0;
 
 /// What a turn requests of its host, kept by kind; each request is passed on to `to`, where there is one.
 struct Requests<'a, H> {
@@ -88,7 +88,7 @@
             match other.shots.get(handle) {
                 None => self.held_back += 1,
                 Some((elsewhere, _)) if elsewhere != server => self.other_server += 1,
-                Some((_, wait)) if (wait - time_out).abs() > SAME_TIME_OUT => self.timeout += 1,
+                Some((_, wait)) if (wait - time_out).abs() > TIMEOUT_TOLERANCE_MS => self.timeout += 1,
                 _ => {}
             }
         }
@@ -99,8 +99,8 @@
                 Some(otherwise) => self.retry_after += u64::from(otherwise != advice),
             }
         }
-        let anew = other.given_up.keys().filter(|&handle| !now.given_up.contains_key(handle));
-        self.given_up += anew.count() as u64;
+        let newly_given_up = other.given_up.keys().filter(|&handle| !now.given_up.contains_key(handle));
+        self.given_up += newly_given_up.count() as u64;
         self.cancelled += now.cancelled.symmetric_difference(&other.cancelled).count() as u64;
         self.probes_dropped += now.probes.saturating_sub(other.probes);
         self.probes_added += other.probes.saturating_sub(now.probes);
@@ -112,28 +112,28 @@
 #[derive(Clone, Debug)]
 pub struct ProposedTerms {
     pub terms: Terms,
-    /// The share of turns that are decided twice: what watching may cost at the most.
+    /// The share of turns that are decided decide_twice: what watching may cost at the most.
     pub share: f64,
 }
 
 /// A module, and the terms to come, if any are watched.
 pub struct Watched {
     module: Proxy,
-    to_come: Option<ProposedTerms>,
+    proposed: Option<ProposedTerms>,
     /// Of the share, what has not yet come to a turn.
     credit: f64,
     differences: Differences,
 }
 
 impl Watched {
-    pub fn new(module: Proxy, to_come: Option<ProposedTerms>) -> Self {
-        Self { module, to_come, credit: 0.0, differences: Differences::default() }
+    pub fn new(module: Proxy, proposed: Option<ProposedTerms>) -> Self {
+        Self { module, proposed, credit: 0.0, differences: Differences::default() }
     }
 
-    fn twice<H: Host>(&mut self, host: &mut H, decide: impl Fn(&mut Proxy, &mut Requests<H>)) {
+    fn decide_twice<H: Host>(&mut self, host: &mut H, decide: impl Fn(&mut Proxy, &mut Requests<H>)) {
         self.differences.turns += 1;
-        self.credit += self.to_come.as_ref().map_or(0.0, |to_come| to_come.share);
-        let Some(ProposedTerms { terms, .. }) = self.to_come.as_ref().filter(|_| self.credit >= 1.0) else {
+        self.credit += self.proposed.as_ref().map_or(0.0, |proposed| proposed.share);
+        let Some(ProposedTerms { terms, .. }) = self.proposed.as_ref().filter(|_| self.credit >= 1.0) else {
             return decide(&mut self.module, &mut Requests::of(Some(host)));
         };
         self.credit -= 1.0;
@@ -175,18 +175,18 @@
         handle.stood(&mut self.module);
     }
     fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
-        self.twice(host, |module, host| handle.ended(module, ending, finished, host));
+        self.decide_twice(host, |module, host| handle.ended(module, ending, finished, host));
     }
     fn caller_gone(&mut self, handle: Handle) {
         handle.left(&mut self.module);
     }
     fn run_pending(&mut self, host: &mut impl Host) {
-        self.twice(host, |module, host| module.settle(host));
+        self.decide_twice(host, |module, host| module.settle(host));
     }
     fn view(&self, server: Server) -> Option<View> {
         self.module.view(server)
     }
     fn differences(&self) -> Option<Differences> {
-        self.to_come.is_some().then_some(self.differences)
+        self.proposed.is_some().then_some(self.differences)
     }
 }
