--- a/iax2/src/endpoint/legs.rs
+++ b/iax2/src/endpoint/legs.rs
@@ -17,19 +17,21 @@
     }
 
     /// The leg stands from now on.
-    pub(super) fn up(&mut self, leg: Leg, now: f64) {
+    pub(super) fn establish(&mut self, leg: Leg, now: f64) {
         let state = &mut self.legs[leg];
         state.phase = Phase::Up;
         state.ping_at = now + self.limits.ping_interval;
-        self.queue(leg);
+        self.schedule_wake(leg);
     }
 
     /// A number that no leg or probe to this peer has; they go round, so that one rests as long as it can.
     pub(super) fn free_number(&mut self, peer: SocketAddr) -> Option<u16> {
         for _ in 0..MAX_LEG_NUMBER {
-            let number = self.next;
-            self.next = if number >= MAX_LEG_NUMBER { 1 } else { number + 1 };
-            if !self.ours.contains_key(&(peer, number)) && !self.pokes.contains_key(&(peer, number)) {
+            let number = self.next_number;
+            self.next_number = if number >= MAX_LEG_NUMBER { 1 } else { number + 1 };
+            if !self.by_local_number.contains_key(&(peer, number))
+                && !self.pokes.contains_key(&(peer, number))
+            {
                 return Some(number);
             }
         }
@@ -37,19 +39,25 @@
     }
 
     /// Makes a leg; `None` where legs or numbers have run out.
-    pub(super) fn begin(&mut self, now: f64, peer: SocketAddr, theirs: u16, phase: Phase) -> Option<Leg> {
+    pub(super) fn create_leg(
+        &mut self,
+        now: f64,
+        peer: SocketAddr,
+        remote_number: u16,
+        phase: Phase,
+    ) -> Option<Leg> {
         if self.legs.len() >= self.limits.max_legs {
             return None;
         }
-        let ours = self.free_number(peer)?;
+        let local_number = self.free_number(peer)?;
         let leg = self.legs.insert(State {
             peer,
-            ours,
-            theirs,
+            local_number,
+            remote_number,
             phase,
-            began: now,
-            stamped: 0,
-            heard_at: 0,
+            started_at: now,
+            last_timestamp: 0,
+            last_remote_timestamp: 0,
             media_base: None,
             oseq: 0,
             iseq: 0,
@@ -58,11 +66,11 @@
             heard: phase == Phase::Offered,
             ping_at: f64::INFINITY,
             remove_at: f64::INFINITY,
-            queued: f64::INFINITY,
+            queued_wake: f64::INFINITY,
         });
-        self.ours.insert((peer, ours), leg);
-        if theirs != 0 {
-            self.theirs.insert((peer, theirs), leg);
+        self.by_local_number.insert((peer, local_number), leg);
+        if remote_number != 0 {
+            self.by_remote_number.insert((peer, remote_number), leg);
         }
         Some(leg)
     }
@@ -70,38 +78,38 @@
     /// Forgets the leg, so that its number may be used again.
     pub(super) fn remove(&mut self, leg: Leg) {
         if let Some(state) = self.legs.remove(leg) {
-            self.ours.remove(&(state.peer, state.ours));
-            if self.theirs.get(&(state.peer, state.theirs)) == Some(&leg) {
-                self.theirs.remove(&(state.peer, state.theirs));
+            self.by_local_number.remove(&(state.peer, state.local_number));
+            if self.by_remote_number.get(&(state.peer, state.remote_number)) == Some(&leg) {
+                self.by_remote_number.remove(&(state.peer, state.remote_number));
             }
         }
     }
 
-    /// Puts the leg into the queue of wakes, unless it stands there early enough.
-    pub(super) fn queue(&mut self, leg: Leg) {
+    /// Puts the leg into the queue of wake_queue, unless it stands there early enough.
+    pub(super) fn schedule_wake(&mut self, leg: Leg) {
         let Some(state) = self.legs.get_mut(leg) else { return };
         let due = state.due();
-        if due < state.queued {
-            state.queued = due;
-            self.wakes.push(Reverse((OrderedFloat(due), leg)));
+        if due < state.queued_wake {
+            state.queued_wake = due;
+            self.wake_queue.push(Reverse((OrderedFloat(due), leg)));
         }
     }
 
     /// The leg is over: it is kept until its last copies must have come.
-    pub(super) fn over(&mut self, leg: Leg, now: f64) {
-        let rest = self.limits.whole_resend();
+    pub(super) fn close(&mut self, leg: Leg, now: f64) {
+        let resend_time = self.limits.total_resend_time();
         let state = &mut self.legs[leg];
-        state.phase = Phase::Over;
+        state.phase = Phase::Ended;
         state.ping_at = f64::INFINITY;
-        state.remove_at = now + rest + self.limits.resend_delay;
+        state.remove_at = now + resend_time + self.limits.resend_delay;
         state.offer = state.offer.take().map(|(stamp, body)| (stamp, Bytes::copy_from_slice(&body)));
-        self.queue(leg);
+        self.schedule_wake(leg);
     }
 
     /// The leg is over, and this is why.
-    pub(super) fn ended(&mut self, leg: Leg, now: f64, end: EndReason) {
+    pub(super) fn end_with(&mut self, leg: Leg, now: f64, end: EndReason) {
         self.legs[leg].unacknowledged.clear();
-        self.over(leg, now);
-        self.happenings.push_back((leg, Event::Ended(end)));
+        self.close(leg, now);
+        self.events.push_back((leg, Event::Ended(end)));
     }
 }
--- a/iax2/src/endpoint/mod.rs
+++ b/iax2/src/endpoint/mod.rs
@@ -40,15 +40,15 @@
 pub struct Endpoint {
     limits: Limits,
     legs: SlotMap<Leg, State>,
-    ours: HashMap<(SocketAddr, u16), Leg>,
-    theirs: HashMap<(SocketAddr, u16), Leg>,
+    by_local_number: HashMap<(SocketAddr, u16), Leg>,
+    by_remote_number: HashMap<(SocketAddr, u16), Leg>,
     /// Probes out, by the call number that they borrow.
     pokes: HashMap<(SocketAddr, u16), f64>,
-    poked: VecDeque<(f64, SocketAddr, u16)>,
-    next: u16,
-    wakes: BinaryHeap<Reverse<(OrderedFloat<f64>, Leg)>>,
+    poke_expiry: VecDeque<(f64, SocketAddr, u16)>,
+    next_number: u16,
+    wake_queue: BinaryHeap<Reverse<(OrderedFloat<f64>, Leg)>>,
     datagrams: VecDeque<Datagram>,
-    happenings: VecDeque<(Leg, Event)>,
+    events: VecDeque<(Leg, Event)>,
     counts: Counts,
 }
 
@@ -58,14 +58,14 @@
         Self {
             limits,
             legs: SlotMap::with_key(),
-            ours: HashMap::new(),
-            theirs: HashMap::new(),
+            by_local_number: HashMap::new(),
+            by_remote_number: HashMap::new(),
             pokes: HashMap::new(),
-            poked: VecDeque::new(),
-            next: Pcg64Mcg::seed_from_u64(seed).random_range(1..=MAX_LEG_NUMBER),
-            wakes: BinaryHeap::new(),
+            poke_expiry: VecDeque::new(),
+            next_number: Pcg64Mcg::seed_from_u64(seed).random_range(1..=MAX_LEG_NUMBER),
+            wake_queue: BinaryHeap::new(),
             datagrams: VecDeque::new(),
-            happenings: VecDeque::new(),
+            events: VecDeque::new(),
             counts: Counts::default(),
         }
     }
@@ -87,17 +87,17 @@
 
     /// The next thing that happened.
     pub fn next_event(&mut self) -> Option<(Leg, Event)> {
-        self.happenings.pop_front()
+        self.events.pop_front()
     }
 
     /// When [`Endpoint::turn`] is wanted.
     pub fn due(&self) -> Option<f64> {
-        self.wakes.peek().map(|Reverse((at, _))| at.0)
+        self.wake_queue.peek().map(|Reverse((at, _))| at.0)
     }
 
     /// Begins a leg with a NEW (RFC 5456, 6.2.2); the version is put first. `None` where legs have run out.
     pub fn call(&mut self, now: f64, peer: SocketAddr, elements: &Elements) -> Option<Leg> {
-        let leg = self.begin(now, peer, 0, Phase::Calling)?;
+        let leg = self.create_leg(now, peer, 0, Phase::Calling)?;
         let mut body = BytesMut::new();
         Elements::new().with_u16(element::VERSION, element::PROTOCOL_VERSION).write(&mut body);
         elements.write(&mut body);
@@ -107,10 +107,10 @@
 
     /// Sends a probe (RFC 5456, 6.7.1). Its PONG, if one comes, is a happening.
     pub fn poke(&mut self, now: f64, peer: SocketAddr) {
-        let Some(ours) = self.free_number(peer) else { return };
-        self.pokes.insert((peer, ours), now);
-        self.poked.push_back((now, peer, ours));
-        self.bare(peer, ours, 0, 0, 0, 0, iax::POKE, Bytes::new());
+        let Some(local_number) = self.free_number(peer) else { return };
+        self.pokes.insert((peer, local_number), now);
+        self.poke_expiry.push_back((now, peer, local_number));
+        self.send_once(peer, local_number, 0, 0, 0, 0, iax::POKE, Bytes::new());
     }
 
     /// Answers a probe (RFC 5456, 6.7.3).
@@ -118,7 +118,7 @@
         let mut body = BytesMut::new();
         elements.write(&mut body);
         let Poke { peer, source, timestamp } = *poke;
-        self.bare(peer, MAX_CALL_NUMBER, source, timestamp, 0, 1, iax::PONG, body.freeze());
+        self.send_once(peer, MAX_CALL_NUMBER, source, timestamp, 0, 1, iax::PONG, body.freeze());
     }
 
     /// ACCEPT (RFC 5456, 6.2.3), where the leg awaits it.
@@ -139,7 +139,7 @@
     /// ANSWER (RFC 5456, 6.3.4), with elements that a peer that does not know them passes over.
     pub fn answer(&mut self, now: f64, leg: Leg, elements: &Elements) {
         if self.phase(leg) == Some(Phase::Linked) {
-            self.up(leg, now);
+            self.establish(leg, now);
             self.send_elements(leg, now, kind::CONTROL, control::ANSWER, elements);
         }
     }
@@ -147,7 +147,7 @@
     /// Ends a leg: REJECT while a NEW awaits its answer (RFC 5456, 6.2.4), else HANGUP (6.2.5).
     pub fn end(&mut self, now: f64, leg: Leg, elements: &Elements) {
         match self.phase(leg) {
-            None | Some(Phase::Over) => return,
+            None | Some(Phase::Ended) => return,
             Some(Phase::Offered) => self.send_elements(leg, now, kind::IAX, iax::REJECT, elements),
             Some(_) => {
                 // A NEW that may never have come through must not come through later than its end.
@@ -158,7 +158,7 @@
                 self.send_elements(leg, now, kind::IAX, iax::HANGUP, elements);
             }
         }
-        self.over(leg, now);
+        self.close(leg, now);
     }
 
     /// Passes media on. Its times keep their distances on the leg's own clock (RFC 5456, 8.1.2).
@@ -167,28 +167,29 @@
             return;
         }
         let state = &mut self.legs[leg];
-        let elapsed = (now - state.began).max(0.0) as u32;
+        let elapsed = (now - state.started_at).max(0.0) as u32;
         let base = *state.media_base.get_or_insert(elapsed.wrapping_sub(media.timestamp));
         let timestamp = media.timestamp.wrapping_add(base);
         if let Some((kind, subclass)) = media.full {
             self.send_at(leg, now, timestamp, kind, subclass, media.body.clone());
         } else {
-            let mini = Mini { source: state.ours, timestamp: timestamp as u16, body: media.body.clone() };
+            let mini =
+                Mini { source: state.local_number, timestamp: timestamp as u16, body: media.body.clone() };
             self.datagrams.push_back(Datagram { peer: state.peer, bytes: mini.write().freeze() });
         }
     }
 
     /// The network told that nobody listens at the address: what hangs on it has ended.
     pub fn connection_refused(&mut self, now: f64, peer: SocketAddr) {
-        let there: Vec<Leg> = self
+        let affected: Vec<Leg> = self
             .legs
             .iter()
-            .filter(|(_, state)| state.peer == peer && state.phase != Phase::Over)
+            .filter(|(_, state)| state.peer == peer && state.phase != Phase::Ended)
             .map(|(leg, _)| leg)
             .collect();
-        for leg in there {
+        for leg in affected {
             self.legs[leg].unacknowledged.clear();
-            self.ended(leg, now, EndReason::Refused);
+            self.end_with(leg, now, EndReason::Refused);
         }
     }
 }
--- a/iax2/src/endpoint/receive.rs
+++ b/iax2/src/endpoint/receive.rs
@@ -14,126 +14,136 @@
     /// A datagram came. Anything may stand in it.
     pub fn receive(&mut self, now: f64, peer: SocketAddr, datagram: &Bytes) {
         match frame::read(datagram) {
-            Ok(Frame::Full(full)) => self.full(now, peer, full),
-            Ok(Frame::Mini(mini)) => self.mini(peer, mini),
-            Ok(Frame::Trunk(minis)) => minis.into_iter().for_each(|mini| self.mini(peer, mini)),
+            Ok(Frame::Full(full)) => self.handle_full(now, peer, full),
+            Ok(Frame::Mini(mini)) => self.handle_mini(peer, mini),
+            Ok(Frame::Trunk(minis)) => minis.into_iter().for_each(|mini| self.handle_mini(peer, mini)),
             Ok(Frame::Video(_)) => self.counts.unmatched += 1,
             Err(_) => self.counts.malformed += 1,
         }
     }
 
-    fn mini(&mut self, peer: SocketAddr, mini: Mini) {
-        let leg = self.theirs.get(&(peer, mini.source)).copied();
+    fn handle_mini(&mut self, peer: SocketAddr, mini: Mini) {
+        let leg = self.by_remote_number.get(&(peer, mini.source)).copied();
         match leg.filter(|&leg| matches!(self.legs[leg].phase, Phase::Linked | Phase::Up)) {
             Some(leg) => {
                 // The time nearest to the last whole one that has these low 16 bits.
-                let whole = self.legs[leg].heard_at;
-                let near = mini.timestamp.wrapping_sub(whole as u16) as i16;
-                let timestamp = whole.wrapping_add_signed(i32::from(near));
-                self.legs[leg].heard_at = timestamp;
+                let last = self.legs[leg].last_remote_timestamp;
+                let offset = mini.timestamp.wrapping_sub(last as u16) as i16;
+                let timestamp = last.wrapping_add_signed(i32::from(offset));
+                self.legs[leg].last_remote_timestamp = timestamp;
                 let media = Media { timestamp, full: None, body: mini.body };
-                self.happenings.push_back((leg, Event::Media(media)));
+                self.events.push_back((leg, Event::Media(media)));
             }
             None => self.counts.unmatched += 1,
         }
     }
 
-    fn full(&mut self, now: f64, peer: SocketAddr, full: Full) {
+    fn handle_full(&mut self, now: f64, peer: SocketAddr, full: Full) {
         if full.is(kind::IAX, iax::NEW) && full.dest == 0 {
-            return self.offered(now, peer, full);
+            return self.handle_new(now, peer, full);
         }
         if full.is(kind::IAX, iax::POKE) {
             let poke = Poke { peer, source: full.source, timestamp: full.timestamp };
-            return self.happenings.push_back((Leg::default(), Event::Poked(poke)));
+            return self.events.push_back((Leg::default(), Event::Poked(poke)));
         }
-        match self.leg_of(peer, &full) {
-            Some(leg) => self.on_leg(now, leg, full),
+        match self.find_leg(peer, &full) {
+            Some(leg) => self.handle_leg_frame(now, leg, full),
             None if full.is(kind::IAX, iax::PONG) && self.pokes.remove(&(peer, full.dest)).is_some() => {
-                self.ponged(peer, full);
+                self.handle_pong(peer, full);
             }
-            None => self.stray(peer, &full),
+            None => self.handle_unmatched(peer, &full),
         }
     }
 
     /// The leg that a frame is for, by the number that the frame names as ours, else by the peer's own.
-    fn leg_of(&self, peer: SocketAddr, full: &Full) -> Option<Leg> {
+    fn find_leg(&self, peer: SocketAddr, full: &Full) -> Option<Leg> {
         if full.dest == 0 {
-            return self.theirs.get(&(peer, full.source)).copied();
+            return self.by_remote_number.get(&(peer, full.source)).copied();
         }
-        let found = self.ours.get(&(peer, full.dest)).copied();
-        found.filter(|&leg| [0, full.source].contains(&self.legs[leg].theirs))
+        let found = self.by_local_number.get(&(peer, full.dest)).copied();
+        found.filter(|&leg| [0, full.source].contains(&self.legs[leg].remote_number))
     }
 
     /// The answer to one of our probes.
-    fn ponged(&mut self, peer: SocketAddr, full: Full) {
+    fn handle_pong(&mut self, peer: SocketAddr, full: Full) {
         let iseq = full.oseq.wrapping_add(1);
-        self.bare(peer, full.dest, full.source, full.timestamp, 1, iseq, iax::ACK, Bytes::new());
+        self.send_once(peer, full.dest, full.source, full.timestamp, 1, iseq, iax::ACK, Bytes::new());
         let elements = Elements::read(full.body).unwrap_or_default();
-        self.happenings.push_back((Leg::default(), Event::Pong { peer, elements }));
+        self.events.push_back((Leg::default(), Event::Pong { peer, elements }));
     }
 
     /// A frame for no leg (RFC 5456, 6.9.2). What is outside the sequence is never answered, so that no two
     /// ends can go on telling each other.
-    fn stray(&mut self, peer: SocketAddr, full: &Full) {
+    fn handle_unmatched(&mut self, peer: SocketAddr, full: &Full) {
         self.counts.unmatched += 1;
         if full.is_sequenced() {
             let iseq = full.oseq.wrapping_add(1);
             // A source of 0 is no frame: one that was sent before it knew ours is told by another.
             let source = if full.dest == 0 { MAX_CALL_NUMBER } else { full.dest };
-            self.bare(peer, source, full.source, full.timestamp, full.iseq, iseq, iax::INVAL, Bytes::new());
+            self.send_once(
+                peer,
+                source,
+                full.source,
+                full.timestamp,
+                full.iseq,
+                iseq,
+                iax::INVAL,
+                Bytes::new(),
+            );
         }
     }
 
-    fn offered(&mut self, now: f64, peer: SocketAddr, full: Full) {
-        if let Some(&leg) = self.theirs.get(&(peer, full.source)) {
+    fn handle_new(&mut self, now: f64, peer: SocketAddr, full: Full) {
+        if let Some(&leg) = self.by_remote_number.get(&(peer, full.source)) {
             let state = &self.legs[leg];
             let copy = |(stamp, body): &(u32, Bytes)| *stamp == full.timestamp && *body == full.body;
             if state.offer.as_ref().is_some_and(copy) {
                 self.counts.duplicates += 1;
-                return self.send_aside(leg, iax::ACK, full.timestamp);
+                return self.send_unsequenced(leg, iax::ACK, full.timestamp);
             }
             // The peer has begun anew and uses the number again.
-            if state.phase != Phase::Over {
-                self.ended(leg, now, EndReason::Unknown);
+            if state.phase != Phase::Ended {
+                self.end_with(leg, now, EndReason::Unknown);
             }
             self.legs[leg].unacknowledged.clear();
-            self.theirs.remove(&(peer, full.source));
+            self.by_remote_number.remove(&(peer, full.source));
         }
-        let read = Elements::read(full.body.clone());
-        let known = read.as_ref().is_ok_and(|e| e.u16(element::VERSION) == Some(element::PROTOCOL_VERSION));
-        let made = if known { self.begin(now, peer, full.source, Phase::Offered) } else { None };
-        let Some(leg) = made else { return self.turn_away(peer, &full, known) };
+        let elements_read = Elements::read(full.body.clone());
+        let version_known =
+            elements_read.as_ref().is_ok_and(|e| e.u16(element::VERSION) == Some(element::PROTOCOL_VERSION));
+        let created =
+            if version_known { self.create_leg(now, peer, full.source, Phase::Offered) } else { None };
+        let Some(leg) = created else { return self.reject_without_leg(peer, &full, version_known) };
         let state = &mut self.legs[leg];
         state.iseq = full.oseq.wrapping_add(1);
         state.offer = Some((full.timestamp, full.body));
-        self.send_aside(leg, iax::ACK, full.timestamp);
-        let elements = read.expect("known");
-        self.happenings
-            .push_back((leg, Event::Offered { peer, elements, retransmitted: full.retransmitted }));
+        self.send_unsequenced(leg, iax::ACK, full.timestamp);
+        let elements = elements_read.expect("known");
+        self.events.push_back((leg, Event::Offered { peer, elements, retransmitted: full.retransmitted }));
     }
 
     /// Rejects a NEW without a leg for it: the same bytes are told the same again, and nothing is kept.
-    fn turn_away(&mut self, peer: SocketAddr, full: &Full, known: bool) {
-        let why = if known { cause::CONGESTION } else { cause::INVALID_NUMBER };
-        let count = if known { &mut self.counts.turned_away } else { &mut self.counts.malformed };
+    fn reject_without_leg(&mut self, peer: SocketAddr, full: &Full, version_known: bool) {
+        let code = if version_known { cause::CONGESTION } else { cause::INVALID_NUMBER };
+        let count = if version_known { &mut self.counts.turned_away } else { &mut self.counts.malformed };
         *count += 1;
         let mut body = BytesMut::new();
-        Elements::new().with_cause(why).write(&mut body);
+        Elements::new().with_cause(code).write(&mut body);
         let iseq = full.oseq.wrapping_add(1);
         let (source, dest, body) = (MAX_CALL_NUMBER, full.source, body.freeze());
-        self.bare(peer, source, dest, full.timestamp, 0, iseq, iax::REJECT, body);
+        self.send_once(peer, source, dest, full.timestamp, 0, iseq, iax::REJECT, body);
     }
 
-    fn on_leg(&mut self, now: f64, leg: Leg, full: Full) {
+    fn handle_leg_frame(&mut self, now: f64, leg: Leg, full: Full) {
         let state = &mut self.legs[leg];
         state.heard = true;
-        if state.theirs == 0 && !full.is(kind::IAX, iax::INVAL) {
-            state.theirs = full.source;
+        if state.remote_number == 0 && !full.is(kind::IAX, iax::INVAL) {
+            state.remote_number = full.source;
             let key = (state.peer, full.source);
             // An old leg that the peer had under this number is over for it.
-            let old = self.theirs.insert(key, leg);
-            if let Some(old) = old.filter(|&old| old != leg && self.legs[old].phase != Phase::Over) {
-                self.ended(old, now, EndReason::Unknown);
+            let old = self.by_remote_number.insert(key, leg);
+            if let Some(old) = old.filter(|&old| old != leg && self.legs[old].phase != Phase::Ended) {
+                self.end_with(old, now, EndReason::Unknown);
             }
         }
         let state = &mut self.legs[leg];
@@ -146,9 +156,9 @@
         }
         if !full.is_sequenced() {
             match full.subclass {
-                iax::INVAL if full.kind == kind::IAX && state.phase != Phase::Over => {
+                iax::INVAL if full.kind == kind::IAX && state.phase != Phase::Ended => {
                     state.unacknowledged.clear();
-                    self.ended(leg, now, EndReason::Unknown);
+                    self.end_with(leg, now, EndReason::Unknown);
                 }
                 iax::INVAL => state.unacknowledged.clear(),
                 iax::VNAK => {
@@ -157,56 +167,60 @@
                 }
                 _ => {}
             }
-            return self.queue(leg);
+            return self.schedule_wake(leg);
         }
         let ahead = full.oseq.wrapping_sub(state.iseq);
         if ahead != 0 {
             if ahead >= 128 {
                 self.counts.duplicates += 1;
-                self.send_aside(leg, iax::ACK, full.timestamp);
+                self.send_unsequenced(leg, iax::ACK, full.timestamp);
             } else {
                 self.counts.out_of_order += 1;
-                self.send_aside(leg, iax::VNAK, full.timestamp);
+                self.send_unsequenced(leg, iax::VNAK, full.timestamp);
             }
-            return self.queue(leg);
+            return self.schedule_wake(leg);
         }
         state.iseq = state.iseq.wrapping_add(1);
-        state.heard_at = full.timestamp;
-        self.in_order(now, leg, full);
-        self.queue(leg);
+        state.last_remote_timestamp = full.timestamp;
+        self.handle_in_order(now, leg, full);
+        self.schedule_wake(leg);
     }
 
-    fn in_order(&mut self, now: f64, leg: Leg, full: Full) {
+    fn handle_in_order(&mut self, now: f64, leg: Leg, full: Full) {
         let phase = self.legs[leg].phase;
         let reply = match (full.kind, full.subclass) {
             (kind::IAX, iax::PING) => Some(iax::PONG),
             (kind::IAX, iax::LAGRQ) => Some(iax::LAGRP),
             _ => None,
         };
-        if let Some(subclass) = reply.filter(|_| phase != Phase::Over) {
+        if let Some(subclass) = reply.filter(|_| phase != Phase::Ended) {
             // The reply acknowledges by its sequence numbers (RFC 5456, 6.7).
             return self.send(leg, now, kind::IAX, subclass, Bytes::new());
         }
-        if phase == Phase::Over {
+        if phase == Phase::Ended {
             // A peer that goes on, though nothing of ours is on its way to tell it, never heard of the end.
             let ends = full.kind == kind::IAX && [iax::HANGUP, iax::REJECT].contains(&full.subclass);
-            let lost = self.legs[leg].unacknowledged.is_empty() && !ends;
-            return self.send_aside(leg, if lost { iax::INVAL } else { iax::ACK }, full.timestamp);
+            let peer_missed_end = self.legs[leg].unacknowledged.is_empty() && !ends;
+            return self.send_unsequenced(
+                leg,
+                if peer_missed_end { iax::INVAL } else { iax::ACK },
+                full.timestamp,
+            );
         }
-        self.send_aside(leg, iax::ACK, full.timestamp);
+        self.send_unsequenced(leg, iax::ACK, full.timestamp);
         let elements = |body| Elements::read(body).unwrap_or_default();
-        let tell = match (full.kind, full.subclass) {
+        let event = match (full.kind, full.subclass) {
             (kind::IAX, iax::ACCEPT) if phase == Phase::Calling => {
                 self.legs[leg].phase = Phase::Linked;
                 Event::Accepted(elements(full.body))
             }
             (kind::IAX, iax::REJECT) if phase == Phase::Calling => {
                 let end = EndReason::Peer { rejected: true, elements: elements(full.body) };
-                return self.ended(leg, now, end);
+                return self.end_with(leg, now, end);
             }
             (kind::IAX, iax::HANGUP) => {
                 let end = EndReason::Peer { rejected: false, elements: elements(full.body) };
-                return self.ended(leg, now, end);
+                return self.end_with(leg, now, end);
             }
             (kind::CONTROL, control::HANGUP | control::BUSY | control::CONGESTION) if phase != Phase::Up => {
                 let code = match full.subclass {
@@ -216,14 +230,14 @@
                 };
                 let end = EndReason::Peer { rejected: false, elements: Elements::new().with_cause(code) };
                 self.end(now, leg, &Elements::new());
-                return self.happenings.push_back((leg, Event::Ended(end)));
+                return self.events.push_back((leg, Event::Ended(end)));
             }
             (kind::CONTROL, control::RINGING) if phase == Phase::Linked => Event::Ringing,
             (kind::CONTROL, control::PROCEEDING | control::PROGRESS) if phase == Phase::Linked => {
                 Event::Proceeding
             }
             (kind::CONTROL, control::ANSWER) if matches!(phase, Phase::Calling | Phase::Linked) => {
-                self.up(leg, now);
+                self.establish(leg, now);
                 Event::Answered(elements(full.body))
             }
             (kind::IAX, iax::PONG | iax::LAGRP | iax::UNSUPPORT) => return,
@@ -238,6 +252,6 @@
                 Event::Media(media)
             }
         };
-        self.happenings.push_back((leg, tell));
+        self.events.push_back((leg, event));
     }
 }
--- a/iax2/src/endpoint/send.rs
+++ b/iax2/src/endpoint/send.rs
@@ -21,8 +21,8 @@
     pub(super) fn send(&mut self, leg: Leg, now: f64, kind: u8, subclass: u32, body: Bytes) {
         let state = &mut self.legs[leg];
         // Times grow from frame to frame (RFC 5456, 8.1.1), however quickly these follow.
-        let timestamp = ((now - state.began).max(0.0) as u32).max(state.stamped.wrapping_add(1));
-        state.stamped = timestamp;
+        let timestamp = ((now - state.started_at).max(0.0) as u32).max(state.last_timestamp.wrapping_add(1));
+        state.last_timestamp = timestamp;
         self.send_at(leg, now, timestamp, kind, subclass, body);
     }
 
@@ -36,11 +36,11 @@
         subclass: u32,
         body: Bytes,
     ) {
-        let resend = self.limits.resend_delay;
+        let resend_delay = self.limits.resend_delay;
         let state = &mut self.legs[leg];
         let full = Full {
-            source: state.ours,
-            dest: state.theirs,
+            source: state.local_number,
+            dest: state.remote_number,
             retransmitted: false,
             timestamp,
             oseq: state.oseq,
@@ -53,24 +53,33 @@
         state.unacknowledged.push_back(Unacknowledged {
             oseq: state.oseq,
             bytes: bytes.clone(),
-            due: now + resend,
-            gap: resend,
+            due: now + resend_delay,
+            wait: resend_delay,
             resends: 0,
         });
         state.oseq = state.oseq.wrapping_add(1);
         self.datagrams.push_back(Datagram { peer: state.peer, bytes: bytes.freeze() });
-        self.queue(leg);
+        self.schedule_wake(leg);
     }
 
     /// ACK and the like: outside the sequence, never sent again.
-    pub(super) fn send_aside(&mut self, leg: Leg, subclass: u32, timestamp: u32) {
+    pub(super) fn send_unsequenced(&mut self, leg: Leg, subclass: u32, timestamp: u32) {
         let s = &self.legs[leg];
-        self.bare(s.peer, s.ours, s.theirs, timestamp, s.oseq, s.iseq, subclass, Bytes::new());
+        self.send_once(
+            s.peer,
+            s.local_number,
+            s.remote_number,
+            timestamp,
+            s.oseq,
+            s.iseq,
+            subclass,
+            Bytes::new(),
+        );
     }
 
     /// Sends an IAX frame of these fields and keeps nothing of it.
     #[allow(clippy::too_many_arguments)] // the fields of the header, in its order
-    pub(super) fn bare(
+    pub(super) fn send_once(
         &mut self,
         peer: SocketAddr,
         source: u16,
@@ -100,12 +109,12 @@
         let state = &mut self.legs[leg];
         let Some(sent) = state.unacknowledged.iter_mut().find(|sent| sent.oseq == oseq) else { return };
         sent.resends += 1;
-        sent.gap *= 2.0;
-        sent.due = now + sent.gap;
+        sent.wait *= 2.0;
+        sent.due = now + sent.wait;
         // What the peer has sent meanwhile is acknowledged with it; its number may be known by now.
         sent.bytes[9] = state.iseq;
         let is_new = sent.bytes[10] == kind::IAX && u32::from(sent.bytes[11]) == iax::NEW;
-        let dest = if is_new { [0, 0] } else { state.theirs.to_be_bytes() };
+        let dest = if is_new { [0, 0] } else { state.remote_number.to_be_bytes() };
         (sent.bytes[2], sent.bytes[3]) = (0x80 | dest[0], dest[1]);
         let bytes = Bytes::copy_from_slice(&sent.bytes);
         self.datagrams.push_back(Datagram { peer: state.peer, bytes });
--- a/iax2/src/endpoint/state.rs
+++ b/iax2/src/endpoint/state.rs
@@ -10,7 +10,7 @@
     pub(super) oseq: u8,
     pub(super) bytes: BytesMut,
     pub(super) due: f64,
-    pub(super) gap: f64,
+    pub(super) wait: f64,
     pub(super) resends: u32,
 }
 
@@ -25,20 +25,20 @@
     Linked,
     Up,
     /// Ended: kept so that late copies are acknowledged and the number rests.
-    Over,
+    Ended,
 }
 
 /// What is known of a leg.
 pub(super) struct State {
     pub(super) peer: SocketAddr,
-    pub(super) ours: u16,
+    pub(super) local_number: u16,
     /// 0 until the peer has named it.
-    pub(super) theirs: u16,
+    pub(super) remote_number: u16,
     pub(super) phase: Phase,
-    pub(super) began: f64,
-    pub(super) stamped: u32,
+    pub(super) started_at: f64,
+    pub(super) last_timestamp: u32,
     /// The latest time of the peer's clock of the call.
-    pub(super) heard_at: u32,
+    pub(super) last_remote_timestamp: u32,
     /// What media times are moved by, from the peer's clock to this leg's.
     pub(super) media_base: Option<u32>,
     pub(super) oseq: u8,
@@ -49,8 +49,8 @@
     pub(super) heard: bool,
     pub(super) ping_at: f64,
     pub(super) remove_at: f64,
-    /// The earliest time at which the leg stands in the queue of wakes.
-    pub(super) queued: f64,
+    /// The earliest time at which the leg stands in the queue of wake_queue.
+    pub(super) queued_wake: f64,
 }
 
 impl State {
--- a/iax2/src/endpoint/timers.rs
+++ b/iax2/src/endpoint/timers.rs
@@ -11,22 +11,22 @@
 impl Endpoint {
     /// Sends again what is due, and lets go of what has rested.
     pub fn turn(&mut self, now: f64) {
-        while let Some(Reverse((at, leg))) = self.wakes.peek().copied() {
+        while let Some(Reverse((at, leg))) = self.wake_queue.peek().copied() {
             if at.0 > now {
                 break;
             }
-            self.wakes.pop();
+            self.wake_queue.pop();
             let Some(state) = self.legs.get_mut(leg) else { continue };
-            if state.queued < at.0 {
+            if state.queued_wake < at.0 {
                 continue;
             }
-            state.queued = f64::INFINITY;
+            state.queued_wake = f64::INFINITY;
             self.wake(leg, now);
-            self.queue(leg);
+            self.schedule_wake(leg);
         }
-        let rested = now - self.limits.whole_resend();
-        while self.poked.front().is_some_and(|poke| poke.0 < rested) {
-            let (_, peer, number) = self.poked.pop_front().expect("just seen");
+        let expired = now - self.limits.total_resend_time();
+        while self.poke_expiry.front().is_some_and(|poke| poke.0 < expired) {
+            let (_, peer, number) = self.poke_expiry.pop_front().expect("just seen");
             self.pokes.remove(&(peer, number));
         }
     }
@@ -41,14 +41,14 @@
             if state.unacknowledged.iter().any(|sent| sent.due <= now && sent.resends >= limits.max_resends) {
                 let heard = state.heard;
                 state.unacknowledged.clear();
-                if state.phase != Phase::Over {
-                    self.ended(leg, now, EndReason::Silent { heard });
+                if state.phase != Phase::Ended {
+                    self.end_with(leg, now, EndReason::Silent { heard });
                 }
                 return;
             }
-            let late: Vec<u8> =
+            let due: Vec<u8> =
                 state.unacknowledged.iter().filter(|sent| sent.due <= now).map(|sent| sent.oseq).collect();
-            late.into_iter().for_each(|oseq| self.resend(leg, now, oseq));
+            due.into_iter().for_each(|oseq| self.resend(leg, now, oseq));
         }
         if self.legs[leg].ping_at <= now {
             self.legs[leg].ping_at = now + limits.ping_interval;
--- a/iax2/src/endpoint/types.rs
+++ b/iax2/src/endpoint/types.rs
@@ -27,7 +27,7 @@
 
 impl Limits {
     /// From the first sending of a frame until no copy of it is sent any more.
-    pub(super) fn whole_resend(&self) -> f64 {
+    pub(super) fn total_resend_time(&self) -> f64 {
         self.resend_delay * f64::from((1u32 << (self.max_resends + 1).min(31)) - 1)
     }
 }
--- a/iax2/src/frame.rs
+++ b/iax2/src/frame.rs
@@ -116,8 +116,8 @@
 
     /// Whether the frame takes a place in its sender's sequence (RFC 5456, 7): all but these few do.
     pub fn is_sequenced(&self) -> bool {
-        let outside = [iax::ACK, iax::INVAL, iax::VNAK, iax::TXCNT, iax::TXACC];
-        self.kind != kind::IAX || !outside.contains(&self.subclass)
+        let unsequenced = [iax::ACK, iax::INVAL, iax::VNAK, iax::TXCNT, iax::TXACC];
+        self.kind != kind::IAX || !unsequenced.contains(&self.subclass)
     }
 
     pub fn write(&self) -> BytesMut {
@@ -219,25 +219,25 @@
 
 fn trunk(datagram: &Bytes, with_times: bool) -> Result<Frame, DecodeError> {
     let mut rest = datagram.slice(datagram.len().min(8)..);
-    let stamp = u16_at(datagram, 6).ok_or(DecodeError::Short(datagram.len()))?;
+    let trunk_timestamp = u16_at(datagram, 6).ok_or(DecodeError::Short(datagram.len()))?;
     let mut entries = Vec::new();
     while !rest.is_empty() {
-        let head = if with_times { 6 } else { 4 };
+        let header = if with_times { 6 } else { 4 };
         let short = |wanted| DecodeError::ShortEntry { wanted, there: rest.len() };
-        let (a, b) = u16_at(&rest, 0).zip(u16_at(&rest, 2)).ok_or(short(head))?;
+        let (a, b) = u16_at(&rest, 0).zip(u16_at(&rest, 2)).ok_or(short(header))?;
         // With times the length comes first, without them the call number.
         let (length, source) = if with_times { (a, b) } else { (b, a) };
-        let timestamp = if with_times { u16_at(&rest, 4).ok_or(short(head))? } else { stamp };
-        let wanted = head + usize::from(length);
+        let timestamp = if with_times { u16_at(&rest, 4).ok_or(short(header))? } else { trunk_timestamp };
+        let wanted = header + usize::from(length);
         if rest.len() < wanted {
             return Err(short(wanted));
         }
         let entry = rest.split_to(wanted);
-        entries.push(Mini { source: source & MAX_CALL_NUMBER, timestamp, body: entry.slice(head..) });
+        entries.push(Mini { source: source & MAX_CALL_NUMBER, timestamp, body: entry.slice(header..) });
     }
     Ok(Frame::Trunk(entries))
 }
 
-fn u16_at(bytes: &[u8], at: usize) -> Option<u16> {
-    Some(u16::from_be_bytes(bytes.get(at..at + 2)?.try_into().ok()?))
+fn u16_at(bytes: &[u8], offset: usize) -> Option<u16> {
+    Some(u16::from_be_bytes(bytes.get(offset..offset + 2)?.try_into().ok()?))
 }
--- a/iax2/tests/wire.rs
+++ b/iax2/tests/wire.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 
 #[test]
-fn a_new_stands_as_figure_two_of_the_rfc_draws_it() {
+fn a_new_is_encoded_as_in_figure_two_of_the_rfc() {
     let mut body = BytesMut::new();
     Elements::new().with_u16(element::VERSION, 2).with(element::CALLED_NUMBER, "1234").write(&mut body);
     let new = Full {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_power_of_two_is_coded_in_the_subclass() {
+fn a_large_subclass_is_encoded_as_a_power_of_two() {
     let bytes = [0x80, 1, 0x80, 2, 0, 0, 0, 9, 5, 6, 2, 0x8f];
     let Ok(Frame::Full(voice)) = frame::read(&Bytes::copy_from_slice(&bytes)) else { panic!("a full frame") };
     assert_eq!((voice.subclass, voice.retransmitted, voice.dest), (1 << 15, true, 2));
@@ -45,7 +45,7 @@
 #[case::subclass_too_large(&[0x80, 1, 0, 0, 0, 0, 0, 0, 0, 0, 2, 0xa0], DecodeError::Subclass(0xa0))]
 #[case::meta_command(&[0, 0, 9, 0, 0, 0, 0, 0], DecodeError::Command(9))]
 #[case::trunk_entry(&[0, 0, 1, 1, 0, 0, 0, 0, 0, 9, 0, 1, 0, 0], DecodeError::ShortEntry { wanted: 15, there: 6 })]
-fn what_is_wrong_is_told(#[case] bytes: &[u8], #[case] wanted: DecodeError) {
+fn a_malformed_datagram_gives_the_matching_error(#[case] bytes: &[u8], #[case] wanted: DecodeError) {
     assert_eq!(frame::read(&Bytes::copy_from_slice(bytes)), Err(wanted));
 }
 
@@ -57,14 +57,14 @@
 
 proptest! {
     #[test]
-    fn arbitrary_bytes_are_read_or_told_wrong(bytes in proptest::collection::vec(any::<u8>(), 0..80)) {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..80)) {
         let bytes = Bytes::from(bytes);
         match frame::read(&bytes) {
             Ok(Frame::Full(full)) => {
-                let again = full.write();
+                let rewritten = full.write();
                 // 0x80 to 0x86 code what fits without the bit: only these come back in another form.
                 if !(0x80..=0x86).contains(&bytes[11]) {
-                    prop_assert_eq!(&again[..], &bytes[..]);
+                    prop_assert_eq!(&rewritten[..], &bytes[..]);
                 }
                 let _ = Elements::read(full.body);
             }
@@ -74,7 +74,7 @@
     }
 
     #[test]
-    fn elements_come_back(all in proptest::collection::vec((any::<u8>(), proptest::collection::vec(any::<u8>(), 0..256)), 0..6)) {
+    fn elements_are_read_back_as_written(all in proptest::collection::vec((any::<u8>(), proptest::collection::vec(any::<u8>(), 0..256)), 0..6)) {
         let elements = all.iter().fold(Elements::new(), |e, (kind, data)| e.with(*kind, data));
         let mut body = BytesMut::new();
         elements.write(&mut body);
@@ -82,14 +82,14 @@
     }
 
     #[test]
-    fn trunks_come_back(entries in minis(), stamp in any::<u32>()) {
-        let bytes = frame::write_trunk(stamp, &entries).freeze();
+    fn trunk_frames_are_read_back_as_written(entries in minis(), timestamp in any::<u32>()) {
+        let bytes = frame::write_trunk(timestamp, &entries).freeze();
         prop_assert_eq!(frame::read(&bytes), Ok(Frame::Trunk(entries)));
     }
 }
 
 #[test]
-fn an_element_longer_than_its_body_is_told() {
+fn an_element_longer_than_its_body_is_rejected() {
     let body = Bytes::from_static(&[1, 5, b'1']);
     assert_eq!(Elements::read(body), Err(element::DecodeError::Short { kind: 1, wanted: 5, there: 1 }));
     assert_eq!(Elements::read(Bytes::from_static(&[1])), Err(element::DecodeError::NoLength(1)));
--- a/proxy/src/border/mod.rs
+++ b/proxy/src/border/mod.rs
@@ -280,8 +280,8 @@
         let servers = host.servers.next_datagram().map(leg_datagram(Side::Servers));
         let legs = servers.or_else(|| host.callers.next_datagram().map(leg_datagram(Side::Callers)));
         let (node, distribution) = (&mut host.gossip, &mut host.distribution);
-        let gossip_changed = legs.or_else(|| node.as_mut().and_then(Node::outgoing).map(peer_datagram));
-        gossip_changed.or_else(|| distribution.as_mut().and_then(Distribution::outgoing).map(peer_datagram))
+        let gossip = legs.or_else(|| node.as_mut().and_then(Node::outgoing).map(peer_datagram));
+        gossip.or_else(|| distribution.as_mut().and_then(Distribution::outgoing).map(peer_datagram))
     }
 
     /// The next line for the log.
--- a/proxy/tests/distributed.rs
+++ b/proxy/tests/distributed.rs
@@ -55,25 +55,25 @@
     Service::new(terms, secrets(CONTROL), roster(&[SUBSCRIBER]), 5, 0.0, 1e12)
 }
 
-fn channel(of: u8) -> Channel {
-    Channel::new(secrets(of), roster(&[CONTROL, SUBSCRIBER]), 1e12)
+fn channel(member: u8) -> Channel {
+    Channel::new(secrets(member), roster(&[CONTROL, SUBSCRIBER]), 1e12)
 }
 
-fn words(from: u8, part: Part, bytes: &[u8]) -> Vec<u8> {
+fn packet(from: u8, part: Part, bytes: &[u8]) -> Vec<u8> {
     channel(from).seal(part, bytes.to_vec()).expect("fits")
 }
 
 #[test]
-fn what_is_no_word_of_a_control_machine_changes_nothing_at_a_subscriber() {
+fn an_invalid_or_foreign_datagram_changes_nothing_at_a_subscriber() {
     let mut subscription = subscription();
     subscription.receive(1.0, &[3; 200]);
-    subscription.receive(2.0, &words(STRANGER, Part::State, &[1, 2, 3]));
+    subscription.receive(2.0, &packet(STRANGER, Part::State, &[1, 2, 3]));
     let mut control = channel(CONTROL);
-    let other = control.seal(Part::Agreement, vec![1, 2, 3]).expect("fits");
-    let rubbish = control.seal(Part::State, vec![1, 255, 255]).expect("fits");
-    subscription.receive(3.0, &other);
-    subscription.receive(4.0, &rubbish);
-    subscription.receive(5.0, &rubbish);
+    let other_part = control.seal(Part::Agreement, vec![1, 2, 3]).expect("fits");
+    let malformed = control.seal(Part::State, vec![1, 255, 255]).expect("fits");
+    subscription.receive(3.0, &other_part);
+    subscription.receive(4.0, &malformed);
+    subscription.receive(5.0, &malformed);
     let status = subscription.status(6.0);
     let channel = status.channel;
     assert_eq!((channel.untagged, channel.forged, channel.received), (1, 1, 2), "{channel:?}");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_subscriber_polls_its_control_machine_at_its_address_and_is_answered_where_it_was_heard() {
+fn a_poll_goes_to_the_configured_address_and_its_answer_to_the_sender() {
     let (mut subscription, mut service) = (subscription(), service());
     let now = subscription.due();
     subscription.turn(now);
@@ -98,13 +98,13 @@
 }
 
 #[test]
-fn what_names_no_subscriber_is_left_to_gossip() {
+fn a_datagram_from_no_subscriber_is_left_to_gossip() {
     let mut service = service();
     assert!(!service.receive(1.0, address(40), &[3; 200]));
     assert!(!service.receive(2.0, address(40), &[]));
-    assert!(!service.receive(3.0, address(40), &words(STRANGER, Part::State, &[1])));
+    assert!(!service.receive(3.0, address(40), &packet(STRANGER, Part::State, &[1])));
     // In a subscriber's name without its key: its own, and dropped.
-    let mut forged = words(SUBSCRIBER, Part::State, &[1]);
+    let mut forged = packet(SUBSCRIBER, Part::State, &[1]);
     *forged.last_mut().expect("bytes") ^= 1;
     assert!(service.receive(4.0, address(40), &forged));
     assert!(service.outgoing().is_none());
