--- a/proxy/src/border/callers.rs
+++ b/proxy/src/border/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: what they ask for, and when they go.
+//! Callers: new calls, media, hang-ups.
 
 use std::hash::Hasher;
 
@@ -16,6 +16,8 @@
 use crate::hints::Hints;
 
 impl<D: Decisions> BorderProxy<D> {
+    /// Handles all pending events of the callers' endpoint; `waited` is how long ago the datagram arrived, in
+    /// milliseconds.
     pub(super) fn handle_caller_events(&mut self, waited: f64) {
         while let Some((leg, event)) = self.host.callers.next_event() {
             match event {
@@ -45,6 +47,7 @@
         }
     }
 
+    /// Accepts a caller's NEW, or rejects it if the proxy is stopping, cannot record it, or has no route.
     pub(super) fn handle_new_call(
         &mut self,
         caller: Leg,
@@ -72,7 +75,7 @@
             return turn_away(causes::NO_ROUTE);
         };
         let hints = Hints::read(elements);
-        // An earlier copy of it was lost: the caller has waited for at least the first gap.
+        // The first copy was lost, so the caller has waited for at least its first resend delay.
         let waited = waited + if retransmitted { self.caller_resend_delay } else { 0.0 };
         let caller_timeout = hints.caller_timeout.map_or(self.caller_timeout[grade], f64::from);
         let calling = text(element::CALLING_NUMBER);
@@ -111,7 +114,8 @@
         self.module.place(handle);
     }
 
-    /// A caller that dials again is known by its own number and the one it calls: many call the same.
+    /// The key by which a caller that dials again is recognised. It includes the called number, as many
+    /// callers call the same number.
     pub(super) fn caller_key(&self, calling: &str, called: &str) -> u64 {
         let mut hasher = SipHasher13::new_with_keys(self.number_key.0, self.number_key.1);
         hasher.write(calling.as_bytes());
@@ -120,6 +124,7 @@
         hasher.finish()
     }
 
+    /// Ends the conversation of a caller that hung up or no longer answers.
     pub(super) fn handle_caller_gone(&mut self, handle: Handle) {
         let established = self.host.conversation(handle).is_some_and(|c| c.established);
         self.host.record_outcome(handle, if established { Outcome::Stood } else { Outcome::Left });
@@ -136,7 +141,7 @@
         } else {
             self.host.counters.caller_gone += 1;
         }
-        // The conversation is over for the module too: its attempt, if any, has been called off with it.
+        // The conversation ends for the module too; its attempt, if any, was hung up above.
         let ending = if conversation.established { Ending::Ok } else { Ending::Cancelled };
         let had_attempt = conversation.attempt.is_some();
         if !conversation.established {
--- a/proxy/src/border/host.rs
+++ b/proxy/src/border/host.rs
@@ -1,4 +1,4 @@
-//! What carries out the module's wishes.
+//! The state behind the border proxy's decisions, and the [`Host`] that carries the module's requests out.
 
 use std::collections::VecDeque;
 
@@ -22,56 +22,79 @@
 use crate::status::Counters;
 use crate::timers::Timers;
 
+/// An attempt in flight or established: its leg to a central server.
 pub(super) struct Attempt {
     pub(super) leg: Leg,
     pub(super) server: Server,
 }
 
+/// A caller's conversation.
 pub(super) struct Conversation {
+    /// The leg to the caller.
     pub(super) caller: Leg,
-    /// Its number in the journal, where there is one.
+    /// Its serial number in the journal; 0 where nothing is recorded.
     pub(super) serial: u64,
+    /// The current attempt, if any.
     pub(super) attempt: Option<Attempt>,
-    /// What its shots carry on from the caller.
+    /// Elements of the caller's NEW that its attempts forward.
     pub(super) forwarded: Elements,
+    /// Whether ACCEPT was sent to the caller.
     pub(super) accept_sent: bool,
+    /// Whether RINGING was sent to the caller.
     pub(super) ringing_sent: bool,
+    /// Whether a server answered.
     pub(super) established: bool,
+    /// Index of the service grade.
     pub(super) grade: usize,
-    /// When it was taken, by when its caller asked.
+    /// When the caller sent its NEW, in milliseconds: earlier than the time of acceptance if the NEW was
+    /// delayed.
     pub(super) accepted_at: f64,
 }
 
-/// What carries out the module's wishes.
+/// Endpoints, conversations and optional parts of a border proxy; the module's [`Host`].
 pub(super) struct HostState {
+    /// The endpoint for callers.
     pub(super) callers: Endpoint,
+    /// The endpoint for central servers.
     pub(super) servers: Endpoint,
     pub(super) pool: PoolList,
+    /// Conversations by handle.
     pub(super) conversations: Vec<Option<Conversation>>,
+    /// Conversations by their caller's leg.
     pub(super) by_caller: SecondaryMap<Leg, Handle>,
+    /// Conversations by the leg of their attempt.
     pub(super) by_attempt: SecondaryMap<Leg, Handle>,
     pub(super) timers: Timers<Leg>,
+    /// Lines for the log.
     pub(super) notes: VecDeque<String>,
     pub(super) counters: Counters,
+    /// The time of the current input, in milliseconds.
     pub(super) now: f64,
+    /// The gossip node, if this proxy gossips.
     pub(super) gossip: Option<Node>,
-    /// Gossip may have changed what is suspected.
+    /// Whether gossip may have changed the suspicions since they were last applied.
     pub(super) gossip_changed: bool,
-    /// Servers that are believed silent.
+    /// Servers that this proxy believes to be silent.
     pub(super) suspected_servers: Vec<Server>,
+    /// The journal, if conversations are recorded.
     pub(super) journal: Option<JournalWriter>,
+    /// The fleet's limits, if there are any.
     pub(super) limits: Option<FleetLimits>,
+    /// What the fleet has decided, if there is a council.
     pub(super) decided: Option<DecidedState>,
+    /// This proxy's part in the distribution of decided state, if any.
     pub(super) distribution: Option<Distribution>,
+    /// Outcomes of the current reporting period.
     pub(super) earnings: EarningsPeriod,
 }
 
 impl HostState {
+    /// The conversation of a handle.
     pub(super) fn conversation(&mut self, handle: Handle) -> Option<&mut Conversation> {
         self.conversations.get_mut(handle.0 as usize)?.as_mut()
     }
 
-    /// Takes the conversation off the books; its handle may be given out again from now on.
+    /// Removes the conversation. Its handle may be assigned again from now on.
     pub(super) fn remove_conversation(&mut self, handle: Handle) -> Option<Conversation> {
         let conversation = self.conversations.get_mut(handle.0 as usize)?.take()?;
         self.by_caller.remove(conversation.caller);
@@ -81,7 +104,7 @@
         Some(conversation)
     }
 
-    /// Tells the caller its final answer, and leaves nothing out for it.
+    /// Sends the caller its final answer and hangs up the attempt, if any. `retry_after` is in milliseconds.
     pub(super) fn close(&mut self, handle: Handle, code: u8, retry_after: Option<f64>) {
         if let Some(conversation) = self.remove_conversation(handle) {
             let hints = Hints { retry_after: retry_after.map(|ms| ms as u32), ..Hints::default() };
@@ -93,20 +116,20 @@
         }
     }
 
-    /// Keeps what was seen of a server as evidence, where there is gossip.
+    /// Stores an observation of a server as evidence for gossip, if this proxy gossips.
     pub(super) fn record_evidence(&mut self, server: Server, record: impl FnOnce(&mut Evidence, Life)) {
         if let Some((node, generation)) = self.gossip.as_mut().zip(self.pool.generation(server)) {
             record(&mut node.evidence, generation);
         }
     }
 
-    /// It was refused or failed.
+    /// Counts a conversation that was refused or failed.
     fn count_lost(&mut self, handle: Handle) {
         let grade = self.conversation(handle).map(|conversation| conversation.grade);
         self.earnings.conversation_lost(grade);
     }
 
-    /// Has it recorded what became of a conversation.
+    /// Records the outcome of a conversation in the journal.
     pub(super) fn record_outcome(&mut self, handle: Handle, outcome: Outcome) {
         let (now, serial) = (self.now, self.conversation(handle).map(|c| c.serial));
         if let Some((journal, serial)) = self.journal.as_mut().zip(serial) {
@@ -114,7 +137,7 @@
         }
     }
 
-    /// Calls a attempt off; gives whether there was one.
+    /// Hangs up the attempt; returns whether there was one.
     pub(super) fn hang_up_attempt(&mut self, handle: Handle, code: u8) -> bool {
         let now = self.now;
         let Some(attempt) = self.conversation(handle).and_then(|c| c.attempt.take()) else { return false };
--- a/proxy/src/border/mod.rs
+++ b/proxy/src/border/mod.rs
@@ -1,8 +1,10 @@
-//! The border proxy: a conversation is a caller's NEW; the module decides; its shots are NEWs to servers.
+//! The border proxy. A caller's NEW starts a conversation, the module decides what to do with it, and each
+//! attempt is a NEW to a central server.
 //!
-//! [`BorderProxy::receive`], [`BorderProxy::update_server_list`], [`BorderProxy::connection_refused`] and [`BorderProxy::turn`] tell
-//! what comes; [`BorderProxy::run_pending`] must follow when all that came at one time is told. Then drain
-//! [`BorderProxy::outbound`] and [`BorderProxy::note`], and come back when [`BorderProxy::due`] says.
+//! Report input through [`BorderProxy::receive`], [`BorderProxy::update_server_list`],
+//! [`BorderProxy::connection_refused`] and [`BorderProxy::turn`]. After all input of one point in time, call
+//! [`BorderProxy::run_pending`], then drain [`BorderProxy::outbound`] and [`BorderProxy::note`], and return
+//! at the time that [`BorderProxy::due`] gives.
 
 mod callers;
 mod distribution;
@@ -33,7 +35,7 @@
 use crate::timers::Timers;
 use host::HostState;
 
-/// Elements of a caller's NEW that its shots carry on.
+/// Information elements of a caller's NEW that are copied into its attempts.
 const FORWARDED_ELEMENTS: [u8; 7] = [
     element::CALLED_NUMBER,
     element::CALLING_NUMBER,
@@ -44,52 +46,62 @@
     element::FORMAT,
 ];
 
-/// Which socket a datagram is of.
+/// The socket that a datagram belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Side {
+    /// The socket for callers.
     Callers,
+    /// The socket for central servers.
     Servers,
-    /// Other border proxies, where there is gossip.
+    /// The socket for other border proxies, used where gossip is configured.
     Peers,
 }
 
 /// A datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outbound {
+    /// The socket to send it from.
     pub side: Side,
+    /// The address to send it to.
     pub peer: SocketAddr,
+    /// The payload.
     pub bytes: Bytes,
 }
 
-/// What is agreed for one border proxy.
+/// The configuration of one border proxy. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub struct ProxyTerms {
+    /// The configuration of the module.
     pub terms: Terms,
+    /// The route table.
     pub routes: Routes,
-    /// How long a caller waits for a try that does not say so itself, by service grade.
+    /// How long a caller waits for an answer if its NEW does not say so, by service grade.
     pub caller_timeout: Vec<f64>,
-    /// An answer sets out so long before the caller gives up, to reach it in time.
+    /// A final answer is sent this long before the caller's timeout, so that it arrives in time.
     pub answer_lead: f64,
+    /// Limits of the callers' endpoint.
     pub callers: Limits,
+    /// Limits of the central servers' endpoint.
     pub servers: Limits,
 }
 
-/// One border proxy, with what decides for it.
+/// One border proxy; `D` decides for it.
 pub struct BorderProxy<D = Proxy> {
     module: D,
     host: HostState,
     routes: Routes,
     caller_timeout: Vec<f64>,
     answer_lead: f64,
-    /// The first wait after which a caller sends its NEW again.
+    /// The delay after which a caller first resends its NEW, in milliseconds.
     caller_resend_delay: f64,
     number_key: (u64, u64),
     stopping: bool,
-    /// What is taken now could not be recorded: when to come back instead, in milliseconds.
+    /// Set while new conversations cannot be recorded: the retry time that callers get, in milliseconds.
     recording_retry_after: Option<f64>,
 }
 
 impl BorderProxy {
+    /// Creates a proxy with the module's own decisions; `now` is in milliseconds.
     pub fn new(terms: ProxyTerms, seed: u64, now: f64) -> Self {
         let module = Proxy::new(terms.terms.clone(), seed, now);
         Self::with_decisions(module, terms, seed, now)
@@ -97,7 +109,7 @@
 }
 
 impl<D: Decisions> BorderProxy<D> {
-    /// A proxy for which something else decides.
+    /// Creates a proxy whose decisions are made by `module`.
     pub fn with_decisions(module: D, terms: ProxyTerms, seed: u64, now: f64) -> Self {
         Self {
             routes: terms.routes,
@@ -131,24 +143,25 @@
         }
     }
 
-    /// Has conversations recorded from now on.
+    /// Records conversations from now on.
     pub fn start_recording(&mut self, journal: JournalWriter) {
         self.host.journal = Some(journal);
     }
 
-    /// The next entry for the journal: to be kept before what is [`BorderProxy::outbound`] to callers leaves.
+    /// The next entry for the journal. It must be stored before datagrams from [`BorderProxy::outbound`] to
+    /// callers are sent.
     pub fn next_journal_entry(&mut self) -> Option<Entry> {
         self.host.journal.as_mut()?.next_entry()
     }
 
-    /// Whether what is taken can be recorded as promised; if not, callers are told to come back in so many
-    /// milliseconds.
+    /// Sets whether new conversations can be recorded as promised. `Some` refuses new callers with this retry
+    /// time in milliseconds; `None` accepts them.
     pub fn set_recording_unavailable(&mut self, retry_after: Option<f64>) {
         self.recording_retry_after = retry_after;
     }
 
-    /// A datagram of one of the sockets. `arrived` is when it is thought to have come, before `now` where
-    /// this proxy was late to look.
+    /// Handles a datagram of one of the sockets. `arrived` is the estimated time of arrival, earlier than
+    /// `now` where this proxy read the socket late.
     pub fn receive(&mut self, now: f64, arrived: f64, side: Side, peer: SocketAddr, datagram: &Bytes) {
         self.advance_clock(now);
         match side {
@@ -177,7 +190,7 @@
         }
     }
 
-    /// The network told that nobody listens at the peer's address.
+    /// Reports that the network answered that nothing listens at the peer's address.
     pub fn connection_refused(&mut self, now: f64, side: Side, peer: SocketAddr) {
         self.advance_clock(now);
         match side {
@@ -189,7 +202,8 @@
         self.handle_server_events();
     }
 
-    /// News of the pool list; `unix` is the wall clock in milliseconds. Told wrong, the old list established.
+    /// Applies an update of the pool list; `unix` is the wall clock in milliseconds. On an error the old list
+    /// remains in force.
     pub fn update_server_list(
         &mut self,
         now: f64,
@@ -210,7 +224,7 @@
         &self.host.pool
     }
 
-    /// Does what has fallen due.
+    /// Runs one turn of the event loop: handles everything that is due at `now`.
     pub fn turn(&mut self, now: f64) {
         self.advance_clock(now);
         self.host.callers.turn(now);
@@ -241,7 +255,7 @@
         }
     }
 
-    /// To be called when all that has come at one time is told.
+    /// Runs the module's pending decisions. Call it after all input of one point in time was reported.
     pub fn run_pending(&mut self) {
         if std::mem::take(&mut self.host.gossip_changed) {
             self.apply_suspicions();
@@ -249,7 +263,7 @@
         loop {
             self.apply_fleet_limits();
             self.module.run_pending(&mut self.host);
-            // Each of these uses up a attempt of its conversation, so there is an end to it.
+            // Each deferred ending uses up one attempt of its conversation, so the loop ends.
             let endings = self.host.timers.take_deferred_endings();
             if endings.is_empty() {
                 break;
@@ -260,7 +274,7 @@
         }
     }
 
-    /// When [`BorderProxy::turn`] is next wanted.
+    /// The time of the next [`BorderProxy::turn`].
     pub fn due(&self) -> f64 {
         let host = &self.host;
         let node = host.gossip.as_ref().map(Node::due);
@@ -289,12 +303,12 @@
         self.host.notes.pop_front()
     }
 
-    /// Takes nothing new from now on; what it has goes on.
+    /// Rejects new calls from now on; existing conversations continue.
     pub fn stop_accepting(&mut self) {
         self.stopping = true;
     }
 
-    /// Ends all that is left: those that stand are cut, the others fail.
+    /// Ends all remaining conversations: established ones are cut, the others fail.
     pub fn close_all(&mut self, now: f64) {
         self.advance_clock(now);
         for index in 0..self.host.conversations.len() as u32 {
@@ -308,11 +322,12 @@
         }
     }
 
-    /// Conversations there are.
+    /// The number of current conversations.
     pub fn conversations(&self) -> usize {
         self.host.conversations.iter().flatten().count()
     }
 
+    /// The counters and the servers' state, for operators.
     pub fn status(&self) -> Status {
         let mut counts = ConversationCounts::default();
         for conversation in self.host.conversations.iter().flatten() {
--- a/proxy/src/border/peers.rs
+++ b/proxy/src/border/peers.rs
@@ -1,4 +1,4 @@
-//! The other proxies: gossip, limits that hold for all, what is decided for all.
+//! The other proxies: gossip, limits of the whole fleet, decisions of the council.
 
 use agree::disk::{Kept, Lost, Write};
 use agree::seal::FleetKeys;
@@ -18,13 +18,13 @@
 use crate::status::{GossipStatus, LimitsStatus};
 
 impl<D: Decisions> BorderProxy<D> {
-    /// Lets the proxy gossip with others of its fleet.
+    /// Starts gossip with the other proxies of the fleet.
     pub fn join(&mut self, node: Node) {
         self.host.gossip = Some(node);
     }
 
-    /// Holds the fleet's limits on central servers from now on, with those it gossips with; nothing where it
-    /// does not. `tenants` are their names and shares, as in [`FleetLimits::new`].
+    /// Enforces the fleet's limits on central servers from now on, together with the members of the gossip;
+    /// no effect without gossip. `tenants` are their names and shares, as in [`FleetLimits::new`].
     pub fn enable_fleet_limits(
         &mut self,
         terms: LimitTerms,
@@ -40,13 +40,13 @@
         }
     }
 
-    /// Where this proxy established with the fleet's limits, if it holds any.
+    /// The state of the fleet's limits at this proxy, if there are any.
     pub fn limits(&mut self) -> Option<LimitsStatus> {
         let now = self.host.now;
         self.host.limits.as_mut().map(|limits| LimitsStatus::of(limits.statuses(now)))
     }
 
-    /// Goes on gossiping with other keys: its own stays the same.
+    /// Replaces the fleet's keys and roster; this member's own key stays the same.
     pub fn rekey(&mut self, secrets: Secrets, roster: Roster) {
         if let Some(node) = &mut self.host.gossip {
             let keys = FleetKeys { secrets: secrets.clone(), roster: roster.clone() };
@@ -61,25 +61,26 @@
         }
     }
 
-    /// Tells the other proxies that this one goes.
+    /// Announces to the other proxies that this one leaves.
     pub fn leave(&mut self, now: f64) {
         if let Some(node) = &mut self.host.gossip {
             node.leave(now);
         }
     }
 
-    /// Servers that gossip has this proxy believe silent.
+    /// Servers that this proxy believes to be silent, by gossip.
     pub fn suspected_servers(&self) -> &[Server] {
         &self.host.suspected_servers
     }
 
-    /// Members and suspicions as this proxy sees them, where there is gossip.
+    /// Members and suspicions as this proxy sees them; `None` without gossip.
     pub fn gossip(&self) -> Option<GossipStatus> {
         let host = &self.host;
         host.gossip.as_ref().map(|node| GossipStatus::of(node, &host.pool, host.now))
     }
 
-    /// Brings what the fleet's limits leave here to whoever decides, and back what it was short of.
+    /// Passes the number of set-ups that the fleet's limits allow to the module, and reports the shortage
+    /// back.
     pub(super) fn apply_fleet_limits(&mut self) {
         let now = self.host.now;
         let Some(limits) = &mut self.host.limits else { return };
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Brings what is believed of servers to whoever decides.
+    /// Passes the suspicions of servers to the module.
     pub(super) fn apply_suspicions(&mut self) {
         let Some(node) = &self.host.gossip else { return };
         let accused = node.accused(self.host.now);
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Knows, from now on, what is decided for all; nothing where it does not gossip.
-    /// `file` is what the disk gave.
+    /// Follows the decisions of the council from now on; no effect without gossip. `file` is the stored
+    /// state.
     pub fn enable_decisions(
         &mut self,
         terms: (AgreeTerms, AvailabilityTerms),
@@ -122,13 +123,12 @@
         Ok(())
     }
 
-    /// What is decided of this proxy itself, and what the shell is to see to for it.
+    /// The decided state, including tasks that the daemon must carry out for this proxy.
     pub fn decided(&mut self) -> Option<&mut DecidedState> {
         self.host.decided.as_mut()
     }
 
-    /// Brings servers that the fleet drains, or drains no more, to whoever decides; looks at proxies that are
-    /// back.
+    /// Passes changes of the drained servers to the module, and probes proxies that have returned.
     pub(super) fn apply_drains(&mut self) {
         let now = self.host.now;
         for address in self.host.decided.as_mut().map(DecidedState::addresses_to_probe).unwrap_or_default() {
@@ -148,13 +148,13 @@
         }
     }
 
-    /// The council and how this proxy established with it, where there is one.
+    /// The council and this proxy's state in it; `None` without a council.
     pub fn council(&self) -> Option<CouncilStatus> {
         let (decided, node) = self.host.decided.as_ref().zip(self.host.gossip.as_ref())?;
         Some(CouncilStatus::of(decided.status(self.host.now), node))
     }
 
-    /// Who is out by what is decided, where anything can be.
+    /// Servers and proxies that are unavailable by decision; `None` without a council.
     pub fn availability(&self) -> Option<AvailabilityStatus> {
         let host = &self.host;
         let conversations_at = |name: &str| {
@@ -166,8 +166,9 @@
         Some(AvailabilityStatus::of(decided, node, host.now, conversations_at))
     }
 
-    /// Asks for a decision; gives the number that [`BorderProxy::next_command_outcome`] tells its outcome by. With `dry`
-    /// nothing is asked for, and the answer is what it would come to by what is known here.
+    /// Proposes an operator's command and returns the number under which
+    /// [`BorderProxy::next_command_outcome`] gives its outcome. With `dry` nothing is proposed, and the
+    /// result is the outcome by what is known here.
     pub fn submit_command(
         &mut self,
         now: f64,
@@ -188,23 +189,25 @@
         decided.submit_command(now, unix, command, node, &host.pool).map(Ok)
     }
 
-    /// Nobody waits for a command's outcome any more.
+    /// Drops the outcome of a command that nothing waits for any more.
     pub fn forget_command(&mut self, request: u64) {
         if let Some(decided) = &mut self.host.decided {
             decided.forget_command(request);
         }
     }
 
-    /// What became of a command.
+    /// The next outcome of a command, with the command's number.
     pub fn next_command_outcome(&mut self) -> Option<(u64, CommandOutcome)> {
         self.host.decided.as_mut()?.next_outcome()
     }
 
-    /// Bytes of the decisions that must last; tell [`BorderProxy::state_write_finished`] what came of them.
+    /// Bytes of the decisions that must be stored; report the result to
+    /// [`BorderProxy::state_write_finished`].
     pub fn next_state_write(&mut self, now: f64) -> Option<Write> {
         self.host.decided.as_mut()?.next_write(now)
     }
 
+    /// Reports whether the last write of the decisions succeeded.
     pub fn state_write_finished(&mut self, now: f64, succeeded: bool) {
         if let Some(decided) = &mut self.host.decided {
             decided.write_finished(now, succeeded);
--- a/proxy/src/border/servers.rs
+++ b/proxy/src/border/servers.rs
@@ -1,4 +1,4 @@
-//! Central servers: what becomes of shots, and what established.
+//! Central servers: the course of attempts and of established conversations.
 
 use frostthread::host::{Ending, Handle, Report, Server};
 use iax2::element::{self, Elements};
@@ -11,6 +11,7 @@
 use crate::hints::Hints;
 
 impl<D: Decisions> BorderProxy<D> {
+    /// Handles all pending events of the central servers' endpoint.
     pub(super) fn handle_server_events(&mut self) {
         while let Some((leg, event)) = self.host.servers.next_event() {
             match event {
@@ -28,7 +29,7 @@
                     }
                 }
                 Event::Poked(poke) => self.host.servers.pong(&poke, &Elements::new()),
-                // No server has anything to offer here.
+                // Central servers place no calls.
                 Event::Offered { .. } => {
                     let now = self.host.now;
                     self.host.servers.end(now, leg, &Elements::new().with_cause(cause::REJECTED));
@@ -42,6 +43,7 @@
         }
     }
 
+    /// Handles an event on the leg of an attempt.
     pub(super) fn handle_attempt_event(&mut self, handle: Handle, event: Event) {
         let now = self.host.now;
         let Some(conversation) = self.host.conversation(handle) else { return };
@@ -86,6 +88,7 @@
         }
     }
 
+    /// Handles the end of an attempt's leg: the attempt ends, or the established conversation is over.
     pub(super) fn attempt_ended(&mut self, handle: Handle, server: Server, end: &EndReason) {
         if let EndReason::Peer { elements, .. } = end {
             self.handle_report(server, Hints::read(elements).report());
@@ -108,6 +111,7 @@
         self.module.ended(handle, ending, true, &mut self.host);
     }
 
+    /// Counts the end of an attempt and reports it to the module, which may send another attempt.
     pub(super) fn finish_attempt(&mut self, handle: Handle, ending: Ending) {
         let counters = &mut self.host.counters;
         match ending {
@@ -119,6 +123,7 @@
         self.module.ended(handle, ending, false, &mut self.host);
     }
 
+    /// Passes a server's report to the module and its rate to the fleet's limits.
     pub(super) fn handle_report(&mut self, server: Server, report: Report) {
         if let Some((limits, rate)) = self.host.limits.as_mut().zip(report.rate) {
             limits.set_reported_rate(server, rate);
--- a/proxy/src/causes.rs
+++ b/proxy/src/causes.rs
@@ -1,18 +1,18 @@
-//! Hangup causes (RFC 5456, 8.6.33) as endings for the module, and final answers as causes for the caller.
-//! docs/wire.md has the same two tables for operators.
+//! Maps hangup causes (RFC 5456, 8.6.33) to the module's endings, and final answers to the causes that
+//! callers get. docs/wire.md has the same two tables for operators.
 
 use frostthread::host::Ending;
 use iax2::EndReason;
 use iax2::cause;
 
-/// What a server's word means for a shot that does not stand yet.
+/// The ending of an attempt that is not established, by the server's response.
 ///
-/// | the server's word | RFC 5456 | ending |
+/// | the server's response | RFC 5456 | ending |
 /// | --- | --- | --- |
 /// | REJECT or HANGUP, cause 17 | 8.6.33 | the number's lines are busy |
 /// | cause 34 | 8.6.33 | the pool has no free line |
-/// | REJECT or HANGUP, causes 21, 38, 42, 47 | 8.6.33 | nacked: it did not run |
-/// | REJECT, another cause or none | 6.2.4 | nacked: it did not run |
+/// | REJECT or HANGUP, causes 21, 38, 42, 47 | 8.6.33 | rejected: it did not run |
+/// | REJECT, another cause or none | 6.2.4 | rejected: it did not run |
 /// | HANGUP, another cause or none | 6.2.5 | fault |
 /// | INVAL | 6.9.2 | reset |
 /// | nobody listens there | - | no connection |
@@ -32,7 +32,7 @@
     }
 }
 
-/// What a server's word means for a conversation that stands: cleared in the usual way, or cut.
+/// The ending of an established conversation, by the server's response: cleared normally or cut.
 pub fn established_ending(end: &EndReason) -> Ending {
     match end {
         EndReason::Peer { elements, .. } => match elements.cause() {
@@ -43,10 +43,13 @@
     }
 }
 
-/// What the caller is told: refused (come back later), failed, cut while it stood, not to be routed, or
-/// turned away by a proxy that is about to stop.
+/// The cause for a caller that is refused and should retry later.
 pub const REFUSED: u8 = cause::CONGESTION;
+/// The cause for a caller whose call failed.
 pub const FAILED: u8 = cause::TEMPORARY_FAILURE;
+/// The cause for a caller whose established call was cut.
 pub const CUT: u8 = cause::TEMPORARY_FAILURE;
+/// The cause for a called number without a route.
 pub const NO_ROUTE: u8 = cause::NO_ROUTE;
+/// The cause for a caller rejected by a proxy that is about to stop (38, network out of order).
 pub const STOPPING: u8 = 38;
--- a/proxy/src/decided/commands.rs
+++ b/proxy/src/decided/commands.rs
@@ -1,4 +1,4 @@
-//! What operators want decided, and what came of it.
+//! Commands of operators to the council, and their outcomes.
 
 use agree::{Council, Machine, Outcome, Refusal, Seat};
 use gossip::Node;
@@ -8,56 +8,44 @@
 use super::{DecidedState, RETRY_INTERVALS};
 use crate::pool::PoolList;
 
-/// What an operator wants decided.
+/// A command of an operator to the council.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OperatorCommand {
-    Drain {
-        server: String,
-        why: String,
-    },
-    Undrain {
-        server: String,
-    },
-    /// `life` where it is not one that a member of the council has heard of.
+    /// Sends no new set-ups to a central server.
+    Drain { server: String, why: String },
+    /// Ends the drain of a central server.
+    Undrain { server: String },
+    /// Adds a voter to the council. `generation` is required if no member of the council knows the proxy's.
     Add {
         proxy: String,
         #[serde(rename = "life")]
         generation: Option<u64>,
     },
-    Remove {
-        proxy: String,
-    },
-    /// `sum` is the BLAKE3 sum of a file, in hexadecimal digits.
-    Stage {
-        kind: Kind,
-        sum: String,
-        why: String,
-    },
+    /// Removes a voter from the council.
+    Remove { proxy: String },
+    /// Stages a release. `sum` is the BLAKE3 hash of its file, in hexadecimal digits.
+    Stage { kind: Kind, sum: String, why: String },
+    /// Starts the staged release.
     Start,
-    Halt {
-        why: String,
-    },
+    /// Stops the release that is under way.
+    Halt { why: String },
+    /// Takes the release back.
     Back,
-    /// A proxy that is out never comes back.
-    WriteOff {
-        proxy: String,
-        why: String,
-    },
+    /// Declares that an unavailable proxy never returns.
+    WriteOff { proxy: String, why: String },
 }
 
-/// What became of a command.
+/// The outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommandOutcome {
-    /// Decided, and by which decision.
-    Done {
-        decision: u64,
-    },
+    /// Decided, with the number of the decision.
+    Done { decision: u64 },
+    /// It was in effect already.
     Already,
-    Refused {
-        why: String,
-    },
+    /// Refused, with the reason.
+    Refused { why: String },
 }
 
 fn refusal_text(refusal: Refusal) -> String {
@@ -72,13 +60,13 @@
 }
 
 impl DecidedState {
-    /// The number of the release that is under way, or was last.
+    /// The number of the current or last release.
     fn release(&self) -> Result<u64, String> {
         let release = self.agreement.machine().releases.current();
         release.map(|release| release.number).ok_or_else(|| "no release was staged".to_owned())
     }
 
-    /// What would be asked for, and why it would not be.
+    /// The proposal for a command, or the reason why there is none.
     fn proposal_for(
         &self,
         command: &OperatorCommand,
@@ -145,7 +133,7 @@
         })
     }
 
-    /// What a command would come to by what this proxy knows now, without asking for it.
+    /// The outcome of a command by what this proxy knows now, without proposing it.
     pub fn evaluate_command(
         &self,
         command: &OperatorCommand,
@@ -166,7 +154,7 @@
         })
     }
 
-    /// Asks for a decision; gives the number that its outcome comes under.
+    /// Proposes a command; returns the number of its outcome.
     pub fn submit_command(
         &mut self,
         now: f64,
@@ -182,16 +170,18 @@
         .map_err(refusal_text)
     }
 
-    /// No longer wants to know what became of a command.
+    /// Drops the outcome of a command.
     pub fn forget_command(&mut self, request: u64) {
         self.agreement.forget(request);
     }
 
+    /// The next outcome of a command, with the command's number.
     pub fn next_outcome(&mut self) -> Option<(u64, CommandOutcome)> {
         let (request, outcome) = loop {
             let (request, outcome) = self.agreement.outcome()?;
             match self.pending.remove(&request) {
-                // What is wanted all the same, as where it was refused, is asked for again after a while.
+                // A command of this proxy that is still wanted, for example after a refusal, is proposed
+                // again later.
                 Some(command) => {
                     self.retry_later.push((command, self.next_turn_at + RETRY_INTERVALS * self.interval))
                 }
--- a/proxy/src/decided/mod.rs
+++ b/proxy/src/decided/mod.rs
@@ -1,6 +1,6 @@
-//! The tie between what is decided for all proxies, the gossip that carries it, and this proxy.
-//! [`DecidedState::exchange`] moves words both ways; [`DecidedState::submit_command`] asks for a decision, [`DecidedState::next_outcome`]
-//! tells what came of it.
+//! Connects the decisions of the council with gossip, which carries the messages, and with this proxy.
+//! [`DecidedState::exchange`] moves messages in both directions, [`DecidedState::submit_command`] proposes a
+//! command, and [`DecidedState::next_outcome`] returns its outcome.
 
 mod commands;
 mod status;
@@ -23,55 +23,56 @@
     AvailabilityStatus, CouncilStatus, DrainStatus, ReleaseStatus, UnavailabilityStatus, VoterStatus,
 };
 
-/// What was decided and is still wanted is asked for again after so many beats.
+/// A command that was decided and is still wanted is proposed again after this many intervals.
 const RETRY_INTERVALS: f64 = 10.0;
 
-/// What is agreed for who may be out.
+/// The configuration of unavailability: how many may be unavailable, and how releases are judged.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AvailabilityTerms {
-    /// The part of a pool's central servers that may be out at once; one at least.
+    /// The part of a pool's central servers that may be unavailable at once; at least one server.
     pub pool_part: f64,
+    /// When this proxy asks for leave and returns.
     pub holder: HolderTerms,
-    /// Spans in milliseconds, by which released proxies are compared with others; none where no release is
-    /// judged.
+    /// The period over which proxies with a new release are compared with others, in milliseconds; `None` if
+    /// releases are not judged.
     pub comparison_period: Option<f64>,
 }
 
-/// What the shell knows of this process.
+/// What the daemon knows of this process.
 #[derive(Clone, Debug)]
 pub struct ProcessInfo {
     /// The release that it runs; 0 for none.
     pub running_release: u64,
-    /// The release that it could not become, and why.
+    /// The release that it failed to start, with the reason.
     pub failed_release: Option<(u64, String)>,
-    /// Where it takes callers.
+    /// The address for callers.
     pub caller_address: SocketAddr,
 }
 
-/// What is decided for all, as this proxy knows it.
+/// The decided state as this proxy knows it.
 pub struct DecidedState {
     agreement: Agreement<Outs, FleetKeys>,
     terms: AvailabilityTerms,
     name: String,
-    /// The servers that are drained, as the pool list was last told.
+    /// The drained servers, as last passed to the pool list.
     drained: BTreeSet<String>,
     holder: Holder,
     own: Own,
-    /// What this proxy itself has asked for, by number; and what was decided lately, with when it may ask
-    /// again.
+    /// Commands that this proxy has proposed, by number, and commands that were decided recently, with the
+    /// time in milliseconds from which they may be proposed again.
     pending: BTreeMap<u64, Command>,
     retry_later: Vec<(Command, f64)>,
     probe_addresses: Vec<SocketAddr>,
     replace: Option<Replace>,
     next_turn_at: f64,
     interval: f64,
-    /// What proxies told of their conversations, kept where this one may have to judge.
+    /// Reports of the proxies on their conversations, kept in case this proxy has to judge a release.
     evidence: Evidence,
     next_report_at: f64,
 }
 
 impl DecidedState {
-    /// `file` is what the disk gave.
+    /// `file` is the stored state.
     pub fn new(
         node: &Node,
         terms: (AgreeTerms, AvailabilityTerms),
@@ -105,26 +106,27 @@
         })
     }
 
-    /// What is decided, for whoever serves it to others.
+    /// The agreement, for serving decided state to others.
     pub(crate) fn agreement(&mut self) -> &mut Agreement<Outs, FleetKeys> {
         &mut self.agreement
     }
 
-    /// What is distributed by scope.
+    /// The decided state by scope.
     pub(crate) fn scoped(&self) -> &ScopedState {
         self.agreement.machine().scoped()
     }
 
-    /// The decision since which the council votes.
+    /// The decision since which the current council votes.
     pub(crate) fn council_since(&self) -> u64 {
         self.agreement.council_since()
     }
 
+    /// Replaces the fleet's keys and roster.
     pub fn rekey(&mut self, keys: FleetKeys) {
         self.agreement.rekey(keys);
     }
 
-    /// Does what has fallen due, and moves words between the agreement and the gossip.
+    /// Runs everything that is due, and moves messages between the agreement and gossip.
     pub fn exchange(&mut self, now: f64, node: &mut Node) {
         while let Some((from, bytes)) = node.said_to(Part::Agreement) {
             self.agreement.receive(now, from, &bytes);
@@ -144,16 +146,17 @@
             self.act_on_decisions(now, node);
         }
         while let Some(message) = self.agreement.outgoing() {
-            // What the cap forbids is lost, as on the network: it is said again.
+            // A message over the cap is dropped like one lost on the network; it is sent again later.
             node.say_to(now, message.to, Part::Agreement, message.bytes);
         }
     }
 
+    /// The time of the next [`DecidedState::exchange`].
     pub fn due(&self) -> f64 {
         self.agreement.due().min(self.next_turn_at).min(self.next_report_at)
     }
 
-    /// What this proxy itself does by what is decided.
+    /// Carries out the decisions that concern this proxy itself.
     fn act_on_decisions(&mut self, now: f64, node: &Node) {
         let dead = node.members.all().filter(|(_, member)| member.standing == Standing::Dead);
         self.own.silent = dead.map(|(id, _)| id).collect();
@@ -176,8 +179,8 @@
         self.propose_wanted(now, wanted);
     }
 
-    /// Asks for what is wanted and not asked for yet, and for nothing that is wanted no more: what waits
-    /// while no majority is heard would all be decided at once afterwards.
+    /// Proposes wanted commands that are not pending, and drops pending ones that are no longer wanted:
+    /// without a majority they would accumulate and all be decided at once later.
     fn propose_wanted(&mut self, now: f64, wanted: Vec<Command>) {
         let obsolete: Vec<u64> = self
             .pending
@@ -202,12 +205,12 @@
         }
     }
 
-    /// Whether what became of conversations is to be told now.
+    /// Whether a report on conversations is due.
     pub fn report_due(&self, now: f64) -> bool {
         now >= self.next_report_at
     }
 
-    /// Tells the council what became of this proxy's conversations in the period that is over.
+    /// Sends the report on this proxy's conversations in the past period to the council.
     pub fn send_report(&mut self, now: f64, node: &mut Node, report: Report) {
         let Some(period) = self.terms.comparison_period else { return };
         self.next_report_at = now + period;
@@ -218,44 +221,45 @@
         }
     }
 
-    /// Callers' sockets of others that are to be asked for a sign of life now.
+    /// Callers' addresses of other proxies that should be probed now.
     pub fn addresses_to_probe(&mut self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.probe_addresses)
     }
 
-    /// Somebody answered at that address.
+    /// Reports an answer to a probe of that address.
     pub fn probe_answered(&mut self, now: f64, at: SocketAddr) {
         self.holder.answered(now, self.agreement.machine(), at);
     }
 
-    /// What this proxy is to become now, if anything.
+    /// The replacement of this process that should be started now, if any.
     pub fn next_replacement(&mut self) -> Option<Replace> {
         self.replace.take()
     }
 
-    /// What it was to become it could not.
+    /// Reports that the replacement of this process failed.
     pub fn replacement_failed(&mut self, release: u64, why: &str) {
         self.holder.stays();
         self.own.failed = Some((release, why.to_owned()));
     }
 
-    /// The file of a release that is staged, until it is known whether it is fit here.
+    /// The kind and hash of a staged release, until its check on this machine succeeds.
     pub fn release_to_check(&self) -> Option<(Kind, agree::Hash)> {
         let release = self.agreement.machine().releases.current().filter(|of| of.phase == Phase::Staged)?;
         let checked = self.own.staged.as_ref().is_some_and(|(sum, fit)| *sum == release.sum && fit.is_ok());
         (!checked).then_some((release.kind, release.sum))
     }
 
+    /// Reports the result of the check of a release's file.
     pub fn release_checked(&mut self, sum: agree::Hash, fit: Result<(), String>) {
         self.own.staged = Some((sum, fit));
     }
 
-    /// Whether this process was seen well with the release that it runs.
+    /// Whether others have seen this process work with the release that it runs.
     pub fn is_healthy(&self) -> bool {
         self.agreement.machine().releases.runs(self.own.id) == self.own.runs
     }
 
-    /// The servers that get nothing new, where they are others than when this was last asked.
+    /// The drained servers, if they changed since the last call.
     pub fn drained_update(&mut self) -> Option<&BTreeSet<String>> {
         let drained: BTreeSet<String> = self.drains().iter().map(|(server, _)| server.to_owned()).collect();
         let changed = drained != self.drained;
@@ -263,25 +267,27 @@
         changed.then_some(&self.drained)
     }
 
+    /// The drains that are in force.
     pub fn drains(&self) -> &Drains {
         &self.agreement.machine().drains
     }
 
-    /// How old what this proxy knows of the decisions can be, in milliseconds.
+    /// The maximum age of what this proxy knows of the decisions, in milliseconds.
     pub fn age(&self, now: f64) -> f64 {
         self.agreement.age(now)
     }
 
+    /// The state of the agreement.
     pub fn status(&self, now: f64) -> AgreeStanding {
         self.agreement.standing(now)
     }
 
-    /// Bytes for the disk, as [`Agreement::to_write`].
+    /// Bytes to write to disk; see [`Agreement::to_write`].
     pub fn next_write(&mut self, now: f64) -> Option<Write> {
         self.agreement.to_write(now)
     }
 
-    /// What the disk came to.
+    /// Reports whether the last write to disk succeeded.
     pub fn write_finished(&mut self, now: f64, succeeded: bool) {
         if succeeded { self.agreement.written(now) } else { self.agreement.unwritten(now) }
     }
--- a/proxy/src/decided/status.rs
+++ b/proxy/src/decided/status.rs
@@ -1,4 +1,4 @@
-//! What is decided, and how this proxy stands with it, for operators.
+//! The decided state and this proxy's part in the council, for operators.
 
 use agree::{AgreeStanding, Id, Seat};
 use gossip::Node;
@@ -7,48 +7,61 @@
 
 use super::DecidedState;
 
-/// The council and how this proxy stands with it, for operators.
+/// The council and this proxy's state in it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CouncilStatus {
+    /// This proxy's role in the council.
     pub role: agree::Role,
-    /// The number of this proxy's disk, by which it is let in; 0 where it votes as a founder.
+    /// The generation of this proxy's disk, by which it is admitted as a voter; 0 if it votes as a bootstrap
+    /// member.
     #[serde(rename = "life")]
     pub generation: u64,
+    /// The current term.
     pub term: u64,
+    /// The leader, if known.
     pub leader: Option<String>,
-    /// Decisions known, those carried out, and those proved to whoever has no vote.
+    /// The latest decision known.
     pub decided: u64,
+    /// The latest decision applied.
     pub applied: u64,
+    /// The latest decision with a certificate, which proves it to proxies without a vote.
     #[serde(rename = "sealed")]
     pub certified: u64,
-    /// What all decisions carried out come to: the same at the same number everywhere.
+    /// A hash of the state after all applied decisions. It is the same on all proxies at the same decision.
     pub hash: String,
-    /// How old what this proxy knows can be, in milliseconds; none before it was ever told.
+    /// The maximum age of what this proxy knows, in milliseconds; `None` before its first message.
     pub age_ms: Option<f64>,
+    /// The voters.
     #[serde(rename = "seats")]
     pub voters: Vec<VoterStatus>,
-    /// The decision since which these vote, and whether it is proved to whoever has no vote.
+    /// The decision since which these voters vote.
     pub since: u64,
+    /// Whether this council is proved to proxies without a vote.
     pub proved: bool,
-    /// Members whose disks have no vote, with their numbers, to be let in by.
+    /// Members whose disks have no vote, with the generations by which they can be admitted.
     #[serde(rename = "voteless")]
     pub non_voters: Vec<VoterStatus>,
-    /// Why this proxy stopped carrying decisions out, if it did.
+    /// Why this proxy stopped applying decisions, if it did.
     pub stopped: Option<String>,
+    /// Counts of messages and elections.
     pub counts: agree::Counts,
 }
 
+/// A member of the council, or one that could be admitted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VoterStatus {
+    /// The proxy's name.
     pub name: String,
+    /// The generation of its disk.
     #[serde(rename = "life")]
     pub generation: u64,
-    /// Up to where it has the log, where this proxy leads.
+    /// The end of its log, known if this proxy leads.
     #[serde(rename = "has")]
     pub log_index: Option<u64>,
 }
 
 impl CouncilStatus {
+    /// Converts the state of the agreement.
     pub fn of(standing: AgreeStanding, node: &Node) -> Self {
         let name = |id: Id| node.name(id).unwrap_or("?").to_owned();
         let voter = |seat: &Seat| VoterStatus {
@@ -81,58 +94,79 @@
     }
 }
 
-/// Who is out, for operators.
+/// Servers and proxies that are unavailable, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AvailabilityStatus {
+    /// Drained central servers.
     pub drains: Vec<DrainStatus>,
-    /// Proxies that are out, how many may be, and how many others have to see one well.
+    /// Proxies that count as unavailable.
     pub proxies: Vec<UnavailabilityStatus>,
+    /// How many proxies may be unavailable at once.
     #[serde(rename = "most")]
     pub max_unavailable: u16,
+    /// How many other proxies must see a returned proxy as healthy.
     pub witnesses: u16,
+    /// The current or last release.
     pub release: Option<ReleaseStatus>,
+    /// The maximum age of what this proxy knows, in milliseconds; `None` before its first message.
     pub age_ms: Option<f64>,
 }
 
+/// A drained central server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DrainStatus {
+    /// Its name.
     pub server: String,
+    /// The number of its pool.
     pub pool: u16,
+    /// Who asked for the drain.
     pub by: String,
+    /// The reason given.
     pub why: String,
-    /// In Unix milliseconds, by the asker's clock.
+    /// When it was asked for, in Unix milliseconds by the clock of the proxy that asked.
     pub since: u64,
+    /// The number of the decision.
     pub decision: u64,
-    /// Conversations that stand or are out there through this proxy.
+    /// Conversations of this proxy that are established there or have an attempt in flight there.
     #[serde(rename = "here")]
     pub conversations_here: usize,
 }
 
-/// A proxy that takes up a place.
+/// A proxy that counts as unavailable.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UnavailabilityStatus {
+    /// Its name.
     pub proxy: String,
     /// `granted`, `out`, `back` or `missed`.
     #[serde(rename = "how")]
     pub state: String,
-    /// By which decision, and what is waited for.
+    /// The decision that led to this state, if any.
     pub since: Option<u64>,
+    /// What the proxy's return to service waits for.
     pub waits_for: String,
 }
 
-/// The release that is under way, or was last.
+/// The current or last release.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReleaseStatus {
+    /// Its number.
     pub release: u64,
+    /// What it replaces.
     pub kind: Kind,
+    /// The hash of its file, in hexadecimal digits.
     pub sum: String,
+    /// Who staged it.
     pub by: String,
+    /// The reason given.
     pub why: String,
+    /// How far it has come.
     pub phase: Phase,
+    /// How many proxies are ready for it.
     pub ready: usize,
+    /// Proxies that cannot run it, with the reasons.
     #[serde(rename = "unfit")]
     pub rejected: Vec<(String, String)>,
-    /// By wave: all of it, and those that run it.
+    /// By wave: the number of proxies, and how many of them run the release.
     pub waves: Vec<(usize, usize)>,
 }
 
@@ -176,6 +210,7 @@
 }
 
 impl AvailabilityStatus {
+    /// Collects the status; `conversations_at` counts this proxy's conversations at a server.
     pub fn of(
         decided: &DecidedState,
         node: &Node,
--- a/proxy/src/decisions.rs
+++ b/proxy/src/decisions.rs
@@ -1,31 +1,44 @@
-//! What a border proxy asks its decisions. [`frostthread::Proxy`] is the one that users run; baselines and
-//! deliberately broken ones, which live in the laboratory, stand in for it there.
+//! The interface between a border proxy and what decides for it. Users run [`frostthread::Proxy`]; the lab
+//! replaces it by baselines and by deliberately faulty implementations.
 
 use frostthread::Proxy;
 use frostthread::host::{Call, Ending, Handle, Host, Listed, Report, Server, Suspicion, View};
 
 use crate::differences::Differences;
 
-/// The calls of [`frostthread::Proxy`] and its handles; see there for each.
+/// The methods of [`frostthread::Proxy`] and its handles, which document each of them.
 pub trait Decisions {
+    /// Advances the clock to `now`, in milliseconds.
     fn advance_clock(&mut self, now: f64);
+    /// Applies entries of the pool list; `whole` if they are the complete list.
     fn update_server_list(&mut self, lines: &[Listed], whole: bool, host: &mut impl Host);
+    /// Applies a server's report.
     fn reported(&mut self, server: Server, report: Report);
+    /// Sets or clears the suspicion that a server is silent.
     fn set_suspicion(&mut self, server: Server, suspicion: Option<Suspicion>);
-    /// A limit of the whole fleet; gives how many conversations the former word alone kept away.
+    /// Sets how many set-ups the fleet's limit allows at a server; returns how many conversations were held
+    /// back by the previous limit alone.
     fn set_fleet_limit(&mut self, _server: Server, _shots: Option<u32>) -> u32 {
         0
     }
-    /// Whether a tenant's next conversation is within its share, where the fleet knows.
+    /// Sets whether a tenant's next conversation is within its share, where the fleet knows.
     fn set_within_share(&mut self, _tenant: usize, _within: Option<bool>) {}
+    /// Accepts a call and returns its handle.
     fn accept(&mut self, call: &Call) -> Handle;
+    /// Admits an accepted conversation; [`Decisions::run_pending`] sends its first attempt, holds it or gives it
+    /// up.
     fn place(&mut self, handle: Handle);
+    /// Reports that a server answered the conversation's attempt.
     fn established(&mut self, handle: Handle);
+    /// Reports the end of an attempt; `finished` if the conversation ends with it.
     fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host);
+    /// Reports that the caller hung up before an answer.
     fn caller_gone(&mut self, handle: Handle);
+    /// Runs pending decisions and sends the resulting requests to `host`.
     fn run_pending(&mut self, host: &mut impl Host);
+    /// The module's view of a server, if it has one.
     fn view(&self, server: Server) -> Option<View>;
-    /// Where other terms would have decided otherwise, if any are watched.
+    /// The differences under proposed terms, where such terms are evaluated.
     fn differences(&self) -> Option<Differences> {
         None
     }
--- a/proxy/src/distributed/mod.rs
+++ b/proxy/src/distributed/mod.rs
@@ -1,6 +1,6 @@
-//! Decided state by scope: a proxy that subscribes to it has it of a control machine ([`Subscription`]); a
-//! control machine serves it from what it decides with others ([`Service`]). Both speak signed packets on the
-//! peers' socket; docs/distribution.md tells how.
+//! Distribution of decided state by scope. A proxy that subscribes receives it from a control machine
+//! ([`Subscription`]); a control machine serves what it decides with others ([`Service`]). Both exchange
+//! signed packets on the peers' socket; docs/distribution.md specifies the protocol.
 
 mod service;
 mod status;
@@ -24,12 +24,12 @@
 pub enum Distribution {
     /// It holds the scopes that it uses.
     Subscribes(Box<Subscription>),
-    /// It serves others.
+    /// It serves subscribers.
     Serves(Box<Service>),
 }
 
 impl Distribution {
-    /// A datagram came on the peers' socket. False where it is none of the distribution's.
+    /// Handles a datagram of the peers' socket. Returns false if it does not belong to the distribution.
     pub fn receive(&mut self, now: f64, peer: std::net::SocketAddr, datagram: &[u8]) -> bool {
         match self {
             Self::Subscribes(subscription) => {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Does what has fallen due; `decided` is what a control machine serves.
+    /// Runs everything that is due; `decided` is the state that a control machine serves.
     pub fn turn(&mut self, now: f64, decided: Option<&mut DecidedState>) {
         match self {
             Self::Subscribes(subscription) => subscription.turn(now),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// When [`Distribution::turn`] is wanted.
+    /// The time of the next [`Distribution::turn`].
     pub fn due(&self) -> f64 {
         match self {
             Self::Subscribes(subscription) => subscription.due(),
@@ -64,17 +64,16 @@
         }
     }
 
-    /// The servers that get nothing new by what a subscriber holds, where that has changed since this was
-    /// last asked.
+    /// The servers drained by the state that a subscriber holds, if they changed since the last call.
     pub fn drained_update(&mut self) -> Option<BTreeSet<String>> {
         match self {
             Self::Subscribes(subscription) => subscription.take_changed().then(|| subscription.drained()),
-            // It obeys what it decides with others.
+            // A control machine applies its own decisions.
             Self::Serves(_) => None,
         }
     }
 
-    /// What a subscriber is to keep on its disk, where that has changed since this was last asked.
+    /// The state that a subscriber should save on disk, if it changed since the last call.
     pub fn state_to_save(&mut self) -> Option<Vec<u8>> {
         match self {
             Self::Subscribes(subscription) => subscription.state_to_save(),
@@ -82,7 +81,7 @@
         }
     }
 
-    /// Goes on with other secrets, and with another roster of those whom it hears.
+    /// Replaces the secrets and the roster of accepted senders.
     pub fn rekey(&mut self, secrets: Secrets, roster: Roster) {
         match self {
             Self::Subscribes(subscription) => subscription.rekey(secrets, roster),
@@ -90,7 +89,7 @@
         }
     }
 
-    /// The control machines that a subscriber's operator is to ask; none at one of those.
+    /// The control machines that a subscriber's operator should turn to; `None` at a control machine.
     pub fn controls(&self) -> Option<Vec<String>> {
         match self {
             Self::Subscribes(subscription) => Some(subscription.controls()),
@@ -98,7 +97,8 @@
         }
     }
 
-    /// How it stands; `decided` is what a control machine serves, and without it there is nothing to tell.
+    /// The status for operators. `decided` is the state that a control machine serves, which has no status
+    /// without it.
     pub fn status(&self, now: f64, decided: Option<&DecidedState>) -> Option<DistributionStatus> {
         match self {
             Self::Subscribes(subscription) => Some(subscription.status(now)),
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Who has the newest changes; none at a subscriber.
+    /// The progress of the newest changes; `None` at a subscriber.
     pub fn changes(&self, now: f64) -> Option<Vec<ChangeStatus>> {
         match self {
             Self::Subscribes(_) => None,
--- a/proxy/src/distributed/service.rs
+++ b/proxy/src/distributed/service.rs
@@ -1,4 +1,4 @@
-//! A control machine's service to subscribers: what it decides with others, passed on by scope.
+//! A control machine's service: passes what it decides with others on to subscribers, by scope.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,31 +17,32 @@
 };
 use crate::decided::DecidedState;
 
-/// What is agreed for a control machine.
+/// The configuration of a control machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceTerms {
-    /// Milliseconds.
+    /// The heartbeat interval, in milliseconds.
     pub heartbeat: f64,
-    /// Subscribers at the most.
+    /// The maximum number of subscribers.
     pub max_subscribers: usize,
-    /// Bytes a second to all subscribers together, and to each of them.
+    /// Bytes per second to all subscribers together.
     pub bytes_per_second: f64,
+    /// Bytes per second to each subscriber.
     pub subscriber_bytes_per_second: f64,
-    /// Subscribers that fetch whole scopes at a time.
+    /// How many subscribers may fetch whole scopes at a time.
     pub snapshots_at_once: usize,
 }
 
-/// A control machine's side of the channel.
+/// A control machine's end of the channel.
 pub struct Service {
     channel: Channel,
     control: Control,
-    /// Where each subscriber was last heard; bounded by the roster.
+    /// The last known address of each subscriber; bounded by the roster.
     addresses: BTreeMap<Id, SocketAddr>,
     queue: VecDeque<Outgoing>,
 }
 
 impl Service {
-    /// `roster` is the subscribers'; `unix` is the wall clock in milliseconds.
+    /// `roster` lists the subscribers; `unix` is the wall clock in milliseconds.
     pub fn new(
         terms: ServiceTerms,
         secrets: Secrets,
@@ -65,8 +66,8 @@
         }
     }
 
-    /// A datagram came on the peers' socket. False where it names no subscriber as its sender: then it is
-    /// gossip.
+    /// Handles a datagram of the peers' socket. Returns false if its sender is no subscriber: then it belongs
+    /// to gossip.
     pub fn receive(&mut self, now: f64, peer: SocketAddr, datagram: &[u8]) -> bool {
         if !Channel::sender(datagram).is_some_and(|from| self.channel.roster().contains(from)) {
             return false;
@@ -79,7 +80,7 @@
         true
     }
 
-    /// Takes over what was decided meanwhile, and does what has fallen due.
+    /// Takes over new decisions, and runs everything that is due.
     pub fn turn(&mut self, now: f64, decided: &mut DecidedState) {
         let agreement = decided.agreement();
         let applied = agreement.applied();
@@ -111,7 +112,7 @@
         }
     }
 
-    /// When [`Service::turn`] is wanted.
+    /// The time of the next [`Service::turn`].
     pub fn due(&self) -> f64 {
         self.control.due()
     }
@@ -121,7 +122,7 @@
         self.queue.pop_front()
     }
 
-    /// Goes on with other keys, as in a rotation; `roster` is the subscribers'.
+    /// Replaces the keys, as in a rotation; `roster` lists the subscribers.
     pub fn rekey(&mut self, secrets: Secrets, roster: Roster) {
         for (removed, _) in self.addresses.extract_if(.., |id, _| !roster.contains(*id)) {
             self.control.forget(removed);
@@ -133,7 +134,7 @@
         self.channel.roster().name(id).unwrap_or("?").to_owned()
     }
 
-    /// How it stands; `decided` is what it serves.
+    /// The status for operators; `decided` is the state that is served.
     pub fn status(&self, decided: &DecidedState) -> DistributionStatus {
         let standing = self.control.standing();
         let counts = standing.counts;
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Who of those that it serves has the newest changes.
+    /// The progress of the newest changes at the subscribers of this control machine.
     pub fn changes(&self, now: f64) -> Vec<ChangeStatus> {
         let lacking = |lacking: &Lacking| LackingStatus {
             subscriber: self.name(lacking.id),
--- a/proxy/src/distributed/status.rs
+++ b/proxy/src/distributed/status.rs
@@ -1,11 +1,11 @@
-//! How decided state reaches this proxy, or whom it serves, for operators.
+//! The status of the distribution of decided state, for operators.
 
 use std::collections::BTreeMap;
 
 use gossip::channel::ChannelCounts;
 use serde::{Deserialize, Serialize};
 
-/// What a proxy is in the distribution of decided state.
+/// A proxy's role in the distribution of decided state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DistributionRole {
@@ -15,86 +15,87 @@
     Subscriber,
 }
 
-/// How decided state reaches this proxy by scope, or how it serves that.
+/// How this proxy receives or serves decided state by scope.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DistributionStatus {
-    /// What it is.
+    /// The proxy's role.
     pub role: DistributionRole,
-    /// A subscriber's control machine, and for how long it has been that, in milliseconds.
+    /// A subscriber's control machine.
     pub control: Option<String>,
-    /// See [`DistributionStatus::control`].
+    /// For how long [`DistributionStatus::control`] has been used, in milliseconds.
     pub control_since_ms: Option<f64>,
-    /// The decision since which the newest council votes that is known.
+    /// The decision since which the newest known council votes.
     pub council: u64,
-    /// What is held, or served.
+    /// The scopes that are held or served.
     pub scopes: Vec<ScopeStatus>,
     /// The servers that a subscriber drains.
     pub drains: Vec<DistributedDrain>,
-    /// Whom a control machine serves.
+    /// The subscribers of a control machine.
     pub subscribers: Option<SubscribersStatus>,
-    /// Packets.
+    /// Counts of packets.
     pub channel: ChannelCounts,
-    /// What was done and what was dropped, by name.
+    /// Counts of other events, by name.
     pub counts: BTreeMap<String, u64>,
 }
 
-/// One scope.
+/// The state of a scope.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScopeStatus {
     /// Its name, as in the settings.
     pub scope: String,
-    /// A subscriber: all decisions up to this are obeyed here; 0 before anything is proved. A control
-    /// machine: the decision that changed the scope last.
+    /// At a subscriber: all decisions up to this one are in force here; 0 before any is proved. At a control
+    /// machine: the last decision that changed the scope.
     pub version: u64,
-    /// Entries in it.
+    /// The number of entries.
     pub entries: usize,
-    /// How old what is in force can be, in milliseconds; none before a voter's word came since the start.
+    /// The maximum age of the state in force, in milliseconds; `None` before the first message of a voter
+    /// since the start.
     pub age_ms: Option<f64>,
 }
 
-/// A server that gets nothing new.
+/// A drained server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DistributedDrain {
     /// Its name.
     pub server: String,
-    /// Who asked for it, and why.
+    /// Who asked for the drain.
     pub by: String,
-    /// See [`DistributedDrain::by`].
+    /// The reason given.
     pub why: String,
-    /// The decision.
+    /// The number of the decision.
     pub decision: u64,
 }
 
-/// Whom a control machine serves.
+/// The subscribers of a control machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubscribersStatus {
-    /// Those that poll it.
+    /// Subscribers that poll it.
     pub sessions: usize,
-    /// Of these, how many read a scope from its beginning.
+    /// How many of them fetch a whole scope.
     pub snapshots: usize,
-    /// The sealed index that is served.
+    /// The certified log index that is served.
     #[serde(rename = "sealed")]
     pub certified: u64,
 }
 
-/// A change, and who has it.
+/// A change and its progress.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeStatus {
-    /// The scope that it belongs to.
+    /// The scope of the entry.
     pub scope: String,
-    /// The entry that it changed.
+    /// The key of the changed entry.
     pub key: String,
-    /// The decision.
+    /// The number of the decision.
     pub version: u64,
     /// Whether the entry was removed.
     pub removed: bool,
     /// For how long it has been served here, in milliseconds.
     pub since_ms: f64,
-    /// Subscribers of the scope here that have acknowledged it.
+    /// Subscribers of the scope that have acknowledged it here.
     pub have: usize,
     /// Subscribers of the scope here.
     pub of: usize,
-    /// Some of those that have not.
+    /// Some of those that have not acknowledged it.
     pub lacking: Vec<LackingStatus>,
 }
 
@@ -103,13 +104,13 @@
 pub struct LackingStatus {
     /// Its name.
     pub subscriber: String,
-    /// For how long it has lacked it, in milliseconds.
+    /// For how long it has lacked the change, in milliseconds.
     pub since_ms: f64,
-    /// For how long nothing was heard of it, in milliseconds.
+    /// For how long it has been silent, in milliseconds.
     pub silent_ms: f64,
 }
 
-/// A number for JSON, which has no infinity.
+/// The number if it is finite, as JSON has no infinity.
 pub(super) fn finite(number: f64) -> Option<f64> {
     Some(number).filter(|number| number.is_finite())
 }
--- a/proxy/src/distributed/subscription.rs
+++ b/proxy/src/distributed/subscription.rs
@@ -1,5 +1,5 @@
-//! A proxy that neither gossips nor follows the log: it holds the scopes that it uses, by one control machine
-//! at a time.
+//! A proxy that takes no part in gossip or in the log. It holds the scopes that it uses, which it receives
+//! from one control machine at a time.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -18,33 +18,36 @@
 
 use super::status::{DistributedDrain, DistributionRole, DistributionStatus, ScopeStatus, finite};
 
-/// Milliseconds between writes of what [`Subscription::state_to_save`] gives. Less writes more often while much changes;
-/// what a crash loses is fetched anew from a control machine, if one can be reached.
+/// The interval between writes of [`Subscription::state_to_save`], in milliseconds. A shorter one writes more
+/// often while much changes; what a crash loses is fetched again from a control machine, if one can be
+/// reached.
 pub const STATE_WRITE_INTERVAL: f64 = 1_000.0;
 
-/// A control machine, and where it is heard.
+/// A control machine and its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlAddress {
+    /// The control machine and its region.
     pub machine: ControlMachine,
+    /// Where it receives packets.
     pub address: SocketAddr,
 }
 
-/// What is agreed for a subscriber.
+/// The configuration of a subscriber.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SubscriptionTerms {
-    /// The region that it is in.
+    /// The region of the subscriber.
     pub region: u16,
     /// All control machines.
     pub controls: Vec<ControlAddress>,
-    /// Who votes at first.
+    /// The first voters of the council.
     pub bootstrap_members: Vec<Id>,
-    /// What it holds.
+    /// The scopes to subscribe to.
     pub scopes: BTreeSet<Scope>,
-    /// Milliseconds.
+    /// The heartbeat interval, in milliseconds.
     pub heartbeat: f64,
 }
 
-/// A subscriber on a channel.
+/// A subscriber and its channel.
 pub struct Subscription {
     channel: Channel,
     subscriber: Subscriber<FleetKeys>,
@@ -53,7 +56,7 @@
 }
 
 impl Subscription {
-    /// `unix` is the wall clock in milliseconds; `seed` must not be known to others.
+    /// `unix` is the wall clock in milliseconds; `seed` must be unknown to others.
     pub fn new(terms: SubscriptionTerms, keys: FleetKeys, seed: u64, now: f64, unix: f64) -> Self {
         let channel = Channel::new(keys.secrets.clone(), keys.roster.clone(), unix);
         let subscriber_terms = SubscriberTerms {
@@ -71,23 +74,23 @@
         Self { channel, subscriber, addresses, queue: VecDeque::new() }
     }
 
-    /// Puts in force what [`Subscription::state_to_save`] gave before, as far as it is proved.
+    /// Puts state from an earlier [`Subscription::state_to_save`] in force, as far as it is proved.
     pub fn restore(&mut self, bytes: &[u8]) -> Restored {
         self.subscriber.restore(bytes)
     }
 
-    /// What is to be kept on the disk, where that has changed since it was last asked for.
+    /// The state to save on disk, if it changed since the last call.
     pub fn state_to_save(&mut self) -> Option<Vec<u8>> {
         self.subscriber.saved()
     }
 
-    /// Goes on with other keys, as in a rotation.
+    /// Replaces the keys, as in a rotation.
     pub fn rekey(&mut self, secrets: Secrets, roster: Roster) {
         self.subscriber.rekey(FleetKeys { secrets: secrets.clone(), roster: roster.clone() });
         self.channel.rekey(secrets, roster);
     }
 
-    /// A datagram came. Anything may stand in it.
+    /// Handles a datagram, whose contents are not trusted.
     pub fn receive(&mut self, now: f64, datagram: &[u8]) {
         if let Some(received) = self.channel.open(datagram).filter(|received| received.part == Part::State) {
             self.subscriber.receive(now, received.from, &received.bytes);
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Does what has fallen due.
+    /// Runs everything that is due.
     pub fn turn(&mut self, now: f64) {
         if self.subscriber.due() <= now {
             self.subscriber.turn(now);
@@ -111,7 +114,7 @@
         }
     }
 
-    /// When [`Subscription::turn`] is wanted.
+    /// The time of the next [`Subscription::turn`].
     pub fn due(&self) -> f64 {
         self.subscriber.due()
     }
@@ -121,12 +124,12 @@
         self.queue.pop_front()
     }
 
-    /// Whether anything of what is in force has changed since this was last asked.
+    /// Whether the state in force has changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::iter::from_fn(|| self.subscriber.changed()).count() > 0
     }
 
-    /// The servers that get nothing new by what is in force.
+    /// The servers drained by the state in force.
     pub fn drained(&self) -> BTreeSet<String> {
         self.drains().into_iter().map(|drain| drain.server).collect()
     }
@@ -136,7 +139,7 @@
         let entries = contents.flat_map(distribution::content::Content::entries);
         let drain = |entry: distribution::Entry| {
             let server = drains::server_of(&entry.key)?.to_owned();
-            // Of another form than is known here, it drains all the same.
+            // A notice of an unknown format drains the server all the same.
             let notice = Notice::read(&entry.value);
             let (by, why) = notice.map(|notice| (notice.by, notice.why)).unwrap_or_default();
             Some(DistributedDrain { server, by, why, decision: entry.version })
@@ -144,7 +147,7 @@
         entries.filter_map(drain).collect()
     }
 
-    /// The control machines' names, for whoever is to be sent there.
+    /// The names of the control machines, which operators can turn to.
     pub fn controls(&self) -> Vec<String> {
         self.addresses.keys().map(|&id| self.name(id)).collect()
     }
@@ -153,7 +156,7 @@
         self.channel.roster().name(id).unwrap_or("?").to_owned()
     }
 
-    /// How it stands.
+    /// The status for operators.
     pub fn status(&self, now: f64) -> DistributionStatus {
         let standing = self.subscriber.standing(now);
         let scope = |(scope, (index, age)): (&Scope, &(u64, f64))| ScopeStatus {
--- a/proxy/src/earnings.rs
+++ b/proxy/src/earnings.rs
@@ -1,12 +1,14 @@
-//! What became of this proxy's conversations, span by span, as the council is told for comparison.
+//! The outcomes of this proxy's conversations by reporting period, which the council compares across proxies.
 
 use frostthread::choice::{Histogram, quantile_after};
 use frostthread::host::GradeTerms;
 use outs::evidence::Report;
 
-/// The quantile that is told leaves out this part of all set-ups, as the design's does for mean earnings.
+/// The reported quantile leaves out this part of all set-ups, the violation probability that the design uses
+/// for mean earnings.
 const VIOLATION_PROBABILITY: f64 = 0.05;
 
+/// Outcomes since the last report.
 #[derive(Default)]
 pub struct EarningsPeriod {
     grades: Vec<GradeTerms>,
@@ -18,11 +20,12 @@
 }
 
 impl EarningsPeriod {
+    /// Starts an empty period.
     pub fn new(grades: Vec<GradeTerms>) -> Self {
         Self { grades, ..Self::default() }
     }
 
-    /// A conversation of a grade stands, so many milliseconds after it was taken.
+    /// Counts a conversation that was established `took` milliseconds after it was accepted.
     pub fn conversation_established(&mut self, grade: usize, took: f64) {
         let Some(grade) = self.grades.get(grade) else { return };
         self.conversations = self.conversations.saturating_add(1);
@@ -31,19 +34,20 @@
         self.delays.count(took / grade.limit);
     }
 
-    /// One was refused, failed or cut; or, of no known grade, had no route.
+    /// Counts a conversation that was refused, failed or cut; `None` if it had no route and thus no grade.
     pub fn conversation_lost(&mut self, grade: Option<usize>) {
         self.conversations = self.conversations.saturating_add(1);
         self.possible += grade.and_then(|grade| self.grades.get(grade)).map_or(0.0, |grade| grade.earnings);
         self.lost = self.lost.saturating_add(1);
     }
 
-    /// One that stood was cut: it had counted as kept.
+    /// Counts an established conversation that was cut. It already counted as earned, so only the losses
+    /// grow.
     pub fn conversation_cut(&mut self) {
         self.lost = self.lost.saturating_add(1).min(self.conversations);
     }
 
-    /// What there was since this was last asked.
+    /// Returns the report of the period and starts a new one.
     pub fn take_report(&mut self) -> Report {
         let report = Report {
             conversations: self.conversations,
--- a/proxy/src/hints.rs
+++ b/proxy/src/hints.rs
@@ -1,12 +1,12 @@
-//! The information element that frostthread adds to IAX2's own: advice to come back, a server's report, a
-//! caller's patience. A peer that does not know it passes it over (RFC 5456, 8.6). docs/wire.md gives its
-//! form: `ft`, a version, then entries of a tag, a length and a big-endian value.
+//! The information element that frostthread adds to those of IAX2: retry times, servers' reports, callers'
+//! timeouts. A peer that does not know the element ignores it (RFC 5456, 8.6). docs/wire.md specifies its
+//! format: `ft`, a version, then entries of a tag, a length and a big-endian value.
 
 use bytes::Bytes;
 use frostthread::host::Report;
 use iax2::Elements;
 
-/// The element's type; RFC 5456 gives out none so high.
+/// The type of the element, above all types that RFC 5456 assigns.
 pub const HINTS: u8 = 0xf5;
 const HEADER: [u8; 3] = [b'f', b't', 1];
 
@@ -19,28 +19,29 @@
 const CALLER_TIMEOUT: u8 = 7;
 const WAIT: u8 = 8;
 
-/// What the element says; everything in it may be left out.
+/// The contents of the element; all entries are optional.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Hints {
-    /// Milliseconds after which a refused caller, or one whose shot was nacked, does best to come back.
+    /// Milliseconds after which a refused caller, or one whose attempt was rejected, should retry.
     pub retry_after: Option<u32>,
-    /// Free lines of the pool, and how many it has.
+    /// Free lines of the pool.
     pub free: Option<u32>,
+    /// All lines of the pool.
     pub lines: Option<u32>,
-    /// Set-ups that the server's processor can take from all proxies, in thousandths a second.
+    /// Set-ups that the server's processor can handle from all proxies, in thousandths per second.
     pub rate: Option<u32>,
-    /// Set-ups that wait at the processor.
+    /// Set-ups waiting at the processor.
     pub queue: Option<u32>,
-    /// Milliseconds that a set-up waits at the processor before it is begun.
+    /// Milliseconds that a set-up waits at the processor before it is started.
     pub wait: Option<u32>,
-    /// The caller has tried before.
+    /// Whether the caller has tried before.
     pub redial: bool,
     /// Milliseconds from the sending of the NEW until the caller gives up.
     pub caller_timeout: Option<u32>,
 }
 
 impl Hints {
-    /// What a frame's elements say; an element of another form says nothing.
+    /// Reads the hints of a frame; an element of another format is ignored.
     pub fn read(elements: &Elements) -> Self {
         let mut hints = Self::default();
         let Some(rest) = elements.get(HINTS).and_then(|body| body.strip_prefix(&HEADER[..])) else {
@@ -66,7 +67,7 @@
         hints
     }
 
-    /// Adds the element, unless there is nothing to say.
+    /// Adds the element, unless all entries are empty.
     pub fn add_to(&self, elements: Elements) -> Elements {
         let mut body = HEADER.to_vec();
         let numbers = [
@@ -90,7 +91,7 @@
         if body.len() > HEADER.len() { elements.with(HINTS, Bytes::from(body)) } else { elements }
     }
 
-    /// The part that is a server's report.
+    /// The entries that form a server's report.
     pub fn report(&self) -> Report {
         Report {
             free: self.free.map(f64::from),
--- a/proxy/src/journal_writer.rs
+++ b/proxy/src/journal_writer.rs
@@ -1,22 +1,22 @@
-//! Turns what happens to conversations into entries of the records' journal, in order. The shell drains
-//! them with [`crate::BorderProxy::next_journal_entry`] and keeps them before it lets anything out that rests on them.
+//! Turns events of conversations into entries of the records' journal, in order. The daemon drains them with
+//! [`crate::BorderProxy::next_journal_entry`] and stores them before it sends anything that depends on them.
 
 use std::collections::VecDeque;
 
 use records::entry::{Entry, Outcome};
 
-/// What the journal calls things, and what is to be written.
+/// The names used in the journal, and the entries to be written.
 pub struct JournalWriter {
     grades: Vec<String>,
     tenants: Vec<String>,
-    /// Unix milliseconds at the proxy's time 0: a step of the wall clock moves no entry.
+    /// The Unix time in milliseconds at the proxy's time 0. A step of the wall clock does not move entries.
     unix_at_zero: f64,
     serial: u64,
     entries: VecDeque<Entry>,
 }
 
 impl JournalWriter {
-    /// Names of service grades and tenants by index; `unix_at_zero` is the Unix time in milliseconds at the
+    /// `grades` and `tenants` are the names by index; `unix_at_zero` is the Unix time in milliseconds at the
     /// proxy's time 0.
     pub fn new(grades: Vec<String>, tenants: Vec<String>, unix_at_zero: f64) -> Self {
         Self { grades, tenants, unix_at_zero, serial: 0, entries: VecDeque::new() }
@@ -26,7 +26,7 @@
         (self.unix_at_zero + now).max(0.0) as u64
     }
 
-    /// A conversation is taken; gives its number.
+    /// Records an accepted conversation; returns its serial number.
     pub fn opened(
         &mut self,
         now: f64,
@@ -44,21 +44,25 @@
         serial
     }
 
+    /// Records an attempt sent to a server.
     pub fn attempt_sent(&mut self, now: f64, serial: u64, server: &str) {
         let at = self.unix_ms(now);
         self.entries.push_back(Entry::Shot { serial, at, server: server.to_owned() });
     }
 
+    /// Records that a conversation was answered.
     pub fn answered(&mut self, now: f64, serial: u64) {
         let at = self.unix_ms(now);
         self.entries.push_back(Entry::Answered { serial, at });
     }
 
+    /// Records the outcome of a conversation.
     pub fn closed(&mut self, now: f64, serial: u64, outcome: Outcome) {
         let at = self.unix_ms(now);
         self.entries.push_back(Entry::Closed { serial, at, outcome, over_share: false });
     }
 
+    /// The next entry to be written.
     pub fn next_entry(&mut self) -> Option<Entry> {
         self.entries.pop_front()
     }
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,8 +1,8 @@
 //! The border proxy without I/O.
 //!
-//! [`BorderProxy`] is handed datagrams, news of the pool list and the time; it tells the module of
-//! `frostthread` what happens, carries out what the module decides, and hands back datagrams and the time
-//! at which it wants to be woken. The daemon drives it on sockets, the laboratory under a virtual clock.
+//! [`BorderProxy`] receives datagrams, updates of the pool list and the current time. It reports events to
+//! the module of `frostthread`, carries out the module's decisions, and returns datagrams to send and the
+//! time of its next turn. The daemon drives it on sockets, the lab under a virtual clock.
 
 #![forbid(unsafe_code)]
 
--- a/proxy/src/limits.rs
+++ b/proxy/src/limits.rs
@@ -1,5 +1,6 @@
-//! The tie between the fleet's limits, the list of central servers and the gossip that carries what members
-//! say. [`FleetLimits`] is told rates; [`FleetLimits::exchange`] moves words both ways.
+//! Connects the fleet's limits with the list of central servers and with gossip, which carries the members'
+//! messages. [`FleetLimits`] receives reported rates; [`FleetLimits::exchange`] moves messages in both
+//! directions.
 
 use fleet::{Counts, Fleet, FleetTerms, LimitStanding};
 use frostthread::host::{Server, State};
@@ -8,33 +9,34 @@
 
 use crate::pool::PoolList;
 
-/// What is agreed for limits on central servers.
+/// The configuration of limits on central servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitTerms {
+    /// The configuration of the protocol between members.
     pub fleet: FleetTerms,
-    /// Whole set-ups are counted in windows of this length, in milliseconds.
+    /// The length of the window in which set-ups are counted, in milliseconds.
     pub window: f64,
-    /// Set-ups a second that any central server gets at the most, whatever it tells.
+    /// The maximum of set-ups per second at any central server, whatever rate it reports.
     pub max_rate: Option<f64>,
-    /// Tenants' shares are counted over the whole fleet in windows of this length, in milliseconds; guessed
-    /// by each proxy where there is none.
+    /// The length of the window in which tenants' shares are counted over the whole fleet, in milliseconds.
+    /// If `None`, each proxy estimates shares by itself.
     pub share_window: Option<f64>,
 }
 
-/// The limits on central servers that hold for the whole fleet.
+/// Limits on central servers that apply to the whole fleet.
 pub struct FleetLimits {
     fleet: Fleet,
     terms: LimitTerms,
-    /// Names by server, as members speak of them: one life of it.
+    /// Names by server, as used between members: each names one generation of the server.
     names: Vec<Option<String>>,
     reported_rates: Vec<Option<f64>>,
-    /// Names of tenants' shares, by tenant.
+    /// Names of the limits for tenants' shares, by tenant.
     tenant_limits: Vec<String>,
 }
 
 impl FleetLimits {
-    /// For the member that gossips as `node`; `tenants` are their names and what is in their shares, in
-    /// conversations a second over all proxies.
+    /// Creates the limits for the member that gossips as `node`. `tenants` are the tenants' names and shares,
+    /// in conversations per second over all proxies.
     pub fn new(
         node: &Node,
         terms: LimitTerms,
@@ -45,10 +47,11 @@
         let mut fleet = Fleet::new(node.id(), node.fleet(), terms.fleet, seed, now);
         let mut tenant_limits = Vec::new();
         for (name, quota) in tenants.into_iter().take_while(|_| terms.share_window.is_some()) {
-            // No server's name ends so.
+            // No server's name ends like this.
             let name = format!("{name} (tenant)");
             let window = terms.share_window.unwrap_or_default();
-            // Under one whole conversation in a window nobody could have any: that is guessed.
+            // With less than one whole conversation per window nobody could get any; such shares are
+            // estimated by each proxy.
             if quota * window >= 1000.0 {
                 fleet.limit(&name, quota, window);
             }
@@ -57,8 +60,8 @@
         Self { fleet, terms, names: Vec::new(), reported_rates: Vec::new(), tenant_limits }
     }
 
-    /// A conversation of a tenant has come: whether it is within the tenant's share; none where that is not
-    /// known, as for a while after a start.
+    /// Whether the next conversation of a tenant is within the tenant's share; `None` while that is unknown,
+    /// as for a while after a start.
     pub fn within_share(&mut self, now: f64, tenant: usize) -> Option<bool> {
         let name = self.tenant_limits.get(tenant)?;
         let free = self.fleet.free(now, name).filter(|_| self.fleet.is_sure(now, name))?;
@@ -68,7 +71,8 @@
         Some(free > 0 && self.fleet.take(now, name))
     }
 
-    /// The list has changed: limits on what runs no more are withdrawn, a new life is another server.
+    /// Applies a change of the pool list: withdraws the limits of servers that no longer run. A new
+    /// generation counts as another server.
     pub fn update_server_list(&mut self, now: f64, pool: &PoolList) {
         for server in pool.servers() {
             let index = server.0 as usize;
@@ -88,7 +92,7 @@
         }
     }
 
-    /// A central server has told how many set-ups a second it can take.
+    /// Sets the rate that a central server reported, in set-ups per second.
     pub fn set_reported_rate(&mut self, server: Server, rate: f64) {
         if let Some(reported) = self.reported_rates.get_mut(server.0 as usize) {
             *reported = Some(rate);
@@ -110,13 +114,13 @@
         }
     }
 
-    /// How many set-ups may go there now; none told where there is no limit.
+    /// How many set-ups may be sent to the server now; `None` without a limit.
     pub fn free(&mut self, now: f64, server: Server) -> Option<u32> {
         let name = self.names.get(server.0 as usize)?.as_ref()?;
         self.fleet.free(now, name).map(|free| free as u32)
     }
 
-    /// A set-up has been sent there.
+    /// Counts a set-up that was sent to the server.
     pub fn record_attempt(&mut self, now: f64, server: Server) {
         if let Some(Some(name)) = self.names.get(server.0 as usize) {
             let recorded = self.fleet.take(now, name);
@@ -124,32 +128,36 @@
         }
     }
 
+    /// Reports that `count` set-ups were held back for lack of permits.
     pub fn record_shortage(&mut self, now: f64, server: Server, count: u32) {
         if let Some(Some(name)) = self.names.get(server.0 as usize) {
             self.fleet.missed(now, name, count as usize);
         }
     }
 
-    /// Does what has fallen due, and moves words between the fleet and the gossip.
+    /// Runs everything that is due, and moves messages between the limits and gossip.
     pub fn exchange(&mut self, now: f64, node: &mut Node) {
         while let Some((from, bytes)) = node.said_to(Part::Limits) {
             self.fleet.receive(now, from, &bytes);
         }
         self.fleet.turn(now);
         while let Some(message) = self.fleet.outgoing() {
-            // What the cap forbids is lost, as on the network: it lapses.
+            // A message over the cap is dropped like one lost on the network; the loan then expires.
             node.say_to(now, message.to, Part::Limits, message.bytes);
         }
     }
 
+    /// The time of the next [`FleetLimits::exchange`].
     pub fn due(&self, now: f64) -> f64 {
         self.fleet.due(now)
     }
 
+    /// Updates the members of the fleet.
     pub fn set_members(&mut self, node: &Node) {
         self.fleet.set_members(node.fleet());
     }
 
+    /// The state of all limits, and counts of messages.
     pub fn statuses(&mut self, now: f64) -> (Vec<LimitStanding>, Counts) {
         (self.fleet.standings(now), self.fleet.counts())
     }
--- a/proxy/src/pool.rs
+++ b/proxy/src/pool.rs
@@ -1,8 +1,8 @@
-//! The pool list: one JSON object a line, a whole list first, then changes with versions.
+//! The pool list: one JSON object per line, first a complete list, then changes with consecutive versions.
 //!
-//! [`PoolUpdates::read`] checks a line, [`PoolList::apply`] takes it in and gives lines for the module.
-//! [`PoolList::to_cache`] and [`PoolList::from_cache`] keep the last list over a restart. docs/wire.md has
-//! the form.
+//! [`PoolUpdates::read`] checks a line, and [`PoolList::apply`] applies it and returns entries for the
+//! module. [`PoolList::to_cache`] and [`PoolList::from_cache`] preserve the last list over a restart.
+//! docs/wire.md specifies the format.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::Hasher;
@@ -14,33 +14,42 @@
 use siphasher::sip::SipHasher13;
 use thiserror::Error;
 
-/// Bytes of the longest line that is read.
+/// The maximum length of a line, in bytes.
 pub const MAX_LINE_BYTES: usize = 1 << 20;
-/// Servers in the longest list that is taken.
+/// The maximum number of servers in a line.
 pub const MAX_SERVERS: usize = 10_000;
 
-/// What is wrong with a line of the feed or with the cached list.
+/// An error in a line of the feed or in the cached list.
 #[derive(Debug, Error)]
 pub enum PoolListError {
     #[error("pool list: {0}")]
     Json(#[from] serde_json::Error),
+    /// There are more servers than [`MAX_SERVERS`].
     #[error("pool list: {0} servers, at most {MAX_SERVERS} are taken")]
     TooMany(usize),
+    /// A field of an entry is invalid.
     #[error("pool list: servers[{index}].{field}: {why}")]
     Field { index: usize, field: &'static str, why: String },
+    /// A change arrived before any complete list.
     #[error("pool list: changes to version {0} came without a whole list")]
     MissingFullList(u64),
+    /// The version does not follow the last one.
     #[error("pool list: version {found} came after {last}")]
     VersionGap { last: u64, found: u64 },
+    /// The cached list is damaged or of another format.
     #[error("cached pool list: {0}")]
     Cache(&'static str),
 }
 
+/// The state of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Readiness {
+    /// It accepts set-ups.
     Running,
+    /// It gets no new set-ups.
     Draining,
+    /// It no longer exists.
     Gone,
 }
 
@@ -54,16 +63,18 @@
     }
 }
 
-/// A server as the feed names it. Its name stays the same over restarts of its process; a machine that
-/// replaces it has a new one.
+/// A server as the feed names it. The name remains the same over restarts of the server's process; a
+/// replacement machine gets a new name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolEntry {
+    /// 1 to 255 bytes.
     pub name: String,
     pub address: SocketAddr,
     pub state: Readiness,
+    /// The number of its pool.
     pub pool: u16,
-    /// When its process last started, in milliseconds of Unix time; left out where that is long ago.
+    /// When its process last started, in milliseconds of Unix time; `None` if that is long ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started: Option<f64>,
 }
@@ -72,28 +83,30 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolUpdates {
+    /// Grows by one with each line.
     pub version: u64,
-    /// Whether this is the whole list; else only what has changed since the version before.
+    /// Whether this is the complete list; otherwise it contains the changes since the previous version.
     #[serde(default)]
     pub whole: bool,
     pub servers: Vec<PoolEntry>,
 }
 
-/// What a subscriber asks for, as the first line it sends.
+/// The first line that a subscriber sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolRequest {
-    /// The version that it has, if any.
+    /// The version that it already has, if any.
     pub have: Option<u64>,
 }
 
 impl PoolUpdates {
+    /// Parses and checks a line.
     pub fn read(line: &str) -> Result<Self, PoolListError> {
         let news: Self = serde_json::from_str(line)?;
         news.check()?;
         Ok(news)
     }
 
-    /// Whether its values can be used.
+    /// Checks the values.
     pub fn check(&self) -> Result<(), PoolListError> {
         if self.servers.len() > MAX_SERVERS {
             return Err(PoolListError::TooMany(self.servers.len()));
@@ -113,6 +126,7 @@
         Ok(())
     }
 
+    /// The line to send, with its line break.
     pub fn write(&self) -> String {
         let mut line = serde_json::to_string(self).expect("plain data");
         line.push('\n');
@@ -123,8 +137,8 @@
 struct KnownServer {
     entry: PoolEntry,
     server: Server,
-    /// When it started, on this proxy's clock. Reckoned once for each start told, so that a step of the
-    /// wall clock makes no server look restarted.
+    /// The start on this proxy's clock. It is computed once for each reported start, so that a step of the
+    /// wall clock does not make a server look restarted.
     started: Option<f64>,
 }
 
@@ -136,32 +150,37 @@
     addresses: Vec<SocketAddr>,
     names: Vec<String>,
     by_address: HashMap<SocketAddr, Server>,
-    /// Servers that get nothing new by the fleet's decision, whatever the list says.
+    /// Servers that get no new set-ups by decision of the fleet, whatever the list says.
     drained: BTreeSet<String>,
 }
 
 impl PoolList {
+    /// The version of the last update.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
+    /// The server's latest address.
     pub fn address(&self, server: Server) -> SocketAddr {
         self.addresses[server.0 as usize]
     }
 
+    /// The server's name.
     pub fn name(&self, server: Server) -> &str {
         &self.names[server.0 as usize]
     }
 
-    /// The server of that name.
+    /// The server of a name.
     pub fn server_by_name(&self, name: &str) -> Option<Server> {
         self.known.get(name).map(|known| known.server)
     }
 
+    /// The server's state; a server drained by the fleet is not running.
     pub fn state(&self, server: Server) -> State {
         self.known.get(self.name(server)).map_or(State::Gone, |known| self.effective_state(&known.entry))
     }
 
+    /// The number of the server's pool; 0 if it was never listed.
     pub fn pool(&self, server: Server) -> u16 {
         self.known.get(self.name(server)).map_or(0, |known| known.entry.pool)
     }
@@ -173,7 +192,7 @@
         }
     }
 
-    /// How many servers of a pool are listed, and how many of them are out by the list itself.
+    /// The number of listed servers of a pool, and how many of those the list itself drains.
     pub fn count_listed_and_draining(&self, pool: u16) -> (usize, usize) {
         let of_pool = self.known.values().filter(|known| known.entry.pool == pool);
         let states: Vec<Readiness> = of_pool.map(|known| known.entry.state).collect();
@@ -181,7 +200,7 @@
         (listed, states.iter().filter(|state| **state == Readiness::Draining).count())
     }
 
-    /// The fleet has decided which servers get nothing new; gives the lines that are others now.
+    /// Sets the servers that the fleet drains; returns entries for those whose state changed.
     pub fn set_drained(&mut self, drained: &BTreeSet<String>) -> Vec<Listed> {
         let former = std::mem::replace(&mut self.drained, drained.clone());
         let changed = former.symmetric_difference(drained).filter_map(|name| self.known.get(name));
@@ -194,13 +213,13 @@
         Listed { server: known.server, state, pool: known.entry.pool, started: known.started }
     }
 
-    /// The server at an address, the latest to be listed there.
+    /// The server listed last at an address.
     pub fn server_at(&self, address: SocketAddr) -> Option<Server> {
         self.by_address.get(&address).copied()
     }
 
-    /// The server's present life, by which proxies speak of it to each other. A name and start of their own
-    /// keep what was said of an earlier process, or of another machine at the same address, apart.
+    /// The server's current generation, by which proxies refer to it. Name and start time distinguish it from
+    /// an earlier process and from another machine at the same address.
     pub fn generation(&self, server: Server) -> Option<Life> {
         let known = self.known.get(self.name(server))?;
         let mut hasher = SipHasher13::new();
@@ -208,12 +227,13 @@
         Some(Life { server: hasher.finish(), started: known.entry.started.unwrap_or(0.0) as u64 })
     }
 
-    /// All servers ever listed, in the order of their indices.
+    /// All servers ever listed, in order of their indices.
     pub fn servers(&self) -> impl Iterator<Item = Server> {
         (0..self.names.len() as u32).map(Server)
     }
 
-    /// Takes news in. `now` is the proxy's clock and `unix` the wall clock, both in milliseconds.
+    /// Applies an update and returns the changed entries. `now` is the proxy's clock and `unix` the wall
+    /// clock, both in milliseconds.
     pub fn apply(&mut self, news: &PoolUpdates, now: f64, unix: f64) -> Result<Vec<Listed>, PoolListError> {
         if !news.whole {
             let last = self.version.ok_or(PoolListError::MissingFullList(news.version))?;
@@ -249,7 +269,7 @@
         self.listed(&self.known[&entry.name])
     }
 
-    /// The list as it is kept on disk: a line with a checksum, then the news that would bring it.
+    /// The list in its cached format: a line with a checksum, then the update that restores it.
     pub fn to_cache(&self) -> String {
         let servers = self.known.values().map(|known| known.entry.clone());
         let servers = servers.filter(|entry| entry.state != Readiness::Gone).collect();
@@ -257,7 +277,7 @@
         format!("frostthread-pool 1 {:08x}\n{body}", crc32fast::hash(body.as_bytes()))
     }
 
-    /// The news in a kept list, if it is whole and undamaged.
+    /// Reads the update from a cached list, if it is complete and undamaged.
     pub fn from_cache(text: &str) -> Result<PoolUpdates, PoolListError> {
         let (head, body) = text.split_once('\n').ok_or(PoolListError::Cache("its first line is missing"))?;
         let sum = head
--- a/proxy/src/routes.rs
+++ b/proxy/src/routes.rs
@@ -1,19 +1,22 @@
-//! The route table: what a called number, its context and the caller's name stand for. It names a service
-//! grade, a pool of first choice and a tenant; which server takes the call is decided elsewhere.
+//! The route table: maps a called number, its context and the caller's user name to a service grade, a pool
+//! of first choice and a tenant. Which server gets the call is decided elsewhere.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// A line of the table. The longest prefix of a context wins.
+/// A route. Within a context the longest matching prefix wins.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The context it is for; empty for calls that name none, and where the named one has no line.
+    /// The context; empty for calls without one, and for contexts that have no routes.
     pub context: String,
+    /// The prefix of the called number.
     pub prefix: String,
+    /// Index of the service grade.
     pub grade: usize,
+    /// The pool of first choice.
     pub pool: u16,
 }
 
-/// Looked up once for each NEW.
+/// The routes, looked up once for each NEW.
 #[derive(Clone, Debug, Default)]
 pub struct Routes {
     by_context: HashMap<String, BTreeMap<String, (usize, u16)>>,
@@ -22,7 +25,7 @@
 }
 
 impl Routes {
-    /// `tenants` by the user name or the context that stands for them.
+    /// `tenants` maps user names or contexts to the tenants' indices.
     pub fn new(
         routes: impl IntoIterator<Item = Route>,
         tenants: impl IntoIterator<Item = (String, usize)>,
@@ -35,7 +38,7 @@
         table
     }
 
-    /// Service grade and pool of first choice.
+    /// The service grade and the pool of first choice, if there is a route.
     pub fn find(&self, context: &str, called: &str) -> Option<(usize, u16)> {
         let lines = self.by_context.get(context).or_else(|| self.by_context.get(""))?;
         let longest = called.len().min(self.max_prefix_len);
--- a/proxy/src/watch.rs
+++ b/proxy/src/watch.rs
@@ -1,9 +1,10 @@
-//! Watching before a switch: the module decides under the terms in force, and each of its turns is decided
-//! once more, on a copy, under the terms to come. What differs is counted by kind and not carried out.
+//! Evaluation of proposed terms before they come into force. The module decides under the current terms, and
+//! a share of its turns is decided a second time, on a copy, under the proposed terms. Differences are
+//! counted by kind; nothing of the second decision is carried out.
 //!
-//! Wrap the module in [`Watched::new`]; without terms to come it only passes on. [`Watched::differences`] has
-//! the counts. A turn begins from what has really happened, so differences do not add up from turn to turn.
-//! Within one turn, a first difference can move later draws of chance.
+//! Wrap the module in [`Watched::new`]; without proposed terms it only forwards. [`Watched::differences`] has
+//! the counts. Each turn starts from what has really happened, so differences do not accumulate over turns.
+//! Within a turn, a first difference can shift later random draws.
 
 use std::collections::{HashMap, HashSet};
 
@@ -13,10 +14,10 @@
 use crate::decisions::Decisions;
 use crate::differences::Differences;
 
-/// Time-outs are the same within this, in milliseconds.
+/// Timeouts that differ by no more than this count as equal, in milliseconds.
 const TIMEOUT_TOLERANCE_MS: f64 = 1.0;
 
-/// What a turn requests of its host, kept by kind; each request is passed on to `to`, where there is one.
+/// The requests of a turn, by kind. Each request is forwarded to `to`, if there is a host.
 struct Requests<'a, H> {
     to: Option<&'a mut H>,
     shots: HashMap<Handle, (Server, f64)>,
@@ -80,7 +81,7 @@
 }
 
 impl Differences {
-    /// Counts what `other` asks for otherwise than `now`.
+    /// Counts the requests in `other` that differ from those in `now`.
     fn count<H, I>(&mut self, now: &Requests<H>, other: &Requests<I>) {
         let before = Self { compared: self.compared + 1, ..*self };
         *self = before;
@@ -108,24 +109,25 @@
     }
 }
 
-/// Terms that are watched.
+/// Terms to evaluate.
 #[derive(Clone, Debug)]
 pub struct ProposedTerms {
     pub terms: Terms,
-    /// The share of turns that are decided decide_twice: what watching may cost at the most.
+    /// The share of turns that are decided twice; it limits the cost of the evaluation.
     pub share: f64,
 }
 
-/// A module, and the terms to come, if any are watched.
+/// A module, and the proposed terms, if any are evaluated.
 pub struct Watched {
     module: Proxy,
     proposed: Option<ProposedTerms>,
-    /// Of the share, what has not yet come to a turn.
+    /// The part of the share that has not yet been used by a turn.
     credit: f64,
     differences: Differences,
 }
 
 impl Watched {
+    /// Wraps `module`; `proposed` are the terms to evaluate.
     pub fn new(module: Proxy, proposed: Option<ProposedTerms>) -> Self {
         Self { module, proposed, credit: 0.0, differences: Differences::default() }
     }
--- a/proxy/tests/distributed.rs
+++ b/proxy/tests/distributed.rs
@@ -1,5 +1,5 @@
-//! The two ends of the distribution's channel as the border proxy drives them: what is none of theirs changes
-//! nothing, and is counted or left to gossip.
+//! Tests of both ends of the distribution's channel as the border proxy drives them: foreign datagrams change
+//! nothing, and are counted or left to gossip.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -103,7 +103,8 @@
     assert!(!service.receive(1.0, address(40), &[3; 200]));
     assert!(!service.receive(2.0, address(40), &[]));
     assert!(!service.receive(3.0, address(40), &packet(STRANGER, Part::State, &[1])));
-    // In a subscriber's name without its key: its own, and dropped.
+    // Sent under a subscriber's name without its key: the datagram belongs to the distribution and is
+    // dropped.
     let mut forged = packet(SUBSCRIBER, Part::State, &[1]);
     *forged.last_mut().expect("bytes") ^= 1;
     assert!(service.receive(4.0, address(40), &forged));
--- a/proxy/tests/scenarios.rs
+++ b/proxy/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Stories of a border proxy on the wire: a caller, two servers, and what goes wrong between them.
+//! Scenarios of a border proxy on the wire: a caller, two servers, and faults between them.
 
 mod fixture;
 
@@ -254,7 +254,7 @@
     let mut scenario = Scenario::new();
     scenario.update_list(2, vec![entry(0, Readiness::Gone, None), entry(1, Readiness::Gone, None)]);
     let leg = scenario.call("1555", 700);
-    // Something comes at every millisecond, whatever the proxy asked to be woken for.
+    // A datagram arrives every millisecond, so events always come before the wake that the proxy asked for.
     for _ in 0..700 {
         scenario.run_for(1.0);
         let now = scenario.now;
@@ -344,7 +344,7 @@
     assert!(!scenario.caller_events.iter().any(|(_, h)| matches!(h, Event::Ended(EndReason::Unknown))));
 }
 
-/// A host that carries nothing out but keeps the attempts.
+/// A host that only records the attempts.
 #[derive(Default)]
 struct AttemptLog(Vec<(Handle, Server)>);
 
@@ -361,7 +361,8 @@
     fn note(&mut self, _: &str) {}
 }
 
-/// Two servers; the first turns a attempt back and names a wait, then two callers come who want it first.
+/// Two servers. The first rejects an attempt and names a retry time; then two more calls come whose first
+/// choice it is.
 fn run_watched(proposed: Option<ProposedTerms>) -> (AttemptLog, Option<Differences>) {
     let mut watched = Watched::new(Proxy::new(fixture::terms().terms, 7, 0.0), proposed);
     let mut attempts = AttemptLog::default();
