--- a/iax2/fuzz/fuzz_targets/datagrams.rs
+++ b/iax2/fuzz/fuzz_targets/datagrams.rs
@@ -1,5 +1,5 @@
-//! Feeds an endpoint whatever the fuzzer makes of datagrams, lets it answer and time pass; a panic or legs past
-//! the limit fail. Run with `cargo fuzz run datagrams` in `iax2/`.
+//! Feeds an endpoint with fuzzed datagrams, answers calls and advances the clock. A panic, or more legs than
+//! the limit, is a failure. Run with `cargo fuzz run datagrams` in `iax2/`.
 
 #![no_main]
 
@@ -13,7 +13,7 @@
     let peer = "127.0.0.1:4569".parse().expect("an address");
     let mut now = 0.0;
     end.call(now, peer, &Elements::new());
-    // A length byte, a time byte, and so many bytes of a datagram.
+    // A length byte, a time byte, and up to that many bytes of a datagram.
     let mut rest = data;
     while let [length, step, after @ ..] = rest {
         let (datagram, more) = after.split_at(usize::from(*length).min(after.len()));
--- a/iax2/src/cause.rs
+++ b/iax2/src/cause.rs
@@ -1,5 +1,5 @@
-//! Hangup causes, as the CAUSECODE information element carries them (RFC 5456, 8.6.33; the numbers are
-//! those of Q.850). Only those that this project sends or tells apart have a name.
+//! Hangup causes, as carried by the CAUSECODE information element (RFC 5456, 8.6.33; the numbers are those of
+//! Q.850). Only causes that this project sends or distinguishes have a name.
 
 pub const UNALLOCATED: u8 = 1;
 pub const NO_ROUTE: u8 = 3;
--- a/iax2/src/element.rs
+++ b/iax2/src/element.rs
@@ -1,7 +1,7 @@
-//! Information elements (RFC 5456, 8.6): a type, a length, and so many bytes.
+//! Information elements (RFC 5456, 8.6): a type, a length, and that many bytes.
 //!
-//! [`Elements::read`] takes the body of a full frame apart, bounded by its datagram; unknown elements are
-//! kept and may be passed over. [`Elements::write`] puts them together again in the same order.
+//! [`Elements::read`] splits the body of a full frame, bounded by its datagram; unknown elements are kept and
+//! may be ignored. [`Elements::write`] writes them in the same order.
 
 use std::fmt;
 use std::str;
@@ -21,19 +21,21 @@
 pub const UNKNOWN: u8 = 0x17;
 pub const CAUSE_CODE: u8 = 0x2a;
 
-/// The version that every NEW states first (RFC 5456, 8.6.10).
+/// The protocol version, the first element of every NEW (RFC 5456, 8.6.10).
 pub const PROTOCOL_VERSION: u16 = 2;
 
-/// What is wrong with the body of a frame.
+/// An error in the body of a frame.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
+    /// An element ends after its type.
     #[error("element {0:#04x}: its length byte is missing")]
     NoLength(u8),
+    /// An element announces more bytes than follow.
     #[error("element {kind:#04x}: {wanted} bytes announced, {there} there")]
     Short { kind: u8, wanted: usize, there: usize },
 }
 
-/// The information elements of one frame, in their order.
+/// The information elements of one frame, in order.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Elements(Vec<(u8, Bytes)>);
 
@@ -44,11 +46,12 @@
 }
 
 impl Elements {
+    /// No elements.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a body apart; each element is a view of it, not a copy.
+    /// Splits a body; each element is a view of it, not a copy.
     pub fn read(mut body: Bytes) -> Result<Self, DecodeError> {
         let mut all = Vec::new();
         while !body.is_empty() {
@@ -64,6 +67,7 @@
         Ok(Self(all))
     }
 
+    /// Appends the encoded elements to `out`.
     pub fn write(&self, out: &mut BytesMut) {
         for (kind, data) in &self.0 {
             out.put_u8(*kind);
@@ -72,53 +76,59 @@
         }
     }
 
-    /// Adds an element; data past 255 bytes is cut, as no element can be longer.
+    /// Adds an element; data beyond 255 bytes is cut off, as an element cannot be longer.
     pub fn with(mut self, kind: u8, data: impl AsRef<[u8]>) -> Self {
         let data = data.as_ref();
         self.0.push((kind, Bytes::copy_from_slice(&data[..data.len().min(255)])));
         self
     }
 
+    /// Adds an element with a big-endian number of 16 bits.
     pub fn with_u16(self, kind: u8, value: u16) -> Self {
         self.with(kind, value.to_be_bytes())
     }
 
+    /// Adds an element with a big-endian number of 32 bits.
     pub fn with_u32(self, kind: u8, value: u32) -> Self {
         self.with(kind, value.to_be_bytes())
     }
 
+    /// Adds a hangup cause.
     pub fn with_cause(self, code: u8) -> Self {
         self.with(CAUSE_CODE, [code])
     }
 
-    /// The first element of the kind.
+    /// The first element of the type.
     pub fn get(&self, kind: u8) -> Option<&Bytes> {
         self.0.iter().find(|(k, _)| *k == kind).map(|(_, data)| data)
     }
 
-    /// The first element of the kind as text; `None` where it is no UTF-8 (RFC 5456, 8.6 asks for it).
+    /// The first element of the type as text; `None` if it is not UTF-8, which RFC 5456, 8.6 requires.
     pub fn text(&self, kind: u8) -> Option<&str> {
         str::from_utf8(self.get(kind)?).ok()
     }
 
+    /// The first element of the type as a number, if it has 16 bits.
     pub fn u16(&self, kind: u8) -> Option<u16> {
         Some(u16::from_be_bytes(self.get(kind)?.as_ref().try_into().ok()?))
     }
 
+    /// The first element of the type as a number, if it has 32 bits.
     pub fn u32(&self, kind: u8) -> Option<u32> {
         Some(u32::from_be_bytes(self.get(kind)?.as_ref().try_into().ok()?))
     }
 
-    /// The hangup cause, if one is told.
+    /// The hangup cause, if there is one.
     pub fn cause(&self) -> Option<u8> {
         self.get(CAUSE_CODE)?.first().copied()
     }
 
-    /// Those of the given kinds, in the order they stand here.
+    /// The elements of the given types, in their order.
     pub fn only(&self, kinds: &[u8]) -> Self {
         Self(self.0.iter().filter(|(kind, _)| kinds.contains(kind)).cloned().collect())
     }
 
+    /// Whether there are no elements.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/iax2/src/endpoint/legs.rs
+++ b/iax2/src/endpoint/legs.rs
@@ -1,4 +1,4 @@
-//! Legs begun, looked up, ended and removed.
+//! Creating, finding, ending and removing legs.
 
 use std::cmp::Reverse;
 use std::collections::VecDeque;
@@ -11,20 +11,21 @@
 use super::{EndReason, Endpoint, Event, Leg, MAX_LEG_NUMBER};
 
 impl Endpoint {
-    /// How far the leg has come; `None` where there is none.
+    /// The progress of the leg; `None` if it does not exist.
     pub(super) fn phase(&self, leg: Leg) -> Option<Phase> {
         self.legs.get(leg).map(|state| state.phase)
     }
 
-    /// The leg stands from now on.
+    /// Marks the leg as established, and starts its pings.
     pub(super) fn establish(&mut self, leg: Leg, now: f64) {
         let state = &mut self.legs[leg];
-        state.phase = Phase::Up;
+        state.phase = Phase::Established;
         state.ping_at = now + self.limits.ping_interval;
         self.schedule_wake(leg);
     }
 
-    /// A number that no leg or probe to this peer has; they go round, so that one rests as long as it can.
+    /// A number that no leg or probe to this peer uses. Numbers are assigned in rotation, so that each stays
+    /// unused for as long as possible.
     pub(super) fn free_number(&mut self, peer: SocketAddr) -> Option<u16> {
         for _ in 0..MAX_LEG_NUMBER {
             let number = self.next_number;
@@ -38,7 +39,7 @@
         None
     }
 
-    /// Makes a leg; `None` where legs or numbers have run out.
+    /// Creates a leg; `None` if the limit of legs or the numbers are exhausted.
     pub(super) fn create_leg(
         &mut self,
         now: f64,
@@ -75,7 +76,7 @@
         Some(leg)
     }
 
-    /// Forgets the leg, so that its number may be used again.
+    /// Removes the leg, so that its number may be used again.
     pub(super) fn remove(&mut self, leg: Leg) {
         if let Some(state) = self.legs.remove(leg) {
             self.by_local_number.remove(&(state.peer, state.local_number));
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Puts the leg into the queue of wake_queue, unless it stands there early enough.
+    /// Queues the next wake of the leg, unless an earlier one is queued.
     pub(super) fn schedule_wake(&mut self, leg: Leg) {
         let Some(state) = self.legs.get_mut(leg) else { return };
         let due = state.due();
@@ -95,7 +96,7 @@
         }
     }
 
-    /// The leg is over: it is kept until its last copies must have come.
+    /// Ends the leg. It is kept until the last retransmissions of the peer must have arrived.
     pub(super) fn close(&mut self, leg: Leg, now: f64) {
         let resend_time = self.limits.total_resend_time();
         let state = &mut self.legs[leg];
@@ -106,7 +107,7 @@
         self.schedule_wake(leg);
     }
 
-    /// The leg is over, and this is why.
+    /// Ends the leg and reports the reason.
     pub(super) fn end_with(&mut self, leg: Leg, now: f64, end: EndReason) {
         self.legs[leg].unacknowledged.clear();
         self.close(leg, now);
--- a/iax2/src/endpoint/mod.rs
+++ b/iax2/src/endpoint/mod.rs
@@ -1,9 +1,10 @@
-//! All call legs of one socket: sequence numbers, acknowledgements, resends and their end, duplicates told
-//! from news, call numbers that rest before they are used again (RFC 5456, 6 and 7).
+//! All call legs of one socket: sequence numbers, acknowledgements, bounded retransmission, duplicate
+//! detection, and call numbers that stay unused for a while before they are assigned again (RFC 5456, 6 and
+//! 7).
 //!
-//! Feed it with [`Endpoint::receive`], [`Endpoint::refused`] and [`Endpoint::turn`] (when [`Endpoint::due`]
-//! has come), then drain [`Endpoint::datagram`] and [`Endpoint::happening`]. A leg is begun by
-//! [`Endpoint::call`] or by a NEW of a peer, and lives until [`Event::Ended`].
+//! Give it input through [`Endpoint::receive`], [`Endpoint::connection_refused`] and [`Endpoint::turn`] (at
+//! [`Endpoint::due`]), then drain [`Endpoint::next_datagram`] and [`Endpoint::next_event`]. A leg is created
+//! by [`Endpoint::call`] or by a peer's NEW, and exists until [`Event::Ended`].
 
 mod legs;
 mod receive;
@@ -29,11 +30,12 @@
 pub use types::{Counts, Datagram, EndReason, Event, Limits, Media, Poke};
 
 new_key_type! {
-    /// A call leg, from its NEW until it has ended.
+    /// A call leg, from its NEW until its end.
     pub struct Leg;
 }
 
-/// The highest call number of a leg: the one above answers probes and calls that get no leg.
+/// The highest call number of a leg. The number above it is used for answers to probes and for calls that get
+/// no leg.
 const MAX_LEG_NUMBER: u16 = MAX_CALL_NUMBER - 1;
 
 /// The legs of one socket.
@@ -42,7 +44,7 @@
     legs: SlotMap<Leg, State>,
     by_local_number: HashMap<(SocketAddr, u16), Leg>,
     by_remote_number: HashMap<(SocketAddr, u16), Leg>,
-    /// Probes out, by the call number that they borrow.
+    /// Unanswered probes, by the call number that they use.
     pokes: HashMap<(SocketAddr, u16), f64>,
     poke_expiry: VecDeque<(f64, SocketAddr, u16)>,
     next_number: u16,
@@ -53,7 +55,7 @@
 }
 
 impl Endpoint {
-    /// The seed says where call numbers begin, so that a restart does not go through the same ones.
+    /// `seed` determines the first call number, so that a restart does not assign the same numbers again.
     pub fn new(limits: Limits, seed: u64) -> Self {
         Self {
             limits,
@@ -70,12 +72,12 @@
         }
     }
 
-    /// What was no good, and what was done again, since the beginning.
+    /// Counts of invalid datagrams and retransmissions since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Legs there are, those at rest included.
+    /// The number of legs, including ended ones that are still kept.
     pub fn legs(&self) -> usize {
         self.legs.len()
     }
@@ -85,17 +87,18 @@
         self.datagrams.pop_front()
     }
 
-    /// The next thing that happened.
+    /// The next event.
     pub fn next_event(&mut self) -> Option<(Leg, Event)> {
         self.events.pop_front()
     }
 
-    /// When [`Endpoint::turn`] is wanted.
+    /// The time of the next [`Endpoint::turn`], if any.
     pub fn due(&self) -> Option<f64> {
         self.wake_queue.peek().map(|Reverse((at, _))| at.0)
     }
 
-    /// Begins a leg with a NEW (RFC 5456, 6.2.2); the version is put first. `None` where legs have run out.
+    /// Creates a leg and sends its NEW (RFC 5456, 6.2.2), with the version as the first element. `None` if
+    /// the limit of legs is reached.
     pub fn call(&mut self, now: f64, peer: SocketAddr, elements: &Elements) -> Option<Leg> {
         let leg = self.create_leg(now, peer, 0, Phase::Calling)?;
         let mut body = BytesMut::new();
@@ -105,7 +108,7 @@
         Some(leg)
     }
 
-    /// Sends a probe (RFC 5456, 6.7.1). Its PONG, if one comes, is a happening.
+    /// Sends a probe (RFC 5456, 6.7.1). Its PONG, if one arrives, is an event.
     pub fn poke(&mut self, now: f64, peer: SocketAddr) {
         let Some(local_number) = self.free_number(peer) else { return };
         self.pokes.insert((peer, local_number), now);
@@ -121,36 +124,36 @@
         self.send_once(peer, MAX_CALL_NUMBER, source, timestamp, 0, 1, iax::PONG, body.freeze());
     }
 
-    /// ACCEPT (RFC 5456, 6.2.3), where the leg awaits it.
+    /// Sends ACCEPT (RFC 5456, 6.2.3) if the leg waits for it.
     pub fn accept(&mut self, now: f64, leg: Leg, elements: &Elements) {
         if self.phase(leg) == Some(Phase::Offered) {
-            self.legs[leg].phase = Phase::Linked;
+            self.legs[leg].phase = Phase::Accepted;
             self.send_elements(leg, now, kind::IAX, iax::ACCEPT, elements);
         }
     }
 
-    /// RINGING (RFC 5456, 6.3.3), where the leg is accepted and does not stand yet.
+    /// Sends RINGING (RFC 5456, 6.3.3) if the leg is accepted but not established.
     pub fn ringing(&mut self, now: f64, leg: Leg) {
-        if self.phase(leg) == Some(Phase::Linked) {
+        if self.phase(leg) == Some(Phase::Accepted) {
             self.send(leg, now, kind::CONTROL, control::RINGING, Bytes::new());
         }
     }
 
-    /// ANSWER (RFC 5456, 6.3.4), with elements that a peer that does not know them passes over.
+    /// Sends ANSWER (RFC 5456, 6.3.4) if the leg is accepted. A peer ignores elements that it does not know.
     pub fn answer(&mut self, now: f64, leg: Leg, elements: &Elements) {
-        if self.phase(leg) == Some(Phase::Linked) {
+        if self.phase(leg) == Some(Phase::Accepted) {
             self.establish(leg, now);
             self.send_elements(leg, now, kind::CONTROL, control::ANSWER, elements);
         }
     }
 
-    /// Ends a leg: REJECT while a NEW awaits its answer (RFC 5456, 6.2.4), else HANGUP (6.2.5).
+    /// Ends a leg: by REJECT if its NEW is unanswered (RFC 5456, 6.2.4), else by HANGUP (6.2.5).
     pub fn end(&mut self, now: f64, leg: Leg, elements: &Elements) {
         match self.phase(leg) {
             None | Some(Phase::Ended) => return,
             Some(Phase::Offered) => self.send_elements(leg, now, kind::IAX, iax::REJECT, elements),
             Some(_) => {
-                // A NEW that may never have come through must not come through later than its end.
+                // If the NEW may have been lost, it must not be sent again: it could arrive after the HANGUP.
                 let state = &mut self.legs[leg];
                 if !state.heard {
                     state.unacknowledged.clear();
@@ -161,9 +164,10 @@
         self.close(leg, now);
     }
 
-    /// Passes media on. Its times keep their distances on the leg's own clock (RFC 5456, 8.1.2).
+    /// Forwards media. The distances between its timestamps are kept on the leg's own clock (RFC 5456,
+    /// 8.1.2).
     pub fn media(&mut self, now: f64, leg: Leg, media: &Media) {
-        if !matches!(self.phase(leg), Some(Phase::Linked | Phase::Up)) {
+        if !matches!(self.phase(leg), Some(Phase::Accepted | Phase::Established)) {
             return;
         }
         let state = &mut self.legs[leg];
@@ -179,7 +183,7 @@
         }
     }
 
-    /// The network told that nobody listens at the address: what hangs on it has ended.
+    /// Reports that the network answered that nothing listens at the address: ends all legs to it.
     pub fn connection_refused(&mut self, now: f64, peer: SocketAddr) {
         let affected: Vec<Leg> = self
             .legs
--- a/iax2/src/endpoint/receive.rs
+++ b/iax2/src/endpoint/receive.rs
@@ -1,4 +1,5 @@
-//! What a peer's frames do: offers, probes, acknowledgements, order, and what each frame means to its leg.
+//! Handling of a peer's frames: calls, probes, acknowledgements, order, and the effect of each frame on its
+//! leg.
 
 use std::net::SocketAddr;
 
@@ -11,7 +12,7 @@
 use crate::frame::{self, Frame, Full, MAX_CALL_NUMBER, Mini, control, iax, kind};
 
 impl Endpoint {
-    /// A datagram came. Anything may stand in it.
+    /// Handles a datagram, whose contents are not trusted.
     pub fn receive(&mut self, now: f64, peer: SocketAddr, datagram: &Bytes) {
         match frame::read(datagram) {
             Ok(Frame::Full(full)) => self.handle_full(now, peer, full),
@@ -24,9 +25,9 @@
 
     fn handle_mini(&mut self, peer: SocketAddr, mini: Mini) {
         let leg = self.by_remote_number.get(&(peer, mini.source)).copied();
-        match leg.filter(|&leg| matches!(self.legs[leg].phase, Phase::Linked | Phase::Up)) {
+        match leg.filter(|&leg| matches!(self.legs[leg].phase, Phase::Accepted | Phase::Established)) {
             Some(leg) => {
-                // The time nearest to the last whole one that has these low 16 bits.
+                // The timestamp closest to the last full one that has these low 16 bits.
                 let last = self.legs[leg].last_remote_timestamp;
                 let offset = mini.timestamp.wrapping_sub(last as u16) as i16;
                 let timestamp = last.wrapping_add_signed(i32::from(offset));
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The leg that a frame is for, by the number that the frame names as ours, else by the peer's own.
+    /// The leg that a frame belongs to: by the local number if the frame has one, else by the peer's number.
     fn find_leg(&self, peer: SocketAddr, full: &Full) -> Option<Leg> {
         if full.dest == 0 {
             return self.by_remote_number.get(&(peer, full.source)).copied();
@@ -64,7 +65,7 @@
         found.filter(|&leg| [0, full.source].contains(&self.legs[leg].remote_number))
     }
 
-    /// The answer to one of our probes.
+    /// Handles the answer to a probe.
     fn handle_pong(&mut self, peer: SocketAddr, full: Full) {
         let iseq = full.oseq.wrapping_add(1);
         self.send_once(peer, full.dest, full.source, full.timestamp, 1, iseq, iax::ACK, Bytes::new());
@@ -72,13 +73,14 @@
         self.events.push_back((Leg::default(), Event::Pong { peer, elements }));
     }
 
-    /// A frame for no leg (RFC 5456, 6.9.2). What is outside the sequence is never answered, so that no two
-    /// ends can go on telling each other.
+    /// Handles a frame of an unknown leg (RFC 5456, 6.9.2). Frames outside the sequence are never answered,
+    /// so that two endpoints cannot answer each other forever.
     fn handle_unmatched(&mut self, peer: SocketAddr, full: &Full) {
         self.counts.unmatched += 1;
         if full.is_sequenced() {
             let iseq = full.oseq.wrapping_add(1);
-            // A source of 0 is no frame: one that was sent before it knew ours is told by another.
+            // A frame with source 0 is invalid, so a frame sent before the peer knew the local number is
+            // answered with another number.
             let source = if full.dest == 0 { MAX_CALL_NUMBER } else { full.dest };
             self.send_once(
                 peer,
@@ -101,7 +103,7 @@
                 self.counts.duplicates += 1;
                 return self.send_unsequenced(leg, iax::ACK, full.timestamp);
             }
-            // The peer has begun anew and uses the number again.
+            // The peer has restarted and uses the number again.
             if state.phase != Phase::Ended {
                 self.end_with(leg, now, EndReason::Unknown);
             }
@@ -122,7 +124,7 @@
         self.events.push_back((leg, Event::Offered { peer, elements, retransmitted: full.retransmitted }));
     }
 
-    /// Rejects a NEW without a leg for it: the same bytes are told the same again, and nothing is kept.
+    /// Rejects a NEW without creating a leg. The same NEW gets the same answer again, and no state is kept.
     fn reject_without_leg(&mut self, peer: SocketAddr, full: &Full, version_known: bool) {
         let code = if version_known { cause::CONGESTION } else { cause::INVALID_NUMBER };
         let count = if version_known { &mut self.counts.turned_away } else { &mut self.counts.malformed };
@@ -140,7 +142,7 @@
         if state.remote_number == 0 && !full.is(kind::IAX, iax::INVAL) {
             state.remote_number = full.source;
             let key = (state.peer, full.source);
-            // An old leg that the peer had under this number is over for it.
+            // The peer has reused this number, so an older leg under it has ended for the peer.
             let old = self.by_remote_number.insert(key, leg);
             if let Some(old) = old.filter(|&old| old != leg && self.legs[old].phase != Phase::Ended) {
                 self.end_with(old, now, EndReason::Unknown);
@@ -148,7 +150,7 @@
         }
         let state = &mut self.legs[leg];
         while let Some(sent) = state.unacknowledged.front() {
-            // Acknowledged is what lies up to half the circle behind the one awaited next.
+            // Frames up to half the number range before the expected one are acknowledged.
             if !(1..=128).contains(&full.iseq.wrapping_sub(sent.oseq)) {
                 break;
             }
@@ -194,11 +196,11 @@
             _ => None,
         };
         if let Some(subclass) = reply.filter(|_| phase != Phase::Ended) {
-            // The reply acknowledges by its sequence numbers (RFC 5456, 6.7).
+            // The reply acknowledges the frame by its sequence numbers (RFC 5456, 6.7).
             return self.send(leg, now, kind::IAX, subclass, Bytes::new());
         }
         if phase == Phase::Ended {
-            // A peer that goes on, though nothing of ours is on its way to tell it, never heard of the end.
+            // A peer that continues, although no frame is in flight that would tell it, has missed the end.
             let ends = full.kind == kind::IAX && [iax::HANGUP, iax::REJECT].contains(&full.subclass);
             let peer_missed_end = self.legs[leg].unacknowledged.is_empty() && !ends;
             return self.send_unsequenced(
@@ -211,7 +213,7 @@
         let elements = |body| Elements::read(body).unwrap_or_default();
         let event = match (full.kind, full.subclass) {
             (kind::IAX, iax::ACCEPT) if phase == Phase::Calling => {
-                self.legs[leg].phase = Phase::Linked;
+                self.legs[leg].phase = Phase::Accepted;
                 Event::Accepted(elements(full.body))
             }
             (kind::IAX, iax::REJECT) if phase == Phase::Calling => {
@@ -222,7 +224,9 @@
                 let end = EndReason::Peer { rejected: false, elements: elements(full.body) };
                 return self.end_with(leg, now, end);
             }
-            (kind::CONTROL, control::HANGUP | control::BUSY | control::CONGESTION) if phase != Phase::Up => {
+            (kind::CONTROL, control::HANGUP | control::BUSY | control::CONGESTION)
+                if phase != Phase::Established =>
+            {
                 let code = match full.subclass {
                     control::BUSY => cause::USER_BUSY,
                     control::CONGESTION => cause::CONGESTION,
@@ -232,17 +236,17 @@
                 self.end(now, leg, &Elements::new());
                 return self.events.push_back((leg, Event::Ended(end)));
             }
-            (kind::CONTROL, control::RINGING) if phase == Phase::Linked => Event::Ringing,
-            (kind::CONTROL, control::PROCEEDING | control::PROGRESS) if phase == Phase::Linked => {
+            (kind::CONTROL, control::RINGING) if phase == Phase::Accepted => Event::Ringing,
+            (kind::CONTROL, control::PROCEEDING | control::PROGRESS) if phase == Phase::Accepted => {
                 Event::Proceeding
             }
-            (kind::CONTROL, control::ANSWER) if matches!(phase, Phase::Calling | Phase::Linked) => {
+            (kind::CONTROL, control::ANSWER) if matches!(phase, Phase::Calling | Phase::Accepted) => {
                 self.establish(leg, now);
                 Event::Answered(elements(full.body))
             }
             (kind::IAX, iax::PONG | iax::LAGRP | iax::UNSUPPORT) => return,
             (kind::IAX, subclass) => {
-                // RFC 5456, 6.9.4: what is not known is told so.
+                // RFC 5456, 6.9.4: an unknown subclass is answered by UNSUPPORT.
                 let body = Elements::new().with(element::UNKNOWN, [subclass as u8]);
                 return self.send_elements(leg, now, kind::IAX, iax::UNSUPPORT, &body);
             }
--- a/iax2/src/endpoint/send.rs
+++ b/iax2/src/endpoint/send.rs
@@ -1,4 +1,4 @@
-//! Frames sent, and sent again.
+//! Sending and retransmission of frames.
 
 use std::net::SocketAddr;
 
@@ -10,23 +10,24 @@
 use crate::frame::{Full, iax, kind};
 
 impl Endpoint {
-    /// Sends a frame in sequence whose body is these elements.
+    /// Sends a sequenced frame with these elements as its body.
     pub(super) fn send_elements(&mut self, leg: Leg, now: f64, kind: u8, subclass: u32, elements: &Elements) {
         let mut body = BytesMut::new();
         elements.write(&mut body);
         self.send(leg, now, kind, subclass, body.freeze());
     }
 
-    /// Sends a frame in sequence, stamped with the time now.
+    /// Sends a sequenced frame with the current timestamp.
     pub(super) fn send(&mut self, leg: Leg, now: f64, kind: u8, subclass: u32, body: Bytes) {
         let state = &mut self.legs[leg];
-        // Times grow from frame to frame (RFC 5456, 8.1.1), however quickly these follow.
+        // Timestamps must increase from frame to frame (RFC 5456, 8.1.1), however short the time between
+        // them.
         let timestamp = ((now - state.started_at).max(0.0) as u32).max(state.last_timestamp.wrapping_add(1));
         state.last_timestamp = timestamp;
         self.send_at(leg, now, timestamp, kind, subclass, body);
     }
 
-    /// Sends a frame in sequence, and keeps it until it is acknowledged.
+    /// Sends a sequenced frame, and keeps it until it is acknowledged.
     pub(super) fn send_at(
         &mut self,
         leg: Leg,
@@ -62,7 +63,7 @@
         self.schedule_wake(leg);
     }
 
-    /// ACK and the like: outside the sequence, never sent again.
+    /// Sends an unsequenced frame such as ACK, which is never retransmitted.
     pub(super) fn send_unsequenced(&mut self, leg: Leg, subclass: u32, timestamp: u32) {
         let s = &self.legs[leg];
         self.send_once(
@@ -77,7 +78,7 @@
         );
     }
 
-    /// Sends an IAX frame of these fields and keeps nothing of it.
+    /// Sends an IAX frame with these header fields, without retransmission.
     #[allow(clippy::too_many_arguments)] // the fields of the header, in its order
     pub(super) fn send_once(
         &mut self,
@@ -104,14 +105,15 @@
         self.datagrams.push_back(Datagram { peer, bytes: full.write().freeze() });
     }
 
-    /// Sends an unacknowledged frame again, its next wait twice as long.
+    /// Retransmits an unacknowledged frame and doubles its next wait.
     pub(super) fn resend(&mut self, leg: Leg, now: f64, oseq: u8) {
         let state = &mut self.legs[leg];
         let Some(sent) = state.unacknowledged.iter_mut().find(|sent| sent.oseq == oseq) else { return };
         sent.resends += 1;
         sent.wait *= 2.0;
         sent.due = now + sent.wait;
-        // What the peer has sent meanwhile is acknowledged with it; its number may be known by now.
+        // The copy acknowledges what the peer has sent meanwhile, and carries the peer's number if it is
+        // known by now.
         sent.bytes[9] = state.iseq;
         let is_new = sent.bytes[10] == kind::IAX && u32::from(sent.bytes[11]) == iax::NEW;
         let dest = if is_new { [0, 0] } else { state.remote_number.to_be_bytes() };
--- a/iax2/src/endpoint/timers.rs
+++ b/iax2/src/endpoint/timers.rs
@@ -1,4 +1,4 @@
-//! What is done when its time has come: resends, pings, the end of a leg's rest.
+//! Timers: retransmissions, pings, the removal of ended legs.
 
 use std::cmp::Reverse;
 
@@ -9,7 +9,7 @@
 use crate::frame::{iax, kind};
 
 impl Endpoint {
-    /// Sends again what is due, and lets go of what has rested.
+    /// Runs everything that is due: retransmissions, pings, the removal of ended legs and expired probes.
     pub fn turn(&mut self, now: f64) {
         while let Some(Reverse((at, leg))) = self.wake_queue.peek().copied() {
             if at.0 > now {
--- a/iax2/src/endpoint/types.rs
+++ b/iax2/src/endpoint/types.rs
@@ -1,4 +1,4 @@
-//! What an endpoint is set up with, and what it hands out.
+//! The configuration and the output types of an endpoint.
 
 use std::net::SocketAddr;
 
@@ -6,16 +6,17 @@
 
 use crate::element::Elements;
 
-/// Sizes and waits of an endpoint; times in milliseconds.
+/// The limits and intervals of an endpoint; times in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Legs at once, those at rest with them; past that a NEW is turned away with no leg made for it.
+    /// The maximum number of legs, including ended ones that are still kept. Beyond it, a NEW is rejected
+    /// without a leg.
     pub max_legs: usize,
-    /// The first wait for an acknowledgement; each further one is twice as long.
+    /// The first wait for an acknowledgement; each further wait is twice as long.
     pub resend_delay: f64,
-    /// How often a frame is sent again before its leg is given up.
+    /// How often a frame is retransmitted before its leg is given up.
     pub max_resends: u32,
-    /// A leg that stands is asked for a sign of life this often.
+    /// The interval of pings on an established leg.
     pub ping_interval: f64,
 }
 
@@ -26,39 +27,39 @@
 }
 
 impl Limits {
-    /// From the first sending of a frame until no copy of it is sent any more.
+    /// The time from the first transmission of a frame until its leg is given up.
     pub(super) fn total_resend_time(&self) -> f64 {
         self.resend_delay * f64::from((1u32 << (self.max_resends + 1).min(31)) - 1)
     }
 }
 
-/// Bytes for a peer.
+/// A datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
     pub peer: SocketAddr,
     pub bytes: Bytes,
 }
 
-/// What a leg carries beside its signalling.
+/// Media of a leg.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Media {
-    /// Milliseconds on the sending peer's clock of the call.
+    /// The timestamp on the sending peer's clock of the call, in milliseconds.
     pub timestamp: u32,
-    /// Frame type and subclass of a full frame, passed on in order; `None` for a mini frame.
+    /// Type and subclass of a full frame, which is forwarded in order; `None` for a mini frame.
     pub full: Option<(u8, u32)>,
     pub body: Bytes,
 }
 
-/// How a leg came to its end.
+/// The reason for a leg's end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndReason {
     /// The peer sent HANGUP or REJECT.
     Peer { rejected: bool, elements: Elements },
-    /// The peer knows nothing of the leg (INVAL), or has begun anew under its number.
+    /// The peer does not know the leg (INVAL), or has restarted and reused its number.
     Unknown,
-    /// No acknowledgement came, however often it was asked for; `heard` when the peer ever said anything.
+    /// No acknowledgement arrived despite retransmissions; `heard` if the peer had sent anything before.
     Silent { heard: bool },
-    /// Nobody listens at the peer's address.
+    /// Nothing listens at the peer's address.
     Refused,
 }
 
@@ -70,11 +71,11 @@
     pub(super) timestamp: u32,
 }
 
-/// What happened to a leg.
+/// An event of a leg.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A peer's NEW: answer it with [`Endpoint::accept`](super::Endpoint::accept) or
-    /// [`Endpoint::end`](super::Endpoint::end). `again` when an earlier copy of it was lost.
+    /// [`Endpoint::end`](super::Endpoint::end). `retransmitted` if an earlier copy of it was lost.
     Offered {
         peer: SocketAddr,
         elements: Elements,
@@ -86,22 +87,24 @@
     Answered(Elements),
     Media(Media),
     Ended(EndReason),
-    /// A peer's probe; comes with a leg of no further use.
+    /// A peer's probe; its leg is unused.
     Poked(Poke),
-    /// A PONG to [`Endpoint::poke`](super::Endpoint::poke); comes with a leg of no further use.
+    /// A PONG to [`Endpoint::poke`](super::Endpoint::poke); its leg is unused.
     Pong {
         peer: SocketAddr,
         elements: Elements,
     },
 }
 
-/// Datagrams that were no good, and what was done again.
+/// Counts of invalid datagrams and retransmissions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub malformed: u64,
+    /// Frames that belong to no leg.
     pub unmatched: u64,
     pub duplicates: u64,
     pub out_of_order: u64,
     pub resent: u64,
+    /// NEWs rejected for lack of legs.
     pub turned_away: u64,
 }
--- a/iax2/src/frame.rs
+++ b/iax2/src/frame.rs
@@ -1,16 +1,16 @@
-//! Frames (RFC 5456, 8.1): full, mini and meta, as they stand in a datagram.
+//! Frames (RFC 5456, 8.1): full, mini and meta frames of a datagram.
 //!
-//! [`read`] looks at a datagram and borrows from it; nothing it says is trusted beyond its length.
-//! [`Full::write`], [`Mini::write`] and [`write_trunk`] are the way back.
+//! [`read`] decodes a datagram and borrows from it; every length in it is checked against the datagram.
+//! [`Full::write`], [`Mini::write`] and [`write_trunk`] encode frames.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use thiserror::Error;
 
-/// Call numbers have 15 bits; 0 stands for none yet.
+/// Call numbers have 15 bits; 0 means that none is known yet.
 pub const MAX_CALL_NUMBER: u16 = 0x7fff;
-/// Bytes before the body of a full frame.
+/// The length of a full frame's header, in bytes.
 pub const FULL_HEADER_BYTES: usize = 12;
-/// Bytes before the body of a mini frame.
+/// The length of a mini frame's header, in bytes.
 pub const MINI_HEADER_BYTES: usize = 4;
 
 /// Frame types (RFC 5456, 8.2).
@@ -57,19 +57,25 @@
     pub const UNSUPPORT: u32 = 0x21;
 }
 
-/// What is wrong with a datagram.
+/// An error in a datagram.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
+    /// Shorter than any frame.
     #[error("datagram: {0} bytes, too few for any frame")]
     Short(usize),
+    /// Shorter than the header of a full frame.
     #[error("full frame: {0} bytes, its header has 12")]
     ShortFull(usize),
+    /// The source call number is 0.
     #[error("full frame: field source call number is 0")]
     NoSource,
+    /// The encoded subclass exceeds 32 bits.
     #[error("full frame: field subclass is no power of two that fits ({0})")]
     Subclass(u8),
+    /// An unknown meta command.
     #[error("meta frame: command {0} is not known")]
     Command(u8),
+    /// An entry of a trunk frame is longer than the rest of the datagram.
     #[error("meta frame: entry of {wanted} bytes, {there} there")]
     ShortEntry { wanted: usize, there: usize },
 }
@@ -77,20 +83,26 @@
 /// A full frame (RFC 5456, 8.1.1).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Full {
+    /// The sender's call number.
     pub source: u16,
+    /// The receiver's call number; 0 if unknown.
     pub dest: u16,
-    /// Set on everything that is sent again.
+    /// Set on every retransmission (the R bit).
     pub retransmitted: bool,
     /// Milliseconds since the sender's first frame of the call.
     pub timestamp: u32,
+    /// The frame's number in its sender's sequence.
     pub oseq: u8,
+    /// The next number expected from the other side.
     pub iseq: u8,
+    /// The frame type, as in [`kind`].
     pub kind: u8,
     pub subclass: u32,
+    /// Information elements, or media.
     pub body: Bytes,
 }
 
-/// A mini frame (RFC 5456, 8.1.2): media, with the low 16 bits of its time.
+/// A mini frame (RFC 5456, 8.1.2): media with the low 16 bits of its timestamp.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mini {
     pub source: u16,
@@ -98,7 +110,7 @@
     pub body: Bytes,
 }
 
-/// A datagram taken apart.
+/// A decoded datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
     Full(Full),
@@ -110,16 +122,19 @@
 }
 
 impl Full {
+    /// Whether the frame has this type and subclass.
     pub fn is(&self, kind: u8, subclass: u32) -> bool {
         self.kind == kind && self.subclass == subclass
     }
 
-    /// Whether the frame takes a place in its sender's sequence (RFC 5456, 7): all but these few do.
+    /// Whether the frame has a number in its sender's sequence (RFC 5456, 7), as all frames but five types
+    /// do.
     pub fn is_sequenced(&self) -> bool {
         let unsequenced = [iax::ACK, iax::INVAL, iax::VNAK, iax::TXCNT, iax::TXACC];
         self.kind != kind::IAX || !unsequenced.contains(&self.subclass)
     }
 
+    /// Encodes the frame.
     pub fn write(&self) -> BytesMut {
         let mut out = BytesMut::with_capacity(FULL_HEADER_BYTES + self.body.len());
         out.put_u16(0x8000 | self.source);
@@ -138,6 +153,7 @@
 }
 
 impl Mini {
+    /// Encodes the frame.
     pub fn write(&self) -> BytesMut {
         let mut out = BytesMut::with_capacity(MINI_HEADER_BYTES + self.body.len());
         out.put_u16(self.source);
@@ -147,7 +163,7 @@
     }
 }
 
-/// A trunk frame with a time for each entry (RFC 5456, 8.1.3.2, command data 1).
+/// Encodes a trunk frame with a timestamp for each entry (RFC 5456, 8.1.3.2, command data 1).
 pub fn write_trunk(timestamp: u32, entries: &[Mini]) -> BytesMut {
     let mut out = BytesMut::new();
     out.put_u16(0);
@@ -163,7 +179,7 @@
     out
 }
 
-/// Takes a datagram apart.
+/// Decodes a datagram.
 pub fn read(datagram: &Bytes) -> Result<Frame, DecodeError> {
     let (Some(first), Some(second)) = (u16_at(datagram, 0), u16_at(datagram, 2)) else {
         return Err(DecodeError::Short(datagram.len()));
@@ -201,7 +217,7 @@
     let coded = datagram[11];
     let subclass = match coded {
         0..=0x7f => u32::from(coded),
-        // 0xff stands for -1 there, which no frame that is read here uses.
+        // 0xff means -1 in the RFC, which no frame read here uses.
         _ => 1u32.checked_shl(u32::from(coded & 0x7f)).ok_or(DecodeError::Subclass(coded))?,
     };
     Ok(Frame::Full(Full {
@@ -225,7 +241,7 @@
         let header = if with_times { 6 } else { 4 };
         let short = |wanted| DecodeError::ShortEntry { wanted, there: rest.len() };
         let (a, b) = u16_at(&rest, 0).zip(u16_at(&rest, 2)).ok_or(short(header))?;
-        // With times the length comes first, without them the call number.
+        // With timestamps the length comes first, without them the call number.
         let (length, source) = if with_times { (a, b) } else { (b, a) };
         let timestamp = if with_times { u16_at(&rest, 4).ok_or(short(header))? } else { trunk_timestamp };
         let wanted = header + usize::from(length);
--- a/iax2/src/lib.rs
+++ b/iax2/src/lib.rs
@@ -1,8 +1,8 @@
-//! IAX2, RFC 5456, without I/O.
+//! IAX2 (RFC 5456) without I/O.
 //!
-//! [`frame`] reads and writes datagrams, [`element`] the information elements in them. [`Endpoint`] holds
-//! all call legs of one socket: feed it datagrams and the time, drain datagrams and happenings from it, and
-//! wake it when it asks. Times are milliseconds on the caller's clock, which only goes forward.
+//! [`frame`] reads and writes datagrams, [`element`] the information elements in them. [`Endpoint`] holds all
+//! call legs of one socket: give it datagrams and the time, drain datagrams and events from it, and run its
+//! turn when it is due. Times are milliseconds on the program's monotonic clock.
 
 #![forbid(unsafe_code)]
 
--- a/iax2/tests/legs.rs
+++ b/iax2/tests/legs.rs
@@ -1,4 +1,4 @@
-//! Two endpoints over a link that loses, doubles and reorders by seed; and the troubles of legs, one by one.
+//! Tests of call legs between two endpoints, over a link with seeded loss, duplication and reordering.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Two endpoints, the datagrams on their way, and all that events at each.
+/// Two endpoints, the datagrams in transit, and all events of each endpoint.
 struct Link {
     ends: [Endpoint; 2],
     now: f64,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Runs until nothing more is due before `until`.
+    /// Runs both endpoints until nothing is due before `end`.
     fn run_until(&mut self, end: f64) {
         loop {
             self.collect();
@@ -169,7 +169,7 @@
     assert_eq!(link.count(0, |h| matches!(h, Event::Answered(_))), 0);
 }
 
-/// A sound link with a call on it that was offered and accepted.
+/// A lossless link with a call that was offered and accepted.
 fn accepted_call() -> (Link, Leg, Leg) {
     let mut link = Link::new(1, 0.0);
     let leg = link.call();
@@ -194,7 +194,7 @@
 fn a_peer_that_restarted_under_the_same_number_is_a_new_call() {
     let (mut link, ..) = accepted_call();
     link.run_until(100.0);
-    // The same seed: the same call numbers, with another called number.
+    // The same seed gives the same call numbers; the called number differs.
     link.ends[0] = Endpoint::new(Limits::default(), 1);
     let elements = Elements::new().with(element::CALLED_NUMBER, "200");
     link.ends[0].call(link.now, address(2), &elements);
@@ -272,7 +272,7 @@
     for i in 0..20_000 {
         let mut bytes = vec![0u8; rng.random_range(0..40)];
         rng.fill(&mut bytes[..]);
-        // Half of them look like full frames of the protocol, to come further.
+        // Half of them get the header of a valid full frame, so that more of the code is reached.
         if bytes.len() >= 12 && rng.random() {
             bytes[0] |= 0x80;
             (bytes[2], bytes[3]) = (0, rng.random_range(0..4));
--- a/iax2/tests/wire.rs
+++ b/iax2/tests/wire.rs
@@ -1,4 +1,5 @@
-//! Frames and elements: vectors worked by hand from the RFC's figures, round trips, arbitrary bytes.
+//! Tests of frames and elements: encodings worked out by hand from the RFC's figures, round trips, arbitrary
+//! bytes.
 
 use bytes::{Bytes, BytesMut};
 use iax2::element::{self, Elements};
@@ -62,7 +63,7 @@
         match frame::read(&bytes) {
             Ok(Frame::Full(full)) => {
                 let rewritten = full.write();
-                // 0x80 to 0x86 code what fits without the bit: only these come back in another form.
+                // 0x80 to 0x86 encode values that fit without the bit; only these are written differently.
                 if !(0x80..=0x86).contains(&bytes[11]) {
                     prop_assert_eq!(&rewritten[..], &bytes[..]);
                 }
--- a/proxy/src/decisions.rs
+++ b/proxy/src/decisions.rs
@@ -18,7 +18,7 @@
     fn set_suspicion(&mut self, server: Server, suspicion: Option<Suspicion>);
     /// Sets how many set-ups the fleet's limit allows at a server; returns how many conversations were held
     /// back by the previous limit alone.
-    fn set_fleet_limit(&mut self, _server: Server, _shots: Option<u32>) -> u32 {
+    fn set_fleet_limit(&mut self, _server: Server, _attempts: Option<u32>) -> u32 {
         0
     }
     /// Sets whether a tenant's next conversation is within its share, where the fleet knows.
@@ -30,7 +30,8 @@
     fn place(&mut self, handle: Handle);
     /// Reports that a server answered the conversation's attempt.
     fn established(&mut self, handle: Handle);
-    /// Reports the end of an attempt; `finished` if the conversation ends with it.
+    /// Reports the end of an attempt or of an established conversation; `finished` if the caller needs no
+    /// further answer.
     fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host);
     /// Reports that the caller hung up before an answer.
     fn caller_gone(&mut self, handle: Handle);
