--- a/proxy/src/border/host.rs
+++ b/proxy/src/border/host.rs
@@ -159,13 +159,13 @@
         if let Some(limits) = &mut self.limits {
             limits.record_attempt(now, server);
         }
-        let serial = self.conversation(handle).expect("just there").serial;
+        let serial = self.conversation(handle).expect("checked above").serial;
         if let Some(journal) = &mut self.journal {
             journal.attempt_sent(now, serial, self.pool.name(server));
         }
         self.record_evidence(server, |evidence, generation| evidence.shot(now, generation));
         self.by_attempt.insert(leg, handle);
-        self.conversation(handle).expect("just there").attempt = Some(Attempt { leg, server });
+        self.conversation(handle).expect("checked above").attempt = Some(Attempt { leg, server });
         self.timers.start_timeout(now + time_out, leg);
     }
 
--- a/proxy/src/border/peers.rs
+++ b/proxy/src/border/peers.rs
@@ -178,7 +178,7 @@
     ) -> Result<Result<u64, CommandOutcome>, String> {
         let host = &mut self.host;
         if let Some(controls) = host.distribution.as_ref().and_then(Distribution::controls) {
-            return Err(format!("a subscriber decides nothing: ask one of {}", controls.join(", ")));
+            return Err(format!("a subscriber proposes no decisions: ask one of {}", controls.join(", ")));
         }
         let (Some(decided), Some(node)) = (&mut host.decided, &host.gossip) else {
             return Err("this proxy has no [council]".to_owned());
--- a/proxy/src/decided/commands.rs
+++ b/proxy/src/decided/commands.rs
@@ -50,11 +50,11 @@
 
 fn refusal_text(refusal: Refusal) -> String {
     match refusal {
-        Refusal::NotOneSeat => "a council changes by one seat at a time, and keeps one at least",
-        Refusal::ChangeUnderWay => "the change before it is not decided yet, or not proved to all: ask again",
-        Refusal::NoMajority => "too few of that council would vote now: it could decide nothing",
-        Refusal::TooLong => "longer than any decision",
-        Refusal::TooMany => "too many wishes wait",
+        Refusal::NotOneSeat => "a council changes by one voter at a time, and keeps at least one",
+        Refusal::ChangeUnderWay => "the previous change is not decided or not yet proved to all: try again",
+        Refusal::NoMajority => "too few members of that council would vote now: it would have no majority",
+        Refusal::TooLong => "the command is longer than a decision may be",
+        Refusal::TooMany => "too many commands are pending",
     }
     .to_owned()
 }
@@ -126,8 +126,11 @@
             OperatorCommand::Add { proxy, generation: life } => {
                 let id = id(proxy)?;
                 let life = life.or(standing.lives.get(&id).copied());
-                let unheard =
-                    || format!("{proxy}: its disk's number is not known here; `council state` there has it");
+                let unheard = || {
+                    format!(
+                        "{proxy}: the number of its disk is not known here; `council state` on that proxy shows it"
+                    )
+                };
                 Proposal::Council(standing.council.with(Seat { id, life: life.ok_or_else(unheard)? }))
             }
         })
@@ -225,11 +228,16 @@
             "a name or reason is empty or too long, or there are too many".to_owned()
         }
         Verdict::Drains(D::OverBudget { out, most, drained }) => {
-            format!("{out} of its pool would be out, {most} may be; drained: {}", drained.join(" "))
+            format!(
+                "{out} servers of its pool would be unavailable, {most} may be; drained: {}",
+                drained.join(" ")
+            )
         }
-        Verdict::Grants(G::Full { out, most }) => format!("{out} proxies are out, {most} may be"),
+        Verdict::Grants(G::Full { out, most }) => format!("{out} proxies are unavailable, {most} may be"),
         Verdict::Releases(R::Unready { ready, proxies }) => {
-            format!("{ready} of {proxies} proxies are ready, or one is unfit: `release state` has them")
+            format!(
+                "{ready} of {proxies} proxies are ready, or one cannot run it: `release state` shows them"
+            )
         }
         Verdict::Releases(R::Another { release }) => format!("release {release} is under way"),
     };
--- a/proxy/src/decided/status.rs
+++ b/proxy/src/decided/status.rs
@@ -175,16 +175,16 @@
         use grants::Away;
         let (how, since, waits_for) = match grants.away(id) {
             Some(Away::Granted { grant, .. }) => {
-                ("granted", Some(*grant), "its word that it goes".to_owned())
+                ("granted", Some(*grant), "its notice that it leaves".to_owned())
             }
-            Some(Away::Out { since }) => ("out", Some(*since), "its word that it is back".to_owned()),
+            Some(Away::Out { since }) => ("out", Some(*since), "its notice that it has returned".to_owned()),
             Some(Away::Back { since, seen_by, .. }) => {
                 let (seen, of) = (seen_by.len(), grants.witnesses());
-                ("back", Some(*since), format!("others to see it well: {seen} of {of} have"))
+                ("back", Some(*since), format!("other proxies to see it as healthy: {seen} of {of} have"))
             }
             None => {
                 let by: Vec<String> = grants.missed_by(id).map(name).collect();
-                ("missed", None, format!("word of it; missed by {}", by.join(" ")))
+                ("missed", None, format!("a message from it; suspected by {}", by.join(" ")))
             }
         };
         Self { proxy: name(id), state: how.to_owned(), since, waits_for }
--- a/proxy/src/limits.rs
+++ b/proxy/src/limits.rs
@@ -124,7 +124,7 @@
     pub fn record_attempt(&mut self, now: f64, server: Server) {
         if let Some(Some(name)) = self.names.get(server.0 as usize) {
             let recorded = self.fleet.take(now, name);
-            debug_assert!(recorded, "the module sends no more than it is allotted");
+            debug_assert!(recorded, "the module sends no more than the fleet's limit allows");
         }
     }
 
--- a/proxy/src/pool.rs
+++ b/proxy/src/pool.rs
@@ -25,13 +25,13 @@
     #[error("pool list: {0}")]
     Json(#[from] serde_json::Error),
     /// There are more servers than [`MAX_SERVERS`].
-    #[error("pool list: {0} servers, at most {MAX_SERVERS} are taken")]
+    #[error("pool list: {0} servers, at most {MAX_SERVERS} are accepted")]
     TooMany(usize),
     /// A field of an entry is invalid.
     #[error("pool list: servers[{index}].{field}: {why}")]
     Field { index: usize, field: &'static str, why: String },
     /// A change arrived before any complete list.
-    #[error("pool list: changes to version {0} came without a whole list")]
+    #[error("pool list: changes to version {0} came without a complete list before")]
     MissingFullList(u64),
     /// The version does not follow the last one.
     #[error("pool list: version {found} came after {last}")]
@@ -101,9 +101,9 @@
 impl PoolUpdates {
     /// Parses and checks a line.
     pub fn read(line: &str) -> Result<Self, PoolListError> {
-        let news: Self = serde_json::from_str(line)?;
-        news.check()?;
-        Ok(news)
+        let updates: Self = serde_json::from_str(line)?;
+        updates.check()?;
+        Ok(updates)
     }
 
     /// Checks the values.
@@ -117,10 +117,10 @@
                 return wrong("name", format!("{} bytes, 1 to 255 wanted", entry.name.len()));
             }
             if entry.started.is_some_and(|at| !at.is_finite() || at < 0.0) {
-                return wrong("started", "no time".to_owned());
+                return wrong("started", "must be a finite time of at least 0 ms".to_owned());
             }
             if entry.address.port() == 0 {
-                return wrong("address", "port 0".to_owned());
+                return wrong("address", "port 0, 1 to 65535 wanted".to_owned());
             }
         }
         Ok(())
@@ -234,20 +234,25 @@
 
     /// Applies an update and returns the changed entries. `now` is the proxy's clock and `unix` the wall
     /// clock, both in milliseconds.
-    pub fn apply(&mut self, news: &PoolUpdates, now: f64, unix: f64) -> Result<Vec<Listed>, PoolListError> {
-        if !news.whole {
-            let last = self.version.ok_or(PoolListError::MissingFullList(news.version))?;
-            if news.version != last + 1 {
-                return Err(PoolListError::VersionGap { last, found: news.version });
+    pub fn apply(
+        &mut self,
+        updates: &PoolUpdates,
+        now: f64,
+        unix: f64,
+    ) -> Result<Vec<Listed>, PoolListError> {
+        if !updates.whole {
+            let last = self.version.ok_or(PoolListError::MissingFullList(updates.version))?;
+            if updates.version != last + 1 {
+                return Err(PoolListError::VersionGap { last, found: updates.version });
             }
         }
-        self.version = Some(news.version);
-        if news.whole {
+        self.version = Some(updates.version);
+        if updates.whole {
             for known in self.known.values_mut() {
                 known.entry.state = Readiness::Gone;
             }
         }
-        Ok(news.servers.iter().map(|entry| self.apply_entry(entry, now, unix)).collect())
+        Ok(updates.servers.iter().map(|entry| self.apply_entry(entry, now, unix)).collect())
     }
 
     fn apply_entry(&mut self, entry: &PoolEntry, now: f64, unix: f64) -> Listed {
@@ -282,7 +287,7 @@
         let (head, body) = text.split_once('\n').ok_or(PoolListError::Cache("its first line is missing"))?;
         let sum = head
             .strip_prefix("frostthread-pool 1 ")
-            .ok_or(PoolListError::Cache("of another kind or version"))?;
+            .ok_or(PoolListError::Cache("unknown format or version"))?;
         if u32::from_str_radix(sum, 16) != Ok(crc32fast::hash(body.as_bytes())) {
             return Err(PoolListError::Cache("its checksum does not match"));
         }
--- a/proxy/src/status.rs
+++ b/proxy/src/status.rs
@@ -234,8 +234,8 @@
             let fleet::Standing { part, lent, borrowed, resting, free, waits_out } = limit.standing;
             let why = match (free, waits_out) {
                 (1.., _) => "",
-                (0, true) => "started lately: what an earlier process may have lent is waited out",
-                (0, false) if part + borrowed == 0 => "no part of it, and none borrowed",
+                (0, true) => "started recently: waiting for loans of an earlier process to expire",
+                (0, false) if part + borrowed == 0 => "no permits of its own, and none borrowed",
                 (0, false) if resting > 0 => "all used within the window",
                 (0, false) => "lent to others",
             };
--- a/proxy/tests/scenarios.rs
+++ b/proxy/tests/scenarios.rs
@@ -56,7 +56,7 @@
     let terms = LimitTerms { fleet, window: 1000.0, max_rate: None, share_window: Some(2000.0) };
     let shares = [("gold".to_owned(), 2.0), ("under one in a window".to_owned(), 0.1)];
     let mut limits = FleetLimits::new(&node, terms, shares, 1, 0.0);
-    assert_eq!(limits.within_share(1000.0, 0), None, "an earlier life may have used it");
+    assert_eq!(limits.within_share(1000.0, 0), None, "an earlier process may have used it");
     let within: Vec<_> = (0..6).map(|_| limits.within_share(4000.0, 0) == Some(true)).collect();
     assert_eq!(within, [true, true, true, true, false, false]);
     assert_eq!(limits.within_share(5999.0, 0), Some(false));
@@ -98,7 +98,7 @@
     let leg = scenario.call("1555", 3000);
     let (server, attempt) = scenario.latest_offer();
     scenario.end_at_server(server, attempt, cause::CONGESTION);
-    assert_eq!(scenario.offered.len(), 2, "sent again at once");
+    assert_eq!(scenario.offered.len(), 2, "a new attempt is sent at once");
     scenario.answer();
     assert!(scenario.answered(leg));
     assert_eq!(scenario.ended(leg), None);
@@ -115,7 +115,7 @@
     while scenario.offered.len() < 2 && scenario.now < 3000.0 {
         scenario.run_for(1.0);
     }
-    assert_eq!(scenario.offered.len(), 2, "tried elsewhere");
+    assert_eq!(scenario.offered.len(), 2, "a second attempt is sent");
     assert_eq!(scenario.proxy.status().counters.timed_out, 1);
     scenario.answer();
     assert!(scenario.answered(leg));
@@ -128,7 +128,7 @@
     let leg = scenario.call("1555", 3000);
     let (server, attempt) = scenario.latest_offer();
     scenario.run_for(1600.0);
-    assert!(scenario.offered.len() >= 2, "the first attempt was given up");
+    assert!(scenario.offered.len() >= 2, "the first attempt timed out");
     scenario.servers[server].accept(scenario.now, attempt, &Elements::new());
     scenario.servers[server].answer(scenario.now, attempt, &Elements::new());
     scenario.run_for(20.0);
@@ -137,7 +137,7 @@
         .server_events
         .iter()
         .filter(|(s, l, h)| *s == server && *l == attempt && matches!(h, Event::Ended(_)));
-    assert_eq!(ends.count(), 1, "the late one is told that it is over");
+    assert_eq!(ends.count(), 1, "the late server is told once that the attempt is over");
 }
 
 #[test]
@@ -161,7 +161,7 @@
     let second = scenario.call("1555", 3000);
     let over =
         |(s, l, h): &(usize, iax2::Leg, Event)| *s == server && *l == attempt && matches!(h, Event::Ended(_));
-    assert!(scenario.server_events.iter().any(over), "the first attempt is called off");
+    assert!(scenario.server_events.iter().any(over), "the first attempt is hung up");
     assert_eq!(scenario.proxy.conversations(), 1);
     scenario.answer();
     assert!(scenario.answered(second));
@@ -190,7 +190,11 @@
     let text = Media { timestamp: 9, full: Some((kind::TEXT, 0)), body: Bytes::new() };
     scenario.caller.media(scenario.now, leg, &text);
     scenario.run_for(20.0);
-    assert_eq!(scenario.ended(leg), Some((Some(cause::TEMPORARY_FAILURE), None)), "told that it was cut");
+    assert_eq!(
+        scenario.ended(leg),
+        Some((Some(cause::TEMPORARY_FAILURE), None)),
+        "the caller is told that the call was cut"
+    );
     assert_eq!(scenario.proxy.status().counters.cut, 1);
 }
 
@@ -278,7 +282,7 @@
 }
 
 #[rstest]
-#[case::changes_before_a_full_list(&[(2, false)], "without a whole list")]
+#[case::changes_before_a_full_list(&[(2, false)], "version 2 came without a complete list")]
 #[case::a_skipped_version(&[(1, true), (3, false)], "version 3 came after 1")]
 fn updates_out_of_sequence_are_rejected(#[case] all: &[(u64, bool)], #[case] wanted: &str) {
     let mut list = PoolList::default();
@@ -400,7 +404,7 @@
     let terms = Terms { nacks_name_wait: other, ..now };
     let (attempts, watch) = run_watched(Some(ProposedTerms { terms, share }));
     let (unwatched, none) = run_watched(None);
-    assert_eq!(attempts.0, unwatched.0, "the same is done, watched or not");
+    assert_eq!(attempts.0, unwatched.0, "the same attempts are sent with and without proposed terms");
     assert!(none.is_none());
     let watch = watch.expect("watched");
     assert!(differing.contains(&watch.differing), "{watch:?}");
