--- a/proxy/src/limits.rs
+++ b/proxy/src/limits.rs
@@ -1,5 +1,6 @@
-//! The tie between the fleet's limits, the list of central servers and the gossip that carries what members
-//! say. [`FleetLimits`] is told rates; [`FleetLimits::exchange`] moves words both ways.
+//! Connects the fleet's limits with the list of central servers and with gossip, which carries the members'
+//! messages. [`FleetLimits`] receives reported rates; [`FleetLimits::exchange`] moves messages in both
+//! directions.
 
 use fleet::{Counts, Fleet, FleetTerms, LimitState};
 use frostthread::host::{Server, State};
@@ -8,33 +9,34 @@
 
 use crate::pool::PoolList;
 
-/// What is agreed for limits on central servers.
+/// The configuration of limits on central servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitTerms {
+    /// The configuration of the protocol between members.
     pub fleet: FleetTerms,
-    /// Whole set-ups are counted in windows of this length, in milliseconds.
+    /// The length of the window in which set-ups are counted, in milliseconds.
     pub window: f64,
-    /// Set-ups a second that any central server gets at the most, whatever it tells.
+    /// The maximum of set-ups per second at any central server, whatever rate it reports.
     pub max_rate: Option<f64>,
-    /// Tenants' shares are counted over the whole fleet in windows of this length, in milliseconds; guessed
-    /// by each proxy where there is none.
+    /// The length of the window in which tenants' shares are counted over the whole fleet, in milliseconds.
+    /// If `None`, each proxy estimates shares by itself.
     pub share_window: Option<f64>,
 }
 
-/// The limits on central servers that hold for the whole fleet.
+/// Limits on central servers that apply to the whole fleet.
 pub struct FleetLimits {
     fleet: Fleet,
     terms: LimitTerms,
-    /// Names by server, as members speak of them: one life of it.
+    /// Names by server, as used between members: each names one generation of the server.
     names: Vec<Option<String>>,
-    told: Vec<Option<f64>>,
-    /// Names of tenants' shares, by tenant.
-    shares: Vec<String>,
+    reported_rates: Vec<Option<f64>>,
+    /// Names of the limits for tenants' shares, by tenant.
+    tenant_limits: Vec<String>,
 }
 
 impl FleetLimits {
-    /// For the member that gossips as `node`; `tenants` are their names and what is in their shares, in
-    /// conversations a second over all proxies.
+    /// Creates the limits for the member that gossips as `node`. `tenants` are the tenants' names and shares,
+    /// in conversations per second over all proxies.
     pub fn new(
         node: &Node,
         terms: LimitTerms,
@@ -43,24 +45,25 @@
         now: f64,
     ) -> Self {
         let mut fleet = Fleet::new(node.id(), node.roster_ids(), terms.fleet, seed, now);
-        let mut shares = Vec::new();
+        let mut tenant_limits = Vec::new();
         for (name, quota) in tenants.into_iter().take_while(|_| terms.share_window.is_some()) {
-            // No server's name ends so.
+            // No server's name ends like this.
             let name = format!("{name} (tenant)");
             let window = terms.share_window.unwrap_or_default();
-            // Under one whole conversation in a window nobody could have any: that is guessed.
+            // With less than one whole conversation per window nobody could get any; such shares are
+            // estimated by each proxy.
             if quota * window >= 1000.0 {
                 fleet.set_limit(&name, quota, window);
             }
-            shares.push(name);
+            tenant_limits.push(name);
         }
-        Self { fleet, terms, names: Vec::new(), told: Vec::new(), shares }
+        Self { fleet, terms, names: Vec::new(), reported_rates: Vec::new(), tenant_limits }
     }
 
-    /// A conversation of a tenant has come: whether it is within the tenant's share; none where that is not
-    /// known, as for a while after a start.
+    /// Whether the next conversation of a tenant is within the tenant's share; `None` while that is unknown,
+    /// as for a while after a start.
     pub fn within_share(&mut self, now: f64, tenant: usize) -> Option<bool> {
-        let name = self.shares.get(tenant)?;
+        let name = self.tenant_limits.get(tenant)?;
         let free = self.fleet.free_permits(now, name).filter(|_| self.fleet.is_recovered(now, name))?;
         if free == 0 {
             self.fleet.record_shortage(now, name, 1);
@@ -68,13 +71,14 @@
         Some(free > 0 && self.fleet.try_acquire(now, name))
     }
 
-    /// The list has changed: limits on what runs no more are withdrawn, a new life is another server.
+    /// Applies a change of the pool list: withdraws the limits of servers that no longer run. A new
+    /// generation counts as another server.
     pub fn update_server_list(&mut self, now: f64, pool: &PoolList) {
         for server in pool.servers() {
             let index = server.0 as usize;
             if self.names.len() <= index {
                 self.names.resize(index + 1, None);
-                self.told.resize(index + 1, None);
+                self.reported_rates.resize(index + 1, None);
             }
             let life = pool.generation(server).filter(|_| pool.state(server) == State::Running);
             let name = life.map(|life| format!("{}@{}", pool.name(server), life.started));
@@ -82,25 +86,25 @@
                 if let Some(former) = std::mem::replace(&mut self.names[index], name) {
                     self.fleet.remove_limit(now, &former);
                 }
-                self.told[index] = None;
-                self.set(server);
+                self.reported_rates[index] = None;
+                self.apply_limit(server);
             }
         }
     }
 
-    /// A central server has told how many set-ups a second it can take.
+    /// Sets the rate that a central server reported, in set-ups per second.
     pub fn set_reported_rate(&mut self, server: Server, rate: f64) {
-        if let Some(told) = self.told.get_mut(server.0 as usize) {
-            *told = Some(rate);
-            self.set(server);
+        if let Some(reported) = self.reported_rates.get_mut(server.0 as usize) {
+            *reported = Some(rate);
+            self.apply_limit(server);
         }
     }
 
-    fn set(&mut self, server: Server) {
+    fn apply_limit(&mut self, server: Server) {
         let index = server.0 as usize;
-        let rate = match (self.told[index], self.terms.max_rate) {
-            (Some(told), Some(most)) => told.min(most),
-            (told, most) => match told.or(most) {
+        let rate = match (self.reported_rates[index], self.terms.max_rate) {
+            (Some(reported), Some(max)) => reported.min(max),
+            (reported, max) => match reported.or(max) {
                 Some(rate) => rate,
                 None => return,
             },
@@ -110,46 +114,50 @@
         }
     }
 
-    /// How many set-ups may go there now; none told where there is no limit.
+    /// How many set-ups may be sent to the server now; `None` without a limit.
     pub fn free(&mut self, now: f64, server: Server) -> Option<u32> {
         let name = self.names.get(server.0 as usize)?.as_ref()?;
         self.fleet.free_permits(now, name).map(|free| free as u32)
     }
 
-    /// A set-up has been sent there.
+    /// Counts a set-up that was sent to the server.
     pub fn record_attempt(&mut self, now: f64, server: Server) {
         if let Some(Some(name)) = self.names.get(server.0 as usize) {
-            let taken = self.fleet.try_acquire(now, name);
-            debug_assert!(taken, "the module sends no more than it is allotted");
+            let recorded = self.fleet.try_acquire(now, name);
+            debug_assert!(recorded, "the module sends no more than the fleet's limit allows");
         }
     }
 
+    /// Reports that `count` set-ups were held back for lack of permits.
     pub fn record_shortage(&mut self, now: f64, server: Server, count: u32) {
         if let Some(Some(name)) = self.names.get(server.0 as usize) {
             self.fleet.record_shortage(now, name, count as usize);
         }
     }
 
-    /// Does what has fallen due, and moves words between the fleet and the gossip.
+    /// Runs everything that is due, and moves messages between the limits and gossip.
     pub fn exchange(&mut self, now: f64, node: &mut Node) {
         while let Some((from, bytes)) = node.next_payload(Subsystem::Limits) {
             self.fleet.receive(now, from, &bytes);
         }
         self.fleet.turn(now);
-        while let Some(out) = self.fleet.outgoing() {
-            // What the cap forbids is lost, as on the network: it lapses.
-            node.send_payload(now, out.to, Subsystem::Limits, out.bytes);
+        while let Some(message) = self.fleet.outgoing() {
+            // A message over the cap is dropped like one lost on the network; the loan then expires.
+            node.send_payload(now, message.to, Subsystem::Limits, message.bytes);
         }
     }
 
+    /// The time of the next [`FleetLimits::exchange`].
     pub fn due(&self, now: f64) -> f64 {
         self.fleet.due(now)
     }
 
+    /// Updates the members of the fleet.
     pub fn set_members(&mut self, node: &Node) {
         self.fleet.set_members(node.roster_ids());
     }
 
+    /// The state of all limits, and counts of messages.
     pub fn statuses(&mut self, now: f64) -> (Vec<LimitState>, Counts) {
         (self.fleet.limit_states(now), self.fleet.counts())
     }
--- a/proxy/src/watch.rs
+++ b/proxy/src/watch.rs
@@ -1,9 +1,10 @@
-//! Watching before a switch: the module decides under the terms in force, and each of its turns is decided
-//! once more, on a copy, under the terms to come. What differs is counted by kind and not carried out.
+//! Evaluation of proposed terms before they come into force. The module decides under the current terms, and
+//! a share of its turns is decided a second time, on a copy, under the proposed terms. Differences are
+//! counted by kind; nothing of the second decision is carried out.
 //!
-//! Wrap the module in [`Watched::new`]; without terms to come it only passes on. [`Watched::differences`] has
-//! the counts. A turn begins from what has really happened, so differences do not add up from turn to turn.
-//! Within one turn, a first difference can move later draws of chance.
+//! Wrap the module in [`Watched::new`]; without proposed terms it only forwards. [`Watched::differences`] has
+//! the counts. Each turn starts from what has really happened, so differences do not accumulate over turns.
+//! Within a turn, a first difference can shift later random draws.
 
 use std::collections::{HashMap, HashSet};
 
@@ -15,10 +16,10 @@
 use crate::decisions::Decisions;
 use crate::differences::Differences;
 
-/// Time-outs are the same within this, in milliseconds.
-const SAME_TIME_OUT: f64 = 1.0;
+/// Timeouts that differ by no more than this count as equal, in milliseconds.
+const TIMEOUT_TOLERANCE_MS: f64 = 1.0;
 
-/// What a turn requests of its host, kept by kind; each request is passed on to `to`, where there is one.
+/// The requests of a turn, by kind. Each request is forwarded to `to`, if there is a host.
 struct Requests<'a, H> {
     to: Option<&'a mut H>,
     shots: HashMap<Handle, (Server, f64)>,
@@ -82,7 +83,7 @@
 }
 
 impl Differences {
-    /// Counts what `other` asks for otherwise than `now`.
+    /// Counts the requests in `other` that differ from those in `now`.
     fn count<H, I>(&mut self, now: &Requests<H>, other: &Requests<I>) {
         let before = Self { compared: self.compared + 1, ..*self };
         *self = before;
@@ -90,7 +91,7 @@
             match other.shots.get(handle) {
                 None => self.held_back += 1,
                 Some((elsewhere, _)) if elsewhere != server => self.other_server += 1,
-                Some((_, wait)) if (wait - time_out).abs() > SAME_TIME_OUT => self.timeout += 1,
+                Some((_, wait)) if (wait - time_out).abs() > TIMEOUT_TOLERANCE_MS => self.timeout += 1,
                 _ => {}
             }
         }
@@ -101,8 +102,8 @@
                 Some(otherwise) => self.retry_after += u64::from(otherwise != advice),
             }
         }
-        let anew = other.given_up.keys().filter(|&handle| !now.given_up.contains_key(handle));
-        self.given_up += anew.count() as u64;
+        let newly_given_up = other.given_up.keys().filter(|&handle| !now.given_up.contains_key(handle));
+        self.given_up += newly_given_up.count() as u64;
         self.cancelled += now.cancelled.symmetric_difference(&other.cancelled).count() as u64;
         self.probes_dropped += now.probes.saturating_sub(other.probes);
         self.probes_added += other.probes.saturating_sub(now.probes);
@@ -110,32 +111,33 @@
     }
 }
 
-/// Terms that are watched.
+/// Terms to evaluate.
 #[derive(Clone, Debug)]
 pub struct ProposedTerms {
     pub terms: Terms,
-    /// The share of turns that are decided twice: what watching may cost at the most.
+    /// The share of turns that are decided twice; it limits the cost of the evaluation.
     pub share: f64,
 }
 
-/// A module, and the terms to come, if any are watched.
+/// A module, and the proposed terms, if any are evaluated.
 pub struct Watched {
     module: Proxy,
-    to_come: Option<ProposedTerms>,
-    /// Of the share, what has not yet come to a turn.
+    proposed: Option<ProposedTerms>,
+    /// The part of the share that has not yet been used by a turn.
     credit: f64,
     differences: Differences,
 }
 
 impl Watched {
-    pub fn new(module: Proxy, to_come: Option<ProposedTerms>) -> Self {
-        Self { module, to_come, credit: 0.0, differences: Differences::default() }
+    /// Wraps `module`; `proposed` are the terms to evaluate.
+    pub fn new(module: Proxy, proposed: Option<ProposedTerms>) -> Self {
+        Self { module, proposed, credit: 0.0, differences: Differences::default() }
     }
 
-    fn twice<H: Host>(&mut self, host: &mut H, decide: impl Fn(&mut Proxy, &mut Requests<H>)) {
+    fn decide_twice<H: Host>(&mut self, host: &mut H, decide: impl Fn(&mut Proxy, &mut Requests<H>)) {
         self.differences.turns += 1;
-        self.credit += self.to_come.as_ref().map_or(0.0, |to_come| to_come.share);
-        let Some(ProposedTerms { terms, .. }) = self.to_come.as_ref().filter(|_| self.credit >= 1.0) else {
+        self.credit += self.proposed.as_ref().map_or(0.0, |proposed| proposed.share);
+        let Some(ProposedTerms { terms, .. }) = self.proposed.as_ref().filter(|_| self.credit >= 1.0) else {
             return decide(&mut self.module, &mut Requests::of(Some(host)));
         };
         self.credit -= 1.0;
@@ -177,18 +179,18 @@
         handle.established(&mut self.module);
     }
     fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
-        self.twice(host, |module, host| handle.attempt_ended(module, ending, finished, host));
+        self.decide_twice(host, |module, host| handle.attempt_ended(module, ending, finished, host));
     }
     fn caller_gone(&mut self, handle: Handle) {
         handle.caller_gone(&mut self.module);
     }
     fn run_pending(&mut self, host: &mut impl Host) {
-        self.twice(host, |module, host| module.run_pending(host));
+        self.decide_twice(host, |module, host| module.run_pending(host));
     }
     fn view(&self, server: Server) -> Option<ServerView> {
         self.module.view(server)
     }
     fn differences(&self) -> Option<Differences> {
-        self.to_come.is_some().then_some(self.differences)
+        self.proposed.is_some().then_some(self.differences)
     }
 }
