--- a/daemon/src/distribution.rs
+++ b/daemon/src/distribution.rs
@@ -99,7 +99,7 @@
             let mut subscription = subscribe(subscriber, distribution, &plan.name, seed, now, unix)?;
             if let Some(bytes) = file.read() {
                 let restored = subscription.restore(&bytes);
-                let (scopes, unproved) = (restored.scopes, restored.unproved);
+                let (scopes, unproved) = (restored.scopes, restored.unverified);
                 tracing::info!(scopes, unproved, "distribution.restored");
             }
             proxy.enable_distribution(Distribution::Subscribes(Box::new(subscription)));
--- a/distribution/src/batch.rs
+++ b/distribution/src/batch.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Hashes of the longest path: a batch of 65,536 polls.
-pub const LONGEST_PATH: usize = 16;
+pub const MAX_PATH_LEN: usize = 16;
 
 /// The way from one nonce to the batch's.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -20,11 +20,11 @@
 impl BatchPath {
     /// Whether it is no longer than any.
     pub fn is_bounded(&self) -> bool {
-        self.siblings.len() <= LONGEST_PATH
+        self.siblings.len() <= MAX_PATH_LEN
     }
 
     /// Whether it leads from one to the other.
-    pub fn leads(&self, nonce: u64, to: &Nonce) -> bool {
+    pub fn verifies(&self, nonce: u64, to: &Nonce) -> bool {
         let (mut hash, mut place) = (leaf(nonce), self.place);
         for sibling in &self.siblings {
             hash = match sibling {
@@ -46,12 +46,13 @@
 
 impl Batch {
     /// Most nonces of a batch.
-    pub const MOST: usize = 1 << LONGEST_PATH;
+    pub const MAX_NONCES: usize = 1 << MAX_PATH_LEN;
 
-    /// The tree over some nonces, of which there must be one at least; those past [`Batch::MOST`] are left
+    /// The tree over some nonces, of which there must be one at least; those past [`Batch::MAX_NONCES`] are left
     /// out.
     pub fn new(nonces: &[u64]) -> Self {
-        let mut levels = vec![nonces.iter().take(Self::MOST).map(|&nonce| leaf(nonce)).collect::<Vec<_>>()];
+        let mut levels =
+            vec![nonces.iter().take(Self::MAX_NONCES).map(|&nonce| leaf(nonce)).collect::<Vec<_>>()];
         while levels.last().is_some_and(|level| level.len() > 1) {
             let level = levels.last().expect("just looked at");
             levels.push(level.chunks(2).map(|pair| branch(&pair[0], pair.get(1))).collect());
--- a/distribution/src/content.rs
+++ b/distribution/src/content.rs
@@ -9,7 +9,7 @@
 use crate::entry::{Entry, Key};
 
 /// The digest of a scope that holds nothing, also of one that never did.
-pub const EMPTY: Hash = [0; 32];
+pub const EMPTY_DIGEST: Hash = [0; 32];
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Stored {
@@ -66,10 +66,10 @@
         self.entries.is_empty()
     }
 
-    /// BLAKE3 over the entries in key order (key, version, value); [`EMPTY`] without any.
+    /// BLAKE3 over the entries in key order (key, version, value); [`EMPTY_DIGEST`] without any.
     pub fn digest(&self) -> Hash {
         if self.is_empty() {
-            return EMPTY;
+            return EMPTY_DIGEST;
         }
         let mut hasher = blake3::Hasher::new_derive_key("frostthread distribution 1 scope");
         for stored in self.entries.values() {
--- a/distribution/src/control.rs
+++ b/distribution/src/control.rs
@@ -13,17 +13,17 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::batch::Batch;
-use crate::budget::Budget;
 use crate::cursor::Cursor;
 use crate::entry::Change;
-use crate::faults::{Fault, planted};
-use crate::progress::{ChangeProgress, Progress};
+use crate::faults::{Fault, is_injected};
+use crate::progress::{ChangeProgress, ChangeTracker};
 use crate::replica::Replica;
 use crate::scope::Scope;
-use crate::sessions::{MOST_SESSION_SCOPES, Sent, Sessions, Subscribed};
+use crate::sessions::{MAX_SESSION_SCOPES, ScopeSubscription, Sent, Sessions};
 use crate::state::ScopedState;
-use crate::trust::MOST_LINKS;
-use crate::wire::{self, Changes, KeyChange, MOST_CHANGES_BYTES, Message, Poll, Transfer};
+use crate::token_bucket::TokenBucket;
+use crate::trust::MAX_COUNCIL_PROOFS;
+use crate::wire::{self, Changes, KeyChange, MAX_CHANGES_BYTES, Message, Poll, Transfer};
 use crate::{Outgoing, Version};
 
 /// What is not acknowledged is sent again so many times a heartbeat. At 30% loss each way all but one in a
@@ -74,7 +74,7 @@
     /// How often subscribers poll: milliseconds.
     pub heartbeat: f64,
     /// Subscribers at most.
-    pub most_subscribers: usize,
+    pub max_subscribers: usize,
     /// Bytes that all of them are sent in a second.
     pub bytes_per_second: f64,
     /// Bytes that one of them is sent in a second.
@@ -97,9 +97,9 @@
     /// Datagrams of no form, or of a version that is not known.
     pub malformed: u64,
     /// Messages that only control machines send.
-    pub stray: u64,
+    pub unexpected: u64,
     /// Polls left unread as their sender sends too many.
-    pub crowded: u64,
+    pub rate_limited: u64,
     /// Subscribers that were told to come later.
     pub deferred: u64,
     /// Subscribers that were forgotten as they polled no more.
@@ -114,7 +114,7 @@
 
 /// How a control machine stands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ControlStanding {
+pub struct ControlStatus {
     /// The sealed index that is served; 0 before the first.
     pub index: Version,
     /// Subscribers.
@@ -174,8 +174,8 @@
     snapshots: BTreeMap<Id, f64>,
     /// Who was told to come later in this heartbeat, and in the one before.
     deferred: (usize, usize),
-    progress: Progress,
-    bytes: Budget,
+    progress: ChangeTracker,
+    bytes: TokenBucket,
     /// Polls whose senders are to be told how far decisions are.
     polls: Vec<(Id, u64)>,
     gather_until: f64,
@@ -187,7 +187,7 @@
 }
 
 impl Control {
-    /// One that serves nothing yet: [`Control::restore`] and [`Control::sealed`] give it what to serve.
+    /// One that serves nothing yet: [`Control::restore`] and [`Control::update_certificate`] give it what to serve.
     pub fn new(terms: ControlTerms, seed: u64, now: f64) -> Self {
         let bytes = even(terms.bytes_per_second, now);
         Self {
@@ -199,7 +199,7 @@
             sessions: Sessions::default(),
             snapshots: BTreeMap::new(),
             deferred: (0, 0),
-            progress: Progress::default(),
+            progress: ChangeTracker::default(),
             bytes,
             polls: Vec::new(),
             gather_until: f64::INFINITY,
@@ -212,28 +212,28 @@
 
     /// Whether [`Control::restore`] is to be called: at the start, or as the state here is not the signed
     /// one.
-    pub fn wants_state(&self) -> bool {
-        self.replica.wants_state()
+    pub fn needs_state(&self) -> bool {
+        self.replica.needs_state()
     }
 
     /// Takes the state that all decisions up to an index came to. Decisions after it are given by
-    /// [`Control::decided`].
+    /// [`Control::add_decided_changes`].
     pub fn restore(&mut self, index: Version, state: ScopedState) {
         self.replica.restore(index, state);
     }
 
     /// The decisions up to an index are carried out, and changed this. To be called also where they changed
     /// nothing.
-    pub fn decided(&mut self, index: Version, changes: impl IntoIterator<Item = Change>) {
-        self.replica.decided(index, changes);
+    pub fn add_decided_changes(&mut self, index: Version, changes: impl IntoIterator<Item = Change>) {
+        self.replica.add_decided_changes(index, changes);
     }
 
     /// The newest seal that is known, and the proofs of the councils since the founding, as far as they are
     /// kept, the oldest first. To be called also where they are the same again.
-    pub fn sealed(&mut self, seal: &Certificate, links: &[CouncilProof]) {
-        self.replica.sealed(seal);
+    pub fn update_certificate(&mut self, seal: &Certificate, links: &[CouncilProof]) {
+        self.replica.update_certificate(seal);
         if self.links.len() != links.len() || self.links.last() != links.last() {
-            self.links = links[links.len().saturating_sub(MOST_LINKS)..].to_vec();
+            self.links = links[links.len().saturating_sub(MAX_COUNCIL_PROOFS)..].to_vec();
         }
     }
 
@@ -241,34 +241,34 @@
         let Some(changes) = self.replica.advance() else { return };
         let mut changed: BTreeMap<Scope, Version> = BTreeMap::new();
         for change in changes {
-            self.progress.note(&change, now);
+            self.progress.record(&change, now);
             changed.insert(change.scope, change.version);
         }
         for (scope, version) in changed {
-            for id in self.sessions.lacking(scope, version) {
-                let pushed = self.sessions.get(id).map_or(f64::NEG_INFINITY, |session| session.pushed);
+            for id in self.sessions.missing(scope, version) {
+                let pushed = self.sessions.get(id).map_or(f64::NEG_INFINITY, |session| session.pushed_at);
                 self.sessions.serve_by(id, now.max(pushed + self.terms.heartbeat / PUSHES));
             }
         }
     }
 
     /// What the council is to be asked with, for the polls of many: [`agree::Agreement::request_freshness`].
-    pub fn ask(&mut self) -> Option<Nonce> {
+    pub fn next_freshness_request(&mut self) -> Option<Nonce> {
         self.wanted.pop_front()
     }
 
-    /// A voter's answer to what [`Control::ask`] gave.
-    pub fn fresh(&mut self, now: f64, proof: FreshnessProof) {
+    /// A voter's answer to what [`Control::next_freshness_request`] gave.
+    pub fn receive_freshness_proof(&mut self, now: f64, proof: FreshnessProof) {
         let found = self.asked.iter().position(|asked| asked.batch.nonce() == proof.nonce);
         let Some(asked) = found.and_then(|found| self.asked.remove(found)) else { return };
         for (place, &(id, nonce)) in asked.polls.iter().enumerate() {
             let path = asked.batch.path(place);
-            self.send(now, id, &[Message::Fresh { nonce, path, proof: proof.clone() }]);
+            self.send(now, id, &[Message::Freshness { nonce, path, proof: proof.clone() }]);
         }
     }
 
     /// One is no longer a member of the fleet.
-    pub fn forget(&mut self, id: Id) {
+    pub fn remove_subscriber(&mut self, id: Id) {
         self.close(id);
     }
 
@@ -276,7 +276,7 @@
     pub fn receive(&mut self, now: f64, from: Id, bytes: &[u8]) {
         self.counts.received += 1;
         self.counts.received_bytes += bytes.len() as u64;
-        let Ok(messages) = wire::read(bytes) else {
+        let Ok(messages) = wire::decode(bytes) else {
             self.counts.malformed += 1;
             return;
         };
@@ -284,7 +284,7 @@
             match message {
                 Message::Poll(poll) => self.polled(now, from, poll),
                 Message::Unsubscribe { scopes } => self.unsubscribed(from, &scopes),
-                _ => self.counts.stray += 1,
+                _ => self.counts.unexpected += 1,
             }
         }
     }
@@ -304,7 +304,7 @@
 
     fn polled(&mut self, now: f64, from: Id, poll: Poll) {
         let (known, full) =
-            (self.sessions.get(from).is_some(), self.sessions.len() >= self.terms.most_subscribers);
+            (self.sessions.get(from).is_some(), self.sessions.len() >= self.terms.max_subscribers);
         let index = self.replica.index();
         let alive = Message::Alive { nonce: poll.nonce, index };
         if !known && poll.scopes.is_empty() {
@@ -316,13 +316,13 @@
         }
         let bytes = even(self.terms.subscriber_bytes_per_second, now);
         let session = self.sessions.open(from, bytes, self.terms.heartbeat, now);
-        if !session.polls.take(now, 1.0) {
-            self.counts.crowded += 1;
+        if !session.poll_budget.try_spend(now, 1.0) {
+            self.counts.rate_limited += 1;
             return;
         }
-        (session.polled, session.council) = (now, poll.council);
+        (session.polled_at, session.council_since) = (now, poll.council_since);
         for (scope, position) in poll.scopes {
-            if !session.scopes.contains_key(&scope) && session.scopes.len() >= MOST_SESSION_SCOPES {
+            if !session.scopes.contains_key(&scope) && session.scopes.len() >= MAX_SESSION_SCOPES {
                 continue;
             }
             self.counts.ahead += u64::from(position.in_force > index);
@@ -332,9 +332,16 @@
             {
                 *at = now;
             }
-            let (sent, proved) = before.map_or((None, f64::NEG_INFINITY), |of| (of.sent, of.proved));
+            let (sent, proved) = before.map_or((None, f64::NEG_INFINITY), |of| (of.sent, of.proved_at));
             let acknowledged = position.in_force.min(index);
-            let of = Subscribed { position, acknowledged, polled: now, wants_proof: true, proved, sent };
+            let of = ScopeSubscription {
+                position,
+                acknowledged,
+                polled_at: now,
+                wants_proof: true,
+                proved_at: proved,
+                sent,
+            };
             session.scopes.insert(scope, of);
         }
         self.send(now, from, &[alive]);
@@ -343,7 +350,7 @@
     }
 
     fn gather(&mut self, now: f64, from: Id, nonce: u64) {
-        if self.polls.len() >= Batch::MOST {
+        if self.polls.len() >= Batch::MAX_NONCES {
             return;
         }
         self.polls.push((from, nonce));
@@ -358,7 +365,7 @@
         let rounds = (waiting / self.terms.snapshots_at_once.max(1) as f64).ceil();
         let heartbeats = 0.5 + self.chance.random::<f64>() * rounds;
         let after = heartbeats.min(LATEST_HEARTBEATS) * self.terms.heartbeat;
-        self.send(now, id, &[Message::Later { after_ms: after as u32 }]);
+        self.send(now, id, &[Message::RetryLater { after_ms: after as u32 }]);
     }
 
     /// Time has passed, or something was decided or sealed.
@@ -370,7 +377,7 @@
         if now >= self.gather_until {
             self.ask_council(now);
         }
-        while self.bytes.left(now) > 0.0
+        while self.bytes.available(now) > 0.0
             && let Some(id) = self.sessions.next(now)
         {
             self.serve(now, id);
@@ -408,13 +415,13 @@
     /// Sends a subscriber what it lacks, as far as its share of bytes goes.
     fn serve(&mut self, now: f64, id: Id) {
         let Some(session) = self.sessions.get_mut(id) else { return };
-        if session.bytes.left(now) <= 0.0 {
-            let at = session.bytes.when(1.0);
+        if session.byte_budget.available(now) <= 0.0 {
+            let at = session.byte_budget.available_at(1.0);
             return self.sessions.serve_by(id, at);
         }
-        let listens = now - session.polled <= SILENT_HEARTBEATS * self.terms.heartbeat;
+        let listens = now - session.polled_at <= SILENT_HEARTBEATS * self.terms.heartbeat;
         let scopes: Vec<Scope> = session.scopes.keys().copied().collect();
-        let council = session.council;
+        let council = session.council_since;
         let mut served = Served::default();
         self.link(council, &mut served);
         // It verifies seals of the newest council that it knows alone.
@@ -432,11 +439,11 @@
             self.snapshots.remove(&id);
         }
         if let Some((seal, _)) = self.replica.served().filter(|_| served.proves) {
-            served.messages.push(Message::Seal(Certificate::clone(seal)));
+            served.messages.push(Message::Certificate(Certificate::clone(seal)));
         }
         self.send(now, id, &served.messages);
         if let Some(session) = self.sessions.get_mut(id).filter(|_| served.repeats) {
-            session.pushed = now;
+            session.pushed_at = now;
         }
         if served.deferred {
             self.defer(now, id);
@@ -449,13 +456,13 @@
     /// Proves the councils after one, until a poll names a newer one.
     fn link(&self, council: Version, served: &mut Served) {
         let newer = self.links.iter().filter(|link| link.certificate.statement.version > council);
-        served.messages.extend(newer.take(LINKS_AT_ONCE).cloned().map(Message::Council));
+        served.messages.extend(newer.take(LINKS_AT_ONCE).cloned().map(Message::CouncilProof));
         served.repeats |= !served.messages.is_empty();
     }
 
     /// Whether one has begun to read a scope that it has not acknowledged as in force.
     fn reads(&self, id: Id) -> bool {
-        let reading = |of: &Subscribed| {
+        let reading = |of: &ScopeSubscription| {
             let base = of.position.transfer.as_ref().map(|transfer| transfer.base);
             of.position.in_force == 0 || base.is_some_and(|base| base != of.position.in_force)
         };
@@ -479,9 +486,9 @@
         }
         let same = of.sent.as_ref().filter(|sent| sent.index == index && sent.position == of.position);
         match same {
-            Some(sent) if now - sent.at < IN_FLIGHT * self.terms.heartbeat => Plan::InFlight,
+            Some(sent) if now - sent.sent_at < IN_FLIGHT * self.terms.heartbeat => Plan::InFlight,
             _ => match plan(of, index, state, scope) {
-                Plan::Refresh if self.is_busy() || now - of.proved < REFRESH * self.terms.heartbeat => {
+                Plan::Refresh if self.is_busy() || now - of.proved_at < REFRESH * self.terms.heartbeat => {
                     Plan::Nothing
                 }
                 plan => plan,
@@ -491,7 +498,7 @@
 
     /// Whether bytes run short: what keeps ages low waits then for what has changed.
     fn is_busy(&self) -> bool {
-        self.bytes.share() < BUSY
+        self.bytes.fraction_left() < BUSY
     }
 
     /// Puts together what a plan comes to.
@@ -512,15 +519,15 @@
             Plan::Transfer(transfer) | Plan::Snapshot(transfer) => Some(transfer),
         };
         of.wants_proof = false;
-        of.sent = Some(Sent { position: of.position.clone(), index, at: now, repeats });
+        of.sent = Some(Sent { position: of.position.clone(), index, sent_at: now, repeats });
         served.repeats |= repeats;
-        let mut room = session.bytes.left(now);
+        let mut room = session.byte_budget.available(now);
         let complete = transfer.is_none_or(|mut transfer| {
             while let Some(changes) = read_on(state, scope, index, &transfer) {
                 let complete = changes.complete;
-                transfer.after = changes.until();
+                transfer.after = changes.end();
                 served.messages.push(Message::Changes(changes));
-                room -= MOST_CHANGES_BYTES as f64;
+                room -= MAX_CHANGES_BYTES as f64;
                 if complete || room <= 0.0 {
                     return complete;
                 }
@@ -528,24 +535,24 @@
             false
         });
         if complete {
-            of.proved = now;
+            of.proved_at = now;
             served.messages.push(Message::Proof { scope, index, proof: state.proof(scope) });
             served.proves = true;
         }
     }
 
     fn send(&mut self, now: f64, to: Id, messages: &[Message]) {
-        for bytes in wire::pack(messages) {
+        for bytes in wire::encode(messages) {
             let size = (bytes.len() + PACKET) as f64;
             self.bytes.spend(now, size);
             if let Some(session) = self.sessions.get_mut(to) {
-                session.bytes.spend(now, size);
+                session.byte_budget.spend(now, size);
             }
             self.counts.sent += 1;
             self.counts.sent_bytes += bytes.len() as u64;
             self.out.push_back(Outgoing { to, bytes });
         }
-        while self.out.len() > MOST_OUT_EACH * self.terms.most_subscribers.max(1) {
+        while self.out.len() > MOST_OUT_EACH * self.terms.max_subscribers.max(1) {
             self.out.pop_front();
             self.counts.dropped += 1;
         }
@@ -553,8 +560,8 @@
 
     /// When [`Control::turn`] is to be called at the latest.
     pub fn due(&self) -> f64 {
-        let serve = self.sessions.due().max(self.bytes.when(1.0));
-        let serve = if self.replica.may_advance() { f64::NEG_INFINITY } else { serve };
+        let serve = self.sessions.due().max(self.bytes.available_at(1.0));
+        let serve = if self.replica.can_advance() { f64::NEG_INFINITY } else { serve };
         serve.min(self.gather_until).min(self.sweep_at)
     }
 
@@ -564,8 +571,8 @@
     }
 
     /// How it stands.
-    pub fn standing(&self) -> ControlStanding {
-        ControlStanding {
+    pub fn status(&self) -> ControlStatus {
+        ControlStatus {
             index: self.replica.index(),
             subscribers: self.sessions.len(),
             snapshots: self.snapshots.len(),
@@ -580,26 +587,26 @@
 }
 
 /// A budget of so many bytes in any second.
-fn even(bytes_per_second: f64, now: f64) -> Budget {
-    Budget::new((1.0 - BURST) * bytes_per_second, BURST * bytes_per_second, now)
+fn even(bytes_per_second: f64, now: f64) -> TokenBucket {
+    TokenBucket::new((1.0 - BURST) * bytes_per_second, BURST * bytes_per_second, now)
 }
 
 /// What follows for a subscriber that has this much of a scope. A snapshot is read at the pace of the
 /// reader's polls; what has changed is sent of its own accord.
-fn plan(of: &Subscribed, index: Version, state: &ScopedState, scope: Scope) -> Plan {
+fn plan(of: &ScopeSubscription, index: Version, state: &ScopedState, scope: Scope) -> Plan {
     let position = &of.position;
     let in_force = position.in_force;
-    let from_force = Transfer { base: in_force, seen: in_force, after: Cursor::all_of(in_force) };
+    let from_force = Transfer { base: in_force, source_version: in_force, after: Cursor::end_of(in_force) };
     let transfer = position.transfer.clone().unwrap_or(from_force);
-    if transfer.seen > index {
+    if transfer.source_version > index {
         return Plan::Nothing;
     }
     let snapshot = |transfer| if of.wants_proof { Plan::Snapshot(transfer) } else { Plan::Nothing };
-    let anew = Transfer { base: index, seen: index, after: Cursor::all_of(0) };
+    let anew = Transfer { base: index, source_version: index, after: Cursor::end_of(0) };
     if in_force == 0 && position.transfer.is_none() {
         return snapshot(anew);
     }
-    if transfer.after >= Cursor::all_of(state.summary(scope).version) {
+    if transfer.after >= Cursor::end_of(state.summary(scope).version) {
         // Its content is the newest: what is wanting is the proof.
         return match position.transfer {
             _ if !of.wants_proof => Plan::Nothing,
@@ -617,14 +624,14 @@
 /// The changes of one message.
 fn read_on(state: &ScopedState, scope: Scope, seen: Version, transfer: &Transfer) -> Option<Changes> {
     let (base, after) = (transfer.base, transfer.after.clone());
-    let run = state.changes(scope, base, &after, MOST_CHANGES_BYTES).ok()?;
+    let run = state.changes(scope, base, &after, MAX_CHANGES_BYTES).ok()?;
     let change = |(version, key, value)| KeyChange { version, key, value };
     let mut changes: Vec<KeyChange> = run.changes.into_iter().map(change).collect();
     let mut complete = run.complete;
-    if planted(Fault::NoDeltas) && base != 0 {
+    if is_injected(Fault::OmitDeltas) && base != 0 {
         let before = changes.len();
         changes.retain(|change| change.version <= base);
         complete |= changes.len() < before;
     }
-    Some(Changes { scope, base, seen, after, changes, complete })
+    Some(Changes { scope, base, source_version: seen, after, changes, complete })
 }
--- a/distribution/src/cursor.rs
+++ b/distribution/src/cursor.rs
@@ -19,7 +19,7 @@
 
 impl Cursor {
     /// All changes up to a version, that one included.
-    pub fn all_of(version: Version) -> Self {
+    pub fn end_of(version: Version) -> Self {
         Self { version, key: None }
     }
 
--- a/distribution/src/entry.rs
+++ b/distribution/src/entry.rs
@@ -9,25 +9,25 @@
 use crate::scope::Scope;
 
 /// Bytes of the longest key.
-pub const LONGEST_KEY: usize = 128;
+pub const MAX_KEY_BYTES: usize = 128;
 /// Bytes of the longest value: as long as a command of the log can be.
-pub const LONGEST_VALUE: usize = agree::log::MAX_COMMAND_BYTES;
+pub const MAX_VALUE_BYTES: usize = agree::log::MAX_COMMAND_BYTES;
 
 /// A key or a value that no state takes.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Unfit {
+pub enum InvalidEntry {
     /// The key is empty.
     #[error("the key is empty")]
     EmptyKey,
-    /// The key has more than [`LONGEST_KEY`] bytes.
-    #[error("the key has {0} bytes, {LONGEST_KEY} at most are allowed")]
+    /// The key has more than [`MAX_KEY_BYTES`] bytes.
+    #[error("the key has {0} bytes, {MAX_KEY_BYTES} at most are allowed")]
     LongKey(usize),
-    /// The value has more than [`LONGEST_VALUE`] bytes.
-    #[error("the value has {0} bytes, {LONGEST_VALUE} at most are allowed")]
+    /// The value has more than [`MAX_VALUE_BYTES`] bytes.
+    #[error("the value has {0} bytes, {MAX_VALUE_BYTES} at most are allowed")]
     LongValue(usize),
 }
 
-/// The name of an entry within its scope: 1 to [`LONGEST_KEY`] bytes.
+/// The name of an entry within its scope: 1 to [`MAX_KEY_BYTES`] bytes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Key(String);
@@ -37,13 +37,13 @@
     ///
     /// # Errors
     ///
-    /// [`Unfit`] where it is empty or too long.
-    pub fn new(key: impl Into<String>) -> Result<Self, Unfit> {
+    /// [`InvalidEntry`] where it is empty or too long.
+    pub fn new(key: impl Into<String>) -> Result<Self, InvalidEntry> {
         let key = key.into();
         match key.len() {
-            0 => Err(Unfit::EmptyKey),
-            1..=LONGEST_KEY => Ok(Self(key)),
-            bytes => Err(Unfit::LongKey(bytes)),
+            0 => Err(InvalidEntry::EmptyKey),
+            1..=MAX_KEY_BYTES => Ok(Self(key)),
+            bytes => Err(InvalidEntry::LongKey(bytes)),
         }
     }
 
@@ -54,9 +54,9 @@
 }
 
 impl TryFrom<String> for Key {
-    type Error = Unfit;
+    type Error = InvalidEntry;
 
-    fn try_from(key: String) -> Result<Self, Unfit> {
+    fn try_from(key: String) -> Result<Self, InvalidEntry> {
         Self::new(key)
     }
 }
@@ -102,9 +102,9 @@
     ///
     /// # Errors
     ///
-    /// [`Unfit::LongValue`] where the value is longer than [`LONGEST_VALUE`].
-    pub fn check(&self) -> Result<(), Unfit> {
+    /// [`InvalidEntry::LongValue`] where the value is longer than [`MAX_VALUE_BYTES`].
+    pub fn check(&self) -> Result<(), InvalidEntry> {
         let bytes = self.value.as_ref().map_or(0, Vec::len);
-        if bytes > LONGEST_VALUE { Err(Unfit::LongValue(bytes)) } else { Ok(()) }
+        if bytes > MAX_VALUE_BYTES { Err(InvalidEntry::LongValue(bytes)) } else { Ok(()) }
     }
 }
--- a/distribution/src/lib.rs
+++ b/distribution/src/lib.rs
@@ -5,15 +5,15 @@
 //! for each scope. docs/distribution.md explains how the parts work together.
 //!
 //! A [`Control`] is driven so: [`Control::restore`] gives it the machine's state while
-//! [`Control::wants_state`]; [`Control::decided`] each decision carried out, with what it changed;
-//! [`Control::sealed`] the newest seal and links of the agreement; [`Control::receive`] each datagram. Then
+//! [`Control::needs_state`]; [`Control::add_decided_changes`] each decision carried out, with what it changed;
+//! [`Control::update_certificate`] the newest seal and links of the agreement; [`Control::receive`] each datagram. Then
 //! [`Control::turn`], also when [`Control::due`] has come. Then [`Control::outgoing`] is emptied into
-//! packets, and [`Control::ask`] into `Agreement::ask_freshness`, whose answers go to [`Control::fresh`].
+//! packets, and [`Control::next_freshness_request`] into `Agreement::request_freshness`, whose answers go to [`Control::receive_freshness_proof`].
 //!
 //! A [`Subscriber`] so: [`Subscriber::subscribe`] for each scope, [`Subscriber::restore`] with the file if
 //! there is one; [`Subscriber::receive`] for each datagram, [`Subscriber::turn`] when [`Subscriber::due`] has
-//! come; after either, [`Subscriber::outgoing`] is emptied into packets, [`Subscriber::changed`] tells which
-//! scopes' [`Subscriber::content`] to carry out, and [`Subscriber::saved`] what to write.
+//! come; after either, [`Subscriber::outgoing`] is emptied into packets, [`Subscriber::next_changed_scope`] tells which
+//! scopes' [`Subscriber::content`] to carry out, and [`Subscriber::state_to_save`] what to write.
 //!
 //! Times are milliseconds on the clock of whoever is given them; it only goes forward.
 
@@ -21,13 +21,11 @@
 #![warn(missing_docs)]
 
 pub mod batch;
-pub mod budget;
 pub mod content;
 pub mod control;
 pub mod cursor;
 pub mod entry;
 pub mod faults;
-pub mod holding;
 pub mod merkle;
 pub mod nonces;
 pub mod placement;
@@ -35,9 +33,11 @@
 pub mod replica;
 pub mod saved;
 pub mod scope;
+pub mod scope_store;
 pub mod sessions;
 pub mod state;
 pub mod subscriber;
+pub mod token_bucket;
 pub mod trust;
 pub mod wire;
 
@@ -49,12 +49,12 @@
 pub struct Outgoing {
     /// To whom.
     pub to: agree::Id,
-    /// At most [`wire::LARGEST`].
+    /// At most [`wire::MAX_DATAGRAM_BYTES`].
     pub bytes: Vec<u8>,
 }
 
 pub use control::{Control, ControlTerms};
 pub use entry::{Change, Entry, Key};
 pub use scope::Scope;
-pub use state::{Refused, ScopeProof, ScopedState};
+pub use state::{ApplyError, ScopeProof, ScopedState};
 pub use subscriber::{Subscriber, SubscriberTerms};
--- a/distribution/src/merkle.rs
+++ b/distribution/src/merkle.rs
@@ -11,29 +11,29 @@
 use crate::scope::Scope;
 
 /// The hash of a subtree without any leaf; also the root without any scope.
-pub const EMPTY: Hash = [0; 32];
+pub const EMPTY_HASH: Hash = [0; 32];
 /// Hashes of the longest path: places of as many scopes as there are pool numbers agree on fewer bits, but
 /// for a chance of one in 2^30.
-pub const LONGEST_PATH: usize = 64;
+pub const MAX_PATH_LEN: usize = 64;
 
 /// What the root says of a scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Summary {
+pub struct ScopeSummary {
     /// The digest of its live entries ([`crate::content::Content::digest`]).
     pub digest: Hash,
     /// The decision that changed it last; 0 where none ever did.
     pub version: Version,
 }
 
-impl Default for Summary {
+impl Default for ScopeSummary {
     fn default() -> Self {
-        Self { digest: content::EMPTY, version: 0 }
+        Self { digest: content::EMPTY_DIGEST, version: 0 }
     }
 }
 
 /// The way from a scope's leaf to the root.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Path {
+pub struct MerklePath {
     /// The hashes of the subtrees beside the way, from the root down; none for an empty one.
     siblings: Vec<Option<Hash>>,
     /// The leaf that stands where the scope's would, where the scope was never written to: its place and its
@@ -43,19 +43,19 @@
 
 /// A path that proves nothing.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Unproved {
+pub enum PathError {
     /// It is longer than any.
     #[error("the path is longer than any")]
     TooLong,
     /// The leaf that it names instead of the scope's does not stand in the scope's way.
     #[error("the leaf named in place of the scope's is elsewhere")]
-    Elsewhere,
+    WrongLeaf,
     /// It leads to another root.
     #[error("the path leads to another root")]
-    OtherRoot,
+    RootMismatch,
 }
 
-impl Path {
+impl MerklePath {
     /// Hashes beside the way, empty ones too.
     pub fn len(&self) -> usize {
         self.siblings.len()
@@ -70,21 +70,21 @@
     ///
     /// # Errors
     ///
-    /// [`Unproved`] tells why not.
-    pub fn check(&self, root: &Hash, scope: Scope, summary: &Summary) -> Result<(), Unproved> {
-        if self.siblings.len() > LONGEST_PATH {
-            return Err(Unproved::TooLong);
+    /// [`PathError`] tells why not.
+    pub fn verify(&self, root: &Hash, scope: Scope, summary: &ScopeSummary) -> Result<(), PathError> {
+        if self.siblings.len() > MAX_PATH_LEN {
+            return Err(PathError::TooLong);
         }
         let place = place(scope);
-        let absent = *summary == Summary::default();
+        let absent = *summary == ScopeSummary::default();
         let lowest = match &self.other {
-            None if absent => EMPTY,
+            None if absent => EMPTY_HASH,
             None => leaf(&place, summary),
             Some((other, hash)) => {
                 let in_the_way =
                     (0..self.siblings.len()).all(|depth| bit(other, depth) == bit(&place, depth));
                 if !absent || *other == place || !in_the_way {
-                    return Err(Unproved::Elsewhere);
+                    return Err(PathError::WrongLeaf);
                 }
                 placed(other, hash)
             }
@@ -92,10 +92,10 @@
         let (mut hash, mut depth) = (lowest, self.siblings.len());
         for sibling in self.siblings.iter().rev() {
             depth -= 1;
-            let sibling = sibling.unwrap_or(EMPTY);
+            let sibling = sibling.unwrap_or(EMPTY_HASH);
             hash = if bit(&place, depth) { branch(&sibling, &hash) } else { branch(&hash, &sibling) };
         }
-        if hash == *root { Ok(()) } else { Err(Unproved::OtherRoot) }
+        if hash == *root { Ok(()) } else { Err(PathError::RootMismatch) }
     }
 }
 
@@ -123,7 +123,7 @@
 impl Node {
     fn hash(&self) -> Hash {
         match self {
-            Self::Empty => EMPTY,
+            Self::Empty => EMPTY_HASH,
             Self::Leaf { hash, .. } | Self::Branch { hash, .. } => *hash,
         }
     }
@@ -138,7 +138,7 @@
             Self::Leaf { place: old, .. } if old != place => {
                 let mut children = Box::new([Self::Empty, Self::Empty]);
                 children[usize::from(bit(&old, depth))] = self;
-                Self::Branch { hash: EMPTY, children }.with(depth, new)
+                Self::Branch { hash: EMPTY_HASH, children }.with(depth, new)
             }
             Self::Empty | Self::Leaf { .. } => Self::Leaf { place, summary, hash: placed(&place, &summary) },
             Self::Branch { mut children, .. } => {
@@ -152,7 +152,7 @@
 
 impl Trie {
     /// Sets what a scope comes to.
-    pub fn set(&mut self, scope: Scope, summary: &Summary) {
+    pub fn set(&mut self, scope: Scope, summary: &ScopeSummary) {
         let new = (place(scope), summary_hash(summary));
         self.root = std::mem::take(&mut self.root).with(0, new);
     }
@@ -163,7 +163,7 @@
     }
 
     /// The way from the scope's leaf, or from where it would be, to the root.
-    pub fn path(&self, scope: Scope) -> Path {
+    pub fn path(&self, scope: Scope) -> MerklePath {
         let wanted = place(scope);
         let (mut node, mut siblings) = (&self.root, Vec::new());
         while let Node::Branch { children, .. } = node {
@@ -176,7 +176,7 @@
             Node::Leaf { place, summary, .. } if *place != wanted => Some((*place, *summary)),
             _ => None,
         };
-        Path { siblings, other }
+        MerklePath { siblings, other }
     }
 }
 
@@ -193,7 +193,7 @@
     hashed("frostthread distribution 1 place", &[&name])
 }
 
-fn summary_hash(summary: &Summary) -> Hash {
+fn summary_hash(summary: &ScopeSummary) -> Hash {
     hashed("frostthread distribution 1 summary", &[&summary.digest, &summary.version.to_le_bytes()])
 }
 
@@ -201,7 +201,7 @@
     hashed("frostthread distribution 1 leaf", &[place, summary])
 }
 
-fn leaf(place: &Hash, summary: &Summary) -> Hash {
+fn leaf(place: &Hash, summary: &ScopeSummary) -> Hash {
     placed(place, &summary_hash(summary))
 }
 
--- a/distribution/src/nonces.rs
+++ b/distribution/src/nonces.rs
@@ -3,19 +3,19 @@
 
 /// Draws nonces from a seed that is kept secret.
 #[derive(Clone, Debug)]
-pub struct Nonces {
+pub struct NonceGenerator {
     seed: u64,
     drawn: u64,
 }
 
-impl Nonces {
+impl NonceGenerator {
     /// The same seed gives the same nonces.
     pub fn new(seed: u64) -> Self {
         Self { seed, drawn: 0 }
     }
 
     /// The next one.
-    pub fn draw(&mut self) -> u64 {
+    pub fn next_nonce(&mut self) -> u64 {
         self.drawn += 1;
         let mut hasher = blake3::Hasher::new_derive_key("frostthread distribution 1 nonce");
         hasher.update(&self.seed.to_le_bytes()).update(&self.drawn.to_le_bytes());
--- a/distribution/src/placement.rs
+++ b/distribution/src/placement.rs
@@ -88,17 +88,17 @@
     }
 
     /// A poll went to the current one.
-    pub fn polled(&mut self, now: f64) {
+    pub fn poll_sent(&mut self, now: f64) {
         self.unanswered.get_or_insert(now);
     }
 
     /// Whether the current one has a poll to answer.
-    pub fn is_unanswered(&self) -> bool {
+    pub fn is_poll_pending(&self) -> bool {
         self.unanswered.is_some()
     }
 
     /// One answered a poll. Gives the one that served before, where this one is returned to.
-    pub fn answered(&mut self, from: Id, now: f64) -> Option<Id> {
+    pub fn poll_answered(&mut self, from: Id, now: f64) -> Option<Id> {
         let was_suspected = self.suspected.remove(&from).is_some();
         if from == self.current {
             (self.unanswered, self.switch) = (None, None);
@@ -147,7 +147,7 @@
     }
 
     /// One that would be preferred and is to be tried again now.
-    pub fn retry(&mut self, now: f64, chance: &mut impl Rng) -> Option<Id> {
+    pub fn next_retry(&mut self, now: f64, chance: &mut impl Rng) -> Option<Id> {
         if now < self.retry_at {
             return None;
         }
@@ -163,7 +163,7 @@
         self.suspected.get(&id).copied().unwrap_or(f64::NEG_INFINITY)
     }
 
-    /// When [`Placement::turn`] or [`Placement::retry`] has something to do.
+    /// When [`Placement::turn`] or [`Placement::next_retry`] has something to do.
     pub fn due(&self) -> f64 {
         let silent = self.unanswered.filter(|_| self.switch.is_none());
         let silent = silent.map_or(f64::INFINITY, |since| since + SILENT_HEARTBEATS * self.heartbeat);
--- a/distribution/src/progress.rs
+++ b/distribution/src/progress.rs
@@ -17,7 +17,7 @@
 
 /// A subscriber that lacks a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Lacking {
+pub struct MissingSubscriber {
     /// Who.
     pub id: Id,
     /// Milliseconds since it polled last: one that is gone is told from one that is slow.
@@ -42,9 +42,9 @@
     /// Subscribers of the scope that say they have it in force: no more than that is known.
     pub acknowledged: usize,
     /// Subscribers of the scope that do not say so.
-    pub lacking: usize,
+    pub missing: usize,
     /// Some of these, those that have lacked it for longest first.
-    pub names: Vec<Lacking>,
+    pub longest_missing: Vec<MissingSubscriber>,
 }
 
 #[derive(Clone, Debug)]
@@ -58,13 +58,13 @@
 
 /// The newest changes.
 #[derive(Clone, Debug, Default)]
-pub struct Progress {
+pub struct ChangeTracker {
     served: VecDeque<Served>,
 }
 
-impl Progress {
+impl ChangeTracker {
     /// A change is served from now on.
-    pub fn note(&mut self, change: &Change, now: f64) {
+    pub fn record(&mut self, change: &Change, now: f64) {
         let Change { scope, key, version, value } = change;
         let (scope, key, version) = (*scope, key.clone(), *version);
         self.served.push_back(Served { scope, key, version, removed: value.is_none(), at: now });
@@ -85,10 +85,10 @@
         for (id, session) in sessions.iter() {
             match session.has(self.scope, self.version) {
                 Some(true) => acknowledged += 1,
-                Some(false) => names.push(Lacking {
+                Some(false) => names.push(MissingSubscriber {
                     id,
-                    silent_ms: now - session.polled,
-                    since_ms: now - self.at.max(session.began),
+                    silent_ms: now - session.polled_at,
+                    since_ms: now - self.at.max(session.started_at),
                 }),
                 None => {}
             }
@@ -97,6 +97,15 @@
         names.sort_by(|a, b| b.since_ms.total_cmp(&a.since_ms).then(a.id.cmp(&b.id)));
         names.truncate(MOST_NAMED);
         let (scope, key, version, removed) = (self.scope, self.key.clone(), self.version, self.removed);
-        ChangeProgress { scope, key, version, removed, since_ms: now - self.at, acknowledged, lacking, names }
+        ChangeProgress {
+            scope,
+            key,
+            version,
+            removed,
+            since_ms: now - self.at,
+            acknowledged,
+            missing: lacking,
+            longest_missing: names,
+        }
     }
 }
--- a/distribution/src/replica.rs
+++ b/distribution/src/replica.rs
@@ -8,7 +8,7 @@
 use crate::Version;
 use crate::entry::Change;
 use crate::state::ScopedState;
-use crate::trust::SharedSeal;
+use crate::trust::SharedCertificate;
 
 /// Changes that wait for a seal at most; past that the state is to be given anew. Seals follow decisions
 /// within a few probe intervals of the council, so that this many mean that no majority signs.
@@ -24,16 +24,16 @@
     waiting: VecDeque<Change>,
     decided: Version,
     /// The seal of the state as it is served.
-    seal: Option<SharedSeal>,
+    seal: Option<SharedCertificate>,
     /// A seal of more than is decided here.
-    ahead: Option<SharedSeal>,
+    ahead: Option<SharedCertificate>,
     /// States that came to another root than the one that a majority signed.
     diverged: u64,
 }
 
 impl Replica {
     /// Whether a state is to be given by [`Replica::restore`].
-    pub fn wants_state(&self) -> bool {
+    pub fn needs_state(&self) -> bool {
         self.at.is_none()
     }
 
@@ -51,7 +51,7 @@
     }
 
     /// Decisions up to an index changed this.
-    pub fn decided(&mut self, index: Version, changes: impl IntoIterator<Item = Change>) {
+    pub fn add_decided_changes(&mut self, index: Version, changes: impl IntoIterator<Item = Change>) {
         if self.at.is_none() || index <= self.decided {
             return;
         }
@@ -68,16 +68,16 @@
     }
 
     /// A majority signed the state at an index. It is kept until as much is decided here.
-    pub fn sealed(&mut self, seal: &Certificate) {
-        let newest = self.ahead.as_ref().map_or(self.index(), SharedSeal::index);
+    pub fn update_certificate(&mut self, seal: &Certificate) {
+        let newest = self.ahead.as_ref().map_or(self.index(), SharedCertificate::index);
         if seal.statement.index > newest {
             self.ahead = Some(seal.clone().into());
         }
     }
 
     /// Whether [`Replica::advance`] has something to do.
-    pub fn may_advance(&self) -> bool {
-        let reached = |seal: &SharedSeal| seal.index() <= self.decided;
+    pub fn can_advance(&self) -> bool {
+        let reached = |seal: &SharedCertificate| seal.index() <= self.decided;
         self.at.is_some() && self.ahead.as_ref().is_some_and(reached)
     }
 
@@ -106,11 +106,11 @@
 
     /// The sealed index that is served; 0 before the first.
     pub fn index(&self) -> Version {
-        self.seal.as_ref().map_or(0, SharedSeal::index)
+        self.seal.as_ref().map_or(0, SharedCertificate::index)
     }
 
     /// The seal, and the state that it is of.
-    pub fn served(&self) -> Option<(&SharedSeal, &ScopedState)> {
+    pub fn served(&self) -> Option<(&SharedCertificate, &ScopedState)> {
         Some((self.seal.as_ref()?, &self.state))
     }
 }
--- a/distribution/src/saved.rs
+++ b/distribution/src/saved.rs
@@ -8,11 +8,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Version;
-use crate::entry::{Entry, LONGEST_VALUE};
-use crate::holding::Held;
+use crate::entry::{Entry, MAX_VALUE_BYTES};
 use crate::scope::Scope;
+use crate::scope_store::VerifiedScope;
 use crate::state::ScopeProof;
-use crate::trust::{MOST_LINKS, SharedSeal};
+use crate::trust::{MAX_COUNCIL_PROOFS, SharedCertificate};
 
 /// The first byte of a file.
 const VERSION: u8 = 1;
@@ -29,7 +29,7 @@
 
 /// All that is kept.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Saved {
+pub struct SavedState {
     /// The proofs of all councils since the founders'.
     pub links: Vec<CouncilProof>,
     seals: Vec<Certificate>,
@@ -42,15 +42,15 @@
     /// Scopes that are in force from it.
     pub scopes: usize,
     /// Scopes in it that are not proved: their parts are damaged, or by councils that are not known.
-    pub unproved: usize,
+    pub unverified: usize,
 }
 
-impl Saved {
+impl SavedState {
     /// Puts together what is kept.
-    pub fn new<'a>(links: &[CouncilProof], held: impl Iterator<Item = (Scope, &'a Held)>) -> Self {
+    pub fn new<'a>(links: &[CouncilProof], held: impl Iterator<Item = (Scope, &'a VerifiedScope)>) -> Self {
         let (mut seals, mut scopes) = (BTreeMap::new(), Vec::new());
         for (scope, held) in held {
-            seals.insert(held.index(), (*held.seal).clone());
+            seals.insert(held.index(), (*held.certificate).clone());
             let (index, proof, entries) = (held.index(), held.proof.clone(), held.content.entries());
             scopes.push(SavedScope { scope, index, proof, entries });
         }
@@ -58,35 +58,35 @@
     }
 
     /// Its bytes.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_extend(self, vec![VERSION]).expect("plain data")
     }
 
     /// What bytes hold; none where they are of no form that is known.
-    pub fn read(bytes: &[u8]) -> Option<Self> {
+    pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (&version, body) = bytes.split_first()?;
         let (saved, rest) = postcard::take_from_bytes::<Self>(body).ok()?;
-        (version == VERSION && rest.is_empty() && saved.links.len() <= MOST_LINKS).then_some(saved)
+        (version == VERSION && rest.is_empty() && saved.links.len() <= MAX_COUNCIL_PROOFS).then_some(saved)
     }
 
     /// The scopes whose seals a majority of a council signed that the founders' and the links prove; none for
     /// each that is not proved.
-    pub fn proved(self, founders: &Council, keys: &impl Signer) -> Vec<Option<(Scope, Held)>> {
+    pub fn verify(self, founders: &Council, keys: &impl Signer) -> Vec<Option<(Scope, VerifiedScope)>> {
         let councils = councils(founders, &self.links, keys);
         let mut seals = BTreeMap::new();
         for seal in self.seals {
             let of = &seal.statement;
             let council = councils.get(&of.version).filter(|council| council.digest() == of.council_digest);
             if council.is_some_and(|council| seal.is_valid(council, keys)) {
-                seals.insert(of.index, SharedSeal::from(seal));
+                seals.insert(of.index, SharedCertificate::from(seal));
             }
         }
         let held = |saved: SavedScope| {
             let seal = seals.get(&saved.index)?.clone();
-            saved.proof.check(&seal.statement.state_root, saved.scope).ok()?;
-            let fit = saved.entries.iter().all(|entry| entry.value.len() <= LONGEST_VALUE);
+            saved.proof.verify(&seal.statement.state_root, saved.scope).ok()?;
+            let fit = saved.entries.iter().all(|entry| entry.value.len() <= MAX_VALUE_BYTES);
             let content = saved.entries.into_iter().collect();
-            fit.then_some((saved.scope, Held { seal, proof: saved.proof, content }))
+            fit.then_some((saved.scope, VerifiedScope { certificate: seal, proof: saved.proof, content }))
         };
         self.scopes.into_iter().map(held).collect()
     }
--- a/distribution/src/sessions.rs
+++ b/distribution/src/sessions.rs
@@ -5,13 +5,13 @@
 use agree::Id;
 
 use crate::Version;
-use crate::budget::Budget;
 use crate::scope::Scope;
+use crate::token_bucket::TokenBucket;
 use crate::wire::Position;
 
 /// Scopes of one subscriber at most: a border proxy uses its service, its zone, its region, all, and some
 /// services that it routes to.
-pub const MOST_SESSION_SCOPES: usize = 256;
+pub const MAX_SESSION_SCOPES: usize = 256;
 /// Polls of one subscriber that are answered in a heartbeat; more are left unread. An honest one sends a few
 /// datagrams at [`crate::subscriber`]'s hasty pace, and one for each datagram of a transfer.
 const POLLS_A_HEARTBEAT: f64 = 32.0;
@@ -24,25 +24,25 @@
     /// The index that was served.
     pub index: Version,
     /// When.
-    pub at: f64,
+    pub sent_at: f64,
     /// It is a change, to be sent again until it is acknowledged.
     pub repeats: bool,
 }
 
 /// A scope of a session.
 #[derive(Clone, Debug)]
-pub struct Subscribed {
+pub struct ScopeSubscription {
     /// What the subscriber says that it has.
     pub position: Position,
     /// Up to where it has acknowledged what was served here by then. A position of what is not sealed yet
     /// acknowledges no change to come.
     pub acknowledged: Version,
     /// When it said so last.
-    pub polled: f64,
+    pub polled_at: f64,
     /// It has polled since it was last served: a newer seal is of use to it also where nothing changed.
     pub wants_proof: bool,
     /// When it was last proved to.
-    pub proved: f64,
+    pub proved_at: f64,
     /// What was last sent.
     pub sent: Option<Sent>,
 }
@@ -51,19 +51,19 @@
 #[derive(Clone, Debug)]
 pub struct Session {
     /// Its scopes.
-    pub scopes: BTreeMap<Scope, Subscribed>,
+    pub scopes: BTreeMap<Scope, ScopeSubscription>,
     /// Since when it is one.
-    pub began: f64,
+    pub started_at: f64,
     /// When it polled last.
-    pub polled: f64,
+    pub polled_at: f64,
     /// Since when the newest council votes that it knows.
-    pub council: Version,
+    pub council_since: Version,
     /// When it was served last.
-    pub pushed: f64,
+    pub pushed_at: f64,
     /// Bytes that it may be sent.
-    pub bytes: Budget,
+    pub byte_budget: TokenBucket,
     /// Polls that are answered.
-    pub polls: Budget,
+    pub poll_budget: TokenBucket,
     /// When it is to be served, in microseconds.
     due: Option<u64>,
 }
@@ -114,21 +114,21 @@
     }
 
     /// Who wants a scope and lacks a version of it.
-    pub fn lacking(&self, scope: Scope, version: Version) -> Vec<Id> {
+    pub fn missing(&self, scope: Scope, version: Version) -> Vec<Id> {
         let lacks = |(_, session): &(Id, &Session)| session.has(scope, version) == Some(false);
         self.iter().filter(lacks).map(|(id, _)| id).collect()
     }
 
     /// A new one, or the one that there is.
-    pub fn open(&mut self, id: Id, bytes: Budget, heartbeat: f64, now: f64) -> &mut Session {
+    pub fn open(&mut self, id: Id, bytes: TokenBucket, heartbeat: f64, now: f64) -> &mut Session {
         self.sessions.entry(id).or_insert_with(|| Session {
             scopes: BTreeMap::new(),
-            began: now,
-            polled: now,
-            council: 0,
-            pushed: f64::NEG_INFINITY,
-            bytes,
-            polls: Budget::new(POLLS_A_HEARTBEAT / heartbeat * 1000.0, POLLS_A_HEARTBEAT, now),
+            started_at: now,
+            polled_at: now,
+            council_since: 0,
+            pushed_at: f64::NEG_INFINITY,
+            byte_budget: bytes,
+            poll_budget: TokenBucket::new(POLLS_A_HEARTBEAT / heartbeat * 1000.0, POLLS_A_HEARTBEAT, now),
             due: None,
         })
     }
@@ -143,9 +143,9 @@
     /// Ends those, and drops scopes, that have not been polled for since a time. Gives who has ended.
     pub fn expire(&mut self, before: f64) -> Vec<Id> {
         for session in self.sessions.values_mut() {
-            session.scopes.retain(|_, of| of.polled >= before);
+            session.scopes.retain(|_, of| of.polled_at >= before);
         }
-        let ended = |(id, session): (Id, &Session)| (session.polled < before).then_some(id);
+        let ended = |(id, session): (Id, &Session)| (session.polled_at < before).then_some(id);
         let ended: Vec<Id> = self.iter().filter_map(ended).collect();
         ended.iter().for_each(|&id| self.close(id));
         ended
--- a/distribution/src/state.rs
+++ b/distribution/src/state.rs
@@ -11,18 +11,18 @@
 use crate::Version;
 use crate::content::Content;
 use crate::cursor::Cursor;
-use crate::entry::{Change, Entry, Key, Unfit};
-use crate::merkle::{Path, Summary, Trie, Unproved};
+use crate::entry::{Change, Entry, InvalidEntry, Key};
+use crate::merkle::{MerklePath, PathError, ScopeSummary, Trie};
 use crate::scope::Scope;
 
 /// Removals that a scope remembers at least. Above that it remembers as many as it has live entries: a reader
 /// that missed more of them has less to fetch by reading the scope anew. What is forgotten makes readers that
 /// are so far behind start over; what is remembered costs memory on control machines.
-pub const LEAST_REMOVALS: usize = 64;
+pub const MIN_REMEMBERED_REMOVALS: usize = 64;
 
 /// Why a change was not applied.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Refused {
+pub enum ApplyError {
     /// The scope has been changed by a later decision already.
     #[error("version {given} comes after {newest} in this scope")]
     Older {
@@ -33,7 +33,7 @@
     },
     /// Its key or its value is of a size that no state takes.
     #[error(transparent)]
-    Unfit(#[from] Unfit),
+    InvalidEntry(#[from] InvalidEntry),
 }
 
 /// A reader is so far behind that removals it needs are forgotten: it is to read the scope anew.
@@ -48,9 +48,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ScopeProof {
     /// The scope's digest and the version of its last change.
-    pub summary: Summary,
+    pub summary: ScopeSummary,
     /// The way to the root.
-    pub path: Path,
+    pub path: MerklePath,
 }
 
 impl ScopeProof {
@@ -58,15 +58,15 @@
     ///
     /// # Errors
     ///
-    /// [`Unproved`] tells why not.
-    pub fn check(&self, root: &Hash, scope: Scope) -> Result<(), Unproved> {
-        self.path.check(root, scope, &self.summary)
+    /// [`PathError`] tells why not.
+    pub fn verify(&self, root: &Hash, scope: Scope) -> Result<(), PathError> {
+        self.path.verify(root, scope, &self.summary)
     }
 }
 
 /// A run of changes of a scope, in the order of their versions and keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Run {
+pub struct ChangeRun {
     /// Each key's newest change: version, key, and its value unless it was removed.
     pub changes: Vec<(Version, Key, Option<Vec<u8>>)>,
     /// Whether nothing follows.
@@ -81,7 +81,7 @@
     removed: BTreeMap<Key, Version>,
     /// Removals up to this version may be forgotten.
     floor: Version,
-    summary: Summary,
+    summary: ScopeSummary,
 }
 
 /// The entries of all scopes, with a root over them. The same changes in the same order give the same state,
@@ -105,14 +105,14 @@
     ///
     /// # Errors
     ///
-    /// [`Refused`] where the scope is at a later version already, or the change is of no fit size; nothing is
+    /// [`ApplyError`] where the scope is at a later version already, or the change is of no fit size; nothing is
     /// changed then.
-    pub fn apply(&mut self, change: Change) -> Result<(), Refused> {
+    pub fn apply(&mut self, change: Change) -> Result<(), ApplyError> {
         change.check()?;
         let scope = self.scopes.entry(change.scope).or_default();
         let (given, newest) = (change.version, scope.summary.version);
         if given < newest {
-            return Err(Refused::Older { given, newest });
+            return Err(ApplyError::Older { given, newest });
         }
         scope.apply(change.key, given, change.value);
         self.trie.set(change.scope, &scope.summary);
@@ -130,7 +130,7 @@
     }
 
     /// The scope's digest and the version of its last change.
-    pub fn summary(&self, scope: Scope) -> Summary {
+    pub fn summary(&self, scope: Scope) -> ScopeSummary {
         self.scopes.get(&scope).map(|state| state.summary).unwrap_or_default()
     }
 
@@ -167,8 +167,8 @@
         base: Version,
         after: &Cursor,
         most_bytes: usize,
-    ) -> Result<Run, SnapshotNeeded> {
-        let none = Run { changes: Vec::new(), complete: true };
+    ) -> Result<ChangeRun, SnapshotNeeded> {
+        let none = ChangeRun { changes: Vec::new(), complete: true };
         self.scopes.get(&scope).map_or(Ok(none), |state| state.changes(base, after, most_bytes))
     }
 }
@@ -189,12 +189,12 @@
             }
         }
         self.forget();
-        self.summary = Summary { digest: self.content.digest(), version };
+        self.summary = ScopeSummary { digest: self.content.digest(), version };
     }
 
     /// Forgets the oldest removals past the bound.
     fn forget(&mut self) {
-        while self.removed.len() > LEAST_REMOVALS.max(self.content.len()) {
+        while self.removed.len() > MIN_REMEMBERED_REMOVALS.max(self.content.len()) {
             let oldest = self.removed.iter().min_by_key(|(key, version)| (**version, *key));
             let (key, version) =
                 oldest.map(|(key, version)| (key.clone(), *version)).expect("over the bound");
@@ -204,7 +204,7 @@
         }
     }
 
-    fn changes(&self, base: Version, after: &Cursor, most_bytes: usize) -> Result<Run, SnapshotNeeded> {
+    fn changes(&self, base: Version, after: &Cursor, most_bytes: usize) -> Result<ChangeRun, SnapshotNeeded> {
         if base < self.floor {
             return Err(SnapshotNeeded { floor: self.floor });
         }
@@ -217,12 +217,12 @@
             }
             let size = change_size(key, value);
             if !changes.is_empty() && size > room {
-                return Ok(Run { changes, complete: false });
+                return Ok(ChangeRun { changes, complete: false });
             }
             room = room.saturating_sub(size);
             changes.push((*version, key.clone(), value.map(<[u8]>::to_vec)));
         }
-        Ok(Run { changes, complete: true })
+        Ok(ChangeRun { changes, complete: true })
     }
 }
 
@@ -250,13 +250,13 @@
 
 /// A kept state that no changes come to.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Damaged {
+pub enum InvalidState {
     /// A value is longer than any.
     #[error(transparent)]
-    Unfit(#[from] Unfit),
+    InvalidEntry(#[from] InvalidEntry),
     /// A scope, a key or a version stands where it cannot.
     #[error("scopes, keys or versions do not fit together")]
-    Order,
+    Inconsistent,
 }
 
 impl From<ScopedState> for Plain {
@@ -273,16 +273,16 @@
 }
 
 impl TryFrom<Plain> for ScopedState {
-    type Error = Damaged;
+    type Error = InvalidState;
 
-    fn try_from(plain: Plain) -> Result<Self, Damaged> {
+    fn try_from(plain: Plain) -> Result<Self, InvalidState> {
         let mut state = Self::default();
         for scope in plain.scopes {
             let name = scope.scope;
             let restored = ScopeState::try_from(scope)?;
             state.trie.set(name, &restored.summary);
             if state.scopes.insert(name, restored).is_some() {
-                return Err(Damaged::Order);
+                return Err(InvalidState::Inconsistent);
             }
         }
         Ok(state)
@@ -290,26 +290,26 @@
 }
 
 impl TryFrom<PlainScope> for ScopeState {
-    type Error = Damaged;
+    type Error = InvalidState;
 
-    fn try_from(plain: PlainScope) -> Result<Self, Damaged> {
+    fn try_from(plain: PlainScope) -> Result<Self, InvalidState> {
         let mut order = BTreeSet::new();
         let live = plain.entries.iter().map(|entry| (&entry.key, entry.version));
         let all: Vec<_> = live.chain(plain.removed.iter().map(|(key, version)| (key, *version))).collect();
         let in_range = all.iter().all(|(_, version)| *version <= plain.version);
         let sizes = plain.entries.iter().map(|entry| entry.value.len());
-        if let Some(bytes) = sizes.max().filter(|&bytes| bytes > crate::entry::LONGEST_VALUE) {
-            return Err(Unfit::LongValue(bytes).into());
+        if let Some(bytes) = sizes.max().filter(|&bytes| bytes > crate::entry::MAX_VALUE_BYTES) {
+            return Err(InvalidEntry::LongValue(bytes).into());
         }
         for (key, version) in &all {
             order.insert((*version, Some((*key).clone())));
         }
         let keys: BTreeSet<_> = all.iter().map(|(key, _)| *key).collect();
         if keys.len() != all.len() || !in_range || plain.floor > plain.version {
-            return Err(Damaged::Order);
+            return Err(InvalidState::Inconsistent);
         }
         let content: Content = plain.entries.into_iter().collect();
-        let summary = Summary { digest: content.digest(), version: plain.version };
+        let summary = ScopeSummary { digest: content.digest(), version: plain.version };
         Ok(Self { content, order, removed: plain.removed.into_iter().collect(), floor: plain.floor, summary })
     }
 }
--- a/distribution/src/subscriber.rs
+++ b/distribution/src/subscriber.rs
@@ -10,16 +10,16 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::batch::BatchPath;
-use crate::budget::Budget;
 use crate::content::Content;
-use crate::holding::{Holding, Progress};
-use crate::nonces::Nonces;
+use crate::nonces::NonceGenerator;
 use crate::placement::{ControlMachine, Placement};
-use crate::saved::{Restored, Saved};
+use crate::saved::{Restored, SavedState};
 use crate::scope::Scope;
+use crate::scope_store::{ScopeStore, UpdateOutcome};
 use crate::state::ScopeProof;
-use crate::trust::{Trust, Unbelieved};
-use crate::wire::{self, Changes, LARGEST, MOST_SCOPES, Message, Poll, Position};
+use crate::token_bucket::TokenBucket;
+use crate::trust::{Trust, VerificationError};
+use crate::wire::{self, Changes, MAX_DATAGRAM_BYTES, MAX_MESSAGE_SCOPES, Message, Poll, Position};
 use crate::{Outgoing, Version};
 
 /// While a poll is unanswered or a transfer is under way, polls go out so many times a heartbeat. More costs
@@ -50,7 +50,7 @@
 pub const LEASE_HEARTBEATS: f64 = 10.0;
 /// Bytes of the largest scope that is usually taken: 10,000 servers of a service, all of them drained, take a
 /// quarter of it. It bounds memory where a control machine sends without end.
-pub const MOST_SCOPE_BYTES: usize = 16 << 20;
+pub const MAX_SCOPE_BYTES: usize = 16 << 20;
 
 /// What is agreed for a subscriber.
 #[derive(Clone, Debug, PartialEq)]
@@ -62,14 +62,14 @@
     /// All control machines.
     pub controls: Vec<ControlMachine>,
     /// The council's first members, by the settings.
-    pub founders: Vec<Id>,
+    pub bootstrap_members: Vec<Id>,
     /// How often it polls when nothing happens: milliseconds.
     pub heartbeat: f64,
     /// A control machine that brings nothing new for so long while the state is older than this is taken for
     /// gone: milliseconds.
     pub lease: f64,
     /// Bytes of the largest scope that is taken.
-    pub most_scope_bytes: usize,
+    pub max_scope_bytes: usize,
 }
 
 /// What has happened so far.
@@ -86,11 +86,11 @@
     /// Datagrams of no form, or of a version that is not known; changes that are not in order or too many.
     pub malformed: u64,
     /// Datagrams from others than control machines, and messages that only subscribers send.
-    pub stray: u64,
+    pub unexpected: u64,
     /// Seals, councils, proofs and freshness whose signatures or paths do not fit.
-    pub unproved: u64,
+    pub unverified: u64,
     /// Messages left unread as too many signatures were to be verified.
-    pub crowded: u64,
+    pub rate_limited: u64,
     /// Transfers that came to other content than the proved one.
     pub mismatched: u64,
     /// Times that another control machine was taken.
@@ -101,13 +101,13 @@
 
 /// How a subscriber stands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SubscriberStanding {
+pub struct SubscriberStatus {
     /// The control machine that serves, and since when in milliseconds.
     pub control: (Id, f64),
     /// Each scope: the index by which it is in force (0: it is not), and its age in milliseconds.
     pub scopes: BTreeMap<Scope, (Version, f64)>,
     /// Since when the newest proved council votes.
-    pub council: Version,
+    pub council_since: Version,
     /// What has happened so far.
     pub counts: SubscriberCounts,
 }
@@ -124,14 +124,14 @@
 pub struct Subscriber<K> {
     terms: SubscriberTerms,
     trust: Trust<K>,
-    scopes: BTreeMap<Scope, Holding>,
+    scopes: BTreeMap<Scope, ScopeStore>,
     placement: Placement,
-    nonces: Nonces,
+    nonces: NonceGenerator,
     chance: Pcg64Mcg,
     asked: VecDeque<Asked>,
     /// How far decisions were, and when the poll was sent that asked: newer than some scope.
     fresh: VecDeque<(Version, f64)>,
-    verify: Budget,
+    verify: TokenBucket,
     polled_at: f64,
     poll_at: f64,
     /// When what came is to be acknowledged, if that is before the next poll.
@@ -151,7 +151,7 @@
     /// foretell it could answer beforehand.
     pub fn new(terms: SubscriberTerms, keys: K, seed: u64, now: f64) -> Self {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let founders = Council::bootstrap(terms.founders.iter().copied());
+        let founders = Council::bootstrap(terms.bootstrap_members.iter().copied());
         let (region, heartbeat) = (terms.region, terms.heartbeat);
         let placement = Placement::new(terms.id, region, &terms.controls, heartbeat, now, &mut chance);
         let verified = VERIFIED_A_HEARTBEAT / heartbeat * 1000.0;
@@ -162,11 +162,11 @@
             trust: Trust::new(founders, keys),
             scopes: BTreeMap::new(),
             placement,
-            nonces: Nonces::new(seed),
+            nonces: NonceGenerator::new(seed),
             chance,
             asked: VecDeque::new(),
             fresh: VecDeque::new(),
-            verify: Budget::new(verified, VERIFIED_A_HEARTBEAT, now),
+            verify: TokenBucket::new(verified, VERIFIED_A_HEARTBEAT, now),
             polled_at: poll_at - heartbeat / HASTE,
             poll_at,
             acknowledge_at: f64::INFINITY,
@@ -182,7 +182,7 @@
     /// Wants a scope from now on.
     pub fn subscribe(&mut self, scope: Scope, now: f64) {
         if let Entry::Vacant(place) = self.scopes.entry(scope) {
-            place.insert(Holding::default());
+            place.insert(ScopeStore::default());
             self.hasten(now);
         }
     }
@@ -208,49 +208,49 @@
 
     /// What is in force of a scope; none before anything was proved.
     pub fn content(&self, scope: Scope) -> Option<&Content> {
-        self.scopes.get(&scope)?.held().map(|held| &held.content)
+        self.scopes.get(&scope)?.verified().map(|held| &held.content)
     }
 
     /// The index of the seal by which a scope is in force; 0 where nothing is. All decisions up to it are
     /// obeyed here.
     pub fn index(&self, scope: Scope) -> Version {
-        self.scopes.get(&scope).map_or(0, Holding::index)
+        self.scopes.get(&scope).map_or(0, ScopeStore::index)
     }
 
     /// What it has of a scope, as its polls say.
     pub fn position(&self, scope: Scope) -> Option<Position> {
-        self.scopes.get(&scope).map(Holding::position)
+        self.scopes.get(&scope).map(ScopeStore::position)
     }
 
     /// How old what is in force of a scope can be, in milliseconds; infinity before a voter's word came since
     /// the start.
     pub fn age(&self, scope: Scope, now: f64) -> f64 {
-        let since = self.scopes.get(&scope).and_then(Holding::fresh_since);
+        let since = self.scopes.get(&scope).and_then(ScopeStore::fresh_since);
         since.map_or(f64::INFINITY, |since| now - since)
     }
 
     /// The next scope whose content has changed.
-    pub fn changed(&mut self) -> Option<Scope> {
+    pub fn next_changed_scope(&mut self) -> Option<Scope> {
         self.changed.pop_first()
     }
 
     /// What is to be kept on the disk, where that has changed since it was last asked for.
-    pub fn saved(&mut self) -> Option<Vec<u8>> {
+    pub fn state_to_save(&mut self) -> Option<Vec<u8>> {
         std::mem::take(&mut self.unsaved).then(|| {
-            let held = self.scopes.iter().filter_map(|(scope, of)| Some((*scope, of.held()?)));
-            Saved::new(self.trust.links(), held).bytes()
+            let held = self.scopes.iter().filter_map(|(scope, of)| Some((*scope, of.verified()?)));
+            SavedState::new(self.trust.council_proofs(), held).encode()
         })
     }
 
     /// Puts in force what was kept of the scopes that it wants, as far as it is proved. Its age is not known.
     pub fn restore(&mut self, bytes: &[u8]) -> Restored {
         let mut restored = Restored::default();
-        let Some(saved) = Saved::read(bytes) else { return restored };
+        let Some(saved) = SavedState::decode(bytes) else { return restored };
         let links = saved.links.clone();
-        let founders = Council::bootstrap(self.terms.founders.iter().copied());
-        for scope in saved.proved(&founders, self.trust.keys()) {
+        let founders = Council::bootstrap(self.terms.bootstrap_members.iter().copied());
+        for scope in saved.verify(&founders, self.trust.keys()) {
             let Some((scope, held)) = scope else {
-                restored.unproved += 1;
+                restored.unverified += 1;
                 continue;
             };
             let Some(holding) = self.scopes.get_mut(&scope).filter(|of| of.index() < held.index()) else {
@@ -260,11 +260,11 @@
                 restored.scopes += 1;
                 self.changed.insert(scope);
             } else {
-                restored.unproved += 1;
+                restored.unverified += 1;
             }
         }
         for link in links {
-            if self.trust.follow(link).is_err() {
+            if self.trust.advance_council(link).is_err() {
                 break;
             }
         }
@@ -274,25 +274,25 @@
     /// A datagram came from a member, as its packet proves.
     pub fn receive(&mut self, now: f64, from: Id, bytes: &[u8]) {
         if !self.placement.order().contains(&from) {
-            self.counts.stray += 1;
+            self.counts.unexpected += 1;
             return;
         }
         self.counts.received += 1;
         self.counts.received_bytes += bytes.len() as u64;
-        let Ok(messages) = wire::read(bytes) else {
+        let Ok(messages) = wire::decode(bytes) else {
             self.counts.malformed += 1;
             return;
         };
         for message in messages {
             match message {
                 Message::Alive { nonce, index } => self.answered(now, from, nonce, index),
-                Message::Fresh { nonce, path, proof } => self.note_fresh(now, from, nonce, &path, &proof),
+                Message::Freshness { nonce, path, proof } => self.note_fresh(now, from, nonce, &path, &proof),
                 Message::Changes(changes) => self.stage(now, from, changes),
                 Message::Proof { scope, index, proof } => self.prove(now, scope, index, proof),
-                Message::Seal(seal) => self.seal(now, seal),
-                Message::Council(link) => self.follow(now, link),
-                Message::Later { after_ms } => self.hold_off(now, from, f64::from(after_ms)),
-                Message::Poll(_) | Message::Unsubscribe { .. } => self.counts.stray += 1,
+                Message::Certificate(seal) => self.seal(now, seal),
+                Message::CouncilProof(link) => self.follow(now, link),
+                Message::RetryLater { after_ms } => self.hold_off(now, from, f64::from(after_ms)),
+                Message::Poll(_) | Message::Unsubscribe { .. } => self.counts.unexpected += 1,
             }
         }
     }
@@ -301,7 +301,7 @@
         if !self.asked.iter().any(|asked| asked.nonce == nonce && asked.to == from) {
             return;
         }
-        if let Some(before) = self.placement.answered(from, now) {
+        if let Some(before) = self.placement.poll_answered(from, now) {
             self.leave(before);
             self.counts.switched += 1;
             (self.poll_at, self.held_off) = (now, f64::NEG_INFINITY);
@@ -310,7 +310,7 @@
         if from == self.placement.current().0 {
             self.pace(false);
             for holding in self.scopes.values_mut() {
-                holding.fall_back(index);
+                holding.discard_newer_than(index);
             }
         }
     }
@@ -318,7 +318,7 @@
     /// Tells one that it is no longer needed.
     fn leave(&mut self, control: Id) {
         let scopes: Vec<Scope> = self.scopes.keys().copied().collect();
-        for scopes in scopes.chunks(MOST_SCOPES) {
+        for scopes in scopes.chunks(MAX_MESSAGE_SCOPES) {
             self.send(control, &[Message::Unsubscribe { scopes: scopes.to_vec() }]);
         }
     }
@@ -327,12 +327,12 @@
         let Some(&asked) = self.asked.iter().find(|asked| asked.nonce == nonce && asked.to == from) else {
             return;
         };
-        if !self.verify.take(now, 1.0) {
-            self.counts.crowded += 1;
+        if !self.verify.try_spend(now, 1.0) {
+            self.counts.rate_limited += 1;
             return;
         }
-        if !path.leads(nonce, &proof.nonce) || !self.trust.is_fresh(proof) {
-            self.counts.unproved += 1;
+        if !path.verifies(nonce, &proof.nonce) || !self.trust.is_valid_freshness_proof(proof) {
+            self.counts.unverified += 1;
             return;
         }
         self.asked.retain(|asked| asked.nonce != nonce);
@@ -346,18 +346,18 @@
     /// What was decided by the time of a poll is known once it is in force.
     fn note_ages(&mut self) {
         for holding in self.scopes.values_mut() {
-            self.fresh.iter().for_each(|&(index, at)| holding.note_fresh(index, at));
+            self.fresh.iter().for_each(|&(index, at)| holding.record_freshness(index, at));
         }
-        let oldest = self.scopes.values().map(Holding::index).min().unwrap_or(Version::MAX);
+        let oldest = self.scopes.values().map(ScopeStore::index).min().unwrap_or(Version::MAX);
         self.fresh.retain(|(index, _)| *index > oldest);
     }
 
     fn stage(&mut self, now: f64, from: Id, changes: Changes) {
         let (scope, complete) = (changes.scope, changes.complete);
         let Some(holding) = self.scopes.get_mut(&scope) else { return };
-        let progress = holding.stage(from, changes, self.terms.most_scope_bytes);
+        let progress = holding.stage(from, changes, self.terms.max_scope_bytes);
         self.note(now, scope, progress);
-        if progress == Progress::Staged {
+        if progress == UpdateOutcome::Staged {
             if !complete {
                 self.acknowledge(now);
             }
@@ -367,31 +367,31 @@
 
     fn prove(&mut self, now: f64, scope: Scope, index: Version, proof: ScopeProof) {
         let Some(holding) = self.scopes.get_mut(&scope) else { return };
-        if !self.trust.has_seal(index) {
-            return holding.wait_for_seal(index, proof);
+        if !self.trust.has_certificate(index) {
+            return holding.defer_proof(index, proof);
         }
-        match self.trust.proved(scope, index, &proof) {
-            Some(seal) => holding.prove(seal, proof),
-            None => self.counts.unproved += 1,
+        match self.trust.certificate_for(scope, index, &proof) {
+            Some(seal) => holding.add_proof(seal, proof),
+            None => self.counts.unverified += 1,
         }
         self.settle(now, scope);
     }
 
     fn seal(&mut self, now: f64, seal: Certificate) {
         let index = seal.statement.index;
-        if self.trust.has_seal(index) {
+        if self.trust.has_certificate(index) {
             return;
         }
-        if !self.verify.take(now, 1.0) {
-            self.counts.crowded += 1;
+        if !self.verify.try_spend(now, 1.0) {
+            self.counts.rate_limited += 1;
             return;
         }
-        if let Err(unbelieved) = self.trust.seal(seal) {
-            self.counts.unproved += u64::from(unbelieved == Unbelieved::Unsigned);
+        if let Err(unbelieved) = self.trust.add_certificate(seal) {
+            self.counts.unverified += u64::from(unbelieved == VerificationError::Unsigned);
             return;
         }
         for scope in self.scopes.keys().copied().collect::<Vec<_>>() {
-            let waiting = self.scopes.get_mut(&scope).and_then(|holding| holding.take_unsealed(index));
+            let waiting = self.scopes.get_mut(&scope).and_then(|holding| holding.take_deferred_proof(index));
             if let Some(proof) = waiting {
                 self.prove(now, scope, index, proof);
             }
@@ -402,10 +402,10 @@
         if !self.trust.is_next(&link) {
             return;
         }
-        if !self.verify.take(now, 1.0) {
-            self.counts.crowded += 1;
-        } else if self.trust.follow(link).is_err() {
-            self.counts.unproved += 1;
+        if !self.verify.try_spend(now, 1.0) {
+            self.counts.rate_limited += 1;
+        } else if self.trust.advance_council(link).is_err() {
+            self.counts.unverified += 1;
         } else {
             self.unsaved = true;
             self.progress_at = now;
@@ -415,33 +415,33 @@
 
     fn settle(&mut self, now: f64, scope: Scope) {
         let Some(holding) = self.scopes.get_mut(&scope) else { return };
-        let progress = holding.settle();
+        let progress = holding.apply_verified();
         self.note(now, scope, progress);
-        if matches!(progress, Progress::Changed | Progress::Confirmed) {
+        if matches!(progress, UpdateOutcome::Changed | UpdateOutcome::Confirmed) {
             self.note_ages();
             self.acknowledge(now);
         }
     }
 
-    fn note(&mut self, now: f64, scope: Scope, progress: Progress) {
+    fn note(&mut self, now: f64, scope: Scope, progress: UpdateOutcome) {
         match progress {
-            Progress::None => return,
-            Progress::Malformed => {
+            UpdateOutcome::NoEffect => return,
+            UpdateOutcome::Malformed => {
                 self.counts.malformed += 1;
                 return;
             }
-            Progress::Mismatch(source) => {
+            UpdateOutcome::Mismatch(source) => {
                 self.counts.mismatched += 1;
                 if source == Some(self.placement.current().0) {
                     self.placement.suspect(now, &mut self.chance);
                 }
                 return self.hasten(now);
             }
-            Progress::Changed => {
+            UpdateOutcome::Changed => {
                 self.changed.insert(scope);
                 self.unsaved = true;
             }
-            Progress::Staged | Progress::Confirmed => {}
+            UpdateOutcome::Staged | UpdateOutcome::Confirmed => {}
         }
         self.progress_at = now;
     }
@@ -464,7 +464,7 @@
             return;
         }
         self.counts.deferred += 1;
-        self.placement.answered(from, now);
+        self.placement.poll_answered(from, now);
         self.held_off = now + after.min(self.terms.lease);
         self.poll_at = self.poll_at.max(self.held_off);
     }
@@ -481,7 +481,7 @@
             self.progress_at = now;
             self.poll_at = now;
         }
-        if let Some(other) = self.placement.retry(now, &mut self.chance) {
+        if let Some(other) = self.placement.next_retry(now, &mut self.chance) {
             self.poll(now, other, Vec::new());
         }
         if now >= self.poll_at.min(self.acknowledge_at) {
@@ -491,7 +491,7 @@
 
     /// When the control machine that serves is taken for gone, as it answers but brings nothing.
     fn stale_at(&self) -> f64 {
-        let oldest = |at: f64, of: &Holding| at.min(of.fresh_since().unwrap_or(f64::NEG_INFINITY));
+        let oldest = |at: f64, of: &ScopeStore| at.min(of.fresh_since().unwrap_or(f64::NEG_INFINITY));
         let fresh = self.scopes.values().fold(f64::INFINITY, oldest);
         let since = fresh.max(self.progress_at).max(self.placement.current().1);
         since + self.terms.lease
@@ -503,7 +503,7 @@
         for scopes in in_datagrams(positions) {
             self.poll(now, to, scopes);
         }
-        self.placement.polled(now);
+        self.placement.poll_sent(now);
         (self.polled_at, self.acknowledge_at) = (now, f64::INFINITY);
         self.pace(true);
     }
@@ -511,13 +511,14 @@
     /// Sets when the next poll is due, unless something is to be acknowledged before.
     fn pace(&mut self, unanswered: bool) {
         let jitter = self.chance.random_range(1.0 - JITTER..1.0 + JITTER);
-        let underway = unanswered || self.scopes.values().any(Holding::is_underway);
+        let underway = unanswered || self.scopes.values().any(ScopeStore::is_in_progress);
         let pace = if underway { self.terms.heartbeat / HASTE } else { self.terms.heartbeat };
         self.poll_at = (self.polled_at + jitter * pace).max(self.held_off);
     }
 
     fn poll(&mut self, now: f64, to: Id, scopes: Vec<(Scope, Position)>) {
-        let poll = Poll { nonce: self.nonces.draw(), council: self.trust.version(), scopes };
+        let poll =
+            Poll { nonce: self.nonces.next_nonce(), council_since: self.trust.council_since(), scopes };
         self.asked.push_back(Asked { nonce: poll.nonce, to, at: now });
         if self.asked.len() > MOST_ASKED {
             self.asked.pop_front();
@@ -526,7 +527,7 @@
     }
 
     fn send(&mut self, to: Id, messages: &[Message]) {
-        for bytes in wire::pack(messages) {
+        for bytes in wire::encode(messages) {
             self.counts.sent += 1;
             self.counts.sent_bytes += bytes.len() as u64;
             self.out.push_back(Outgoing { to, bytes });
@@ -547,13 +548,13 @@
     }
 
     /// How it stands.
-    pub fn standing(&self, now: f64) -> SubscriberStanding {
+    pub fn status(&self, now: f64) -> SubscriberStatus {
         let (control, since) = self.placement.current();
-        let scope = |(scope, of): (&Scope, &Holding)| (*scope, (of.index(), self.age(*scope, now)));
-        SubscriberStanding {
+        let scope = |(scope, of): (&Scope, &ScopeStore)| (*scope, (of.index(), self.age(*scope, now)));
+        SubscriberStatus {
             control: (control, now - since),
             scopes: self.scopes.iter().map(scope).collect(),
-            council: self.trust.version(),
+            council_since: self.trust.council_since(),
             counts: self.counts,
         }
     }
@@ -561,12 +562,12 @@
 
 /// Positions in runs that each fit a datagram; one empty run where there are none.
 fn in_datagrams(positions: Vec<(Scope, Position)>) -> Vec<Vec<(Scope, Position)>> {
-    let (mut runs, mut room) = (vec![Vec::new()], LARGEST - POLL_HEAD);
+    let (mut runs, mut room) = (vec![Vec::new()], MAX_DATAGRAM_BYTES - POLL_HEAD);
     for position in positions {
         let size = postcard::experimental::serialized_size(&position).expect("plain data");
         let last = runs.last_mut().expect("never empty");
-        if size > room || last.len() == MOST_SCOPES {
-            room = LARGEST - POLL_HEAD;
+        if size > room || last.len() == MAX_MESSAGE_SCOPES {
+            room = MAX_DATAGRAM_BYTES - POLL_HEAD;
             runs.push(vec![position]);
         } else {
             last.push(position);
--- a/distribution/src/trust.rs
+++ b/distribution/src/trust.rs
@@ -16,28 +16,28 @@
 
 /// Seals that are kept: proofs of scopes that come out of order still find theirs. More would cost memory
 /// only.
-const MOST_SEALS: usize = 8;
+const MAX_CERTIFICATES: usize = 8;
 /// Proofs of councils that are kept, at subscribers and at control machines: as many as [`agree`] keeps.
-pub const MOST_LINKS: usize = 64;
+pub const MAX_COUNCIL_PROOFS: usize = 64;
 
 /// A seal that several hold. Printed short: by its index and what begins the state's root.
 #[derive(Clone, PartialEq, Eq)]
-pub struct SharedSeal(Arc<Certificate>);
+pub struct SharedCertificate(Arc<Certificate>);
 
-impl SharedSeal {
+impl SharedCertificate {
     /// The index that it is of.
     pub fn index(&self) -> Version {
         self.0.statement.index
     }
 }
 
-impl From<Certificate> for SharedSeal {
+impl From<Certificate> for SharedCertificate {
     fn from(seal: Certificate) -> Self {
         Self(Arc::new(seal))
     }
 }
 
-impl Deref for SharedSeal {
+impl Deref for SharedCertificate {
     type Target = Certificate;
 
     fn deref(&self) -> &Certificate {
@@ -45,7 +45,7 @@
     }
 }
 
-impl fmt::Debug for SharedSeal {
+impl fmt::Debug for SharedCertificate {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Statement { index, version, state_root: state, .. } = &self.0.statement;
         write!(to, "Seal({index} by council {version}, state {:02x?})", &state[..8])
@@ -54,11 +54,11 @@
 
 /// Why something was not believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unbelieved {
+pub enum VerificationError {
     /// A majority's signatures are wanting.
     Unsigned,
     /// It is by a council that is not known (yet), or no longer the newest.
-    OtherCouncil,
+    UnknownCouncil,
 }
 
 /// The newest council that is proved, and seals by it.
@@ -69,7 +69,7 @@
     /// Since when it votes.
     version: Version,
     links: Vec<CouncilProof>,
-    seals: BTreeMap<Version, SharedSeal>,
+    seals: BTreeMap<Version, SharedCertificate>,
 }
 
 impl<K: Signer> Trust<K> {
@@ -89,31 +89,31 @@
     }
 
     /// Since when the newest council votes that is proved.
-    pub fn version(&self) -> Version {
+    pub fn council_since(&self) -> Version {
         self.version
     }
 
     /// The proofs of all councils since the founders'.
-    pub fn links(&self) -> &[CouncilProof] {
+    pub fn council_proofs(&self) -> &[CouncilProof] {
         &self.links
     }
 
     /// Whether a link could be the next one.
     pub fn is_next(&self, link: &CouncilProof) -> bool {
-        link.certificate.statement.version > self.version && self.links.len() < MOST_LINKS
+        link.certificate.statement.version > self.version && self.links.len() < MAX_COUNCIL_PROOFS
     }
 
     /// Goes on to the next council.
     ///
     /// # Errors
     ///
-    /// [`Unbelieved`] where a majority of the council before it does not prove it.
-    pub fn follow(&mut self, link: CouncilProof) -> Result<(), Unbelieved> {
+    /// [`VerificationError`] where a majority of the council before it does not prove it.
+    pub fn advance_council(&mut self, link: CouncilProof) -> Result<(), VerificationError> {
         if !self.is_next(&link) {
-            return Err(Unbelieved::OtherCouncil);
+            return Err(VerificationError::UnknownCouncil);
         }
         if !link.is_valid(&self.council, &self.keys) {
-            return Err(Unbelieved::Unsigned);
+            return Err(VerificationError::Unsigned);
         }
         (self.version, self.council) = (link.certificate.statement.version, link.council.clone());
         self.links.push(link);
@@ -121,12 +121,12 @@
     }
 
     /// The newest sealed index.
-    pub fn newest(&self) -> Version {
+    pub fn newest_index(&self) -> Version {
         self.seals.last_key_value().map_or(0, |(index, _)| *index)
     }
 
     /// Whether a seal of that index is known.
-    pub fn has_seal(&self, index: Version) -> bool {
+    pub fn has_certificate(&self, index: Version) -> bool {
         self.seals.contains_key(&index)
     }
 
@@ -134,34 +134,39 @@
     ///
     /// # Errors
     ///
-    /// [`Unbelieved`] where a majority of the newest council did not sign it.
-    pub fn seal(&mut self, seal: Certificate) -> Result<SharedSeal, Unbelieved> {
+    /// [`VerificationError`] where a majority of the newest council did not sign it.
+    pub fn add_certificate(&mut self, seal: Certificate) -> Result<SharedCertificate, VerificationError> {
         let of = &seal.statement;
         if let Some(known) = self.seals.get(&of.index).filter(|known| known.statement == *of) {
             return Ok(known.clone());
         }
         if of.version != self.version || of.council_digest != self.council.digest() {
-            return Err(Unbelieved::OtherCouncil);
+            return Err(VerificationError::UnknownCouncil);
         }
         if !seal.is_valid(&self.council, &self.keys) {
-            return Err(Unbelieved::Unsigned);
+            return Err(VerificationError::Unsigned);
         }
-        let (index, seal) = (of.index, SharedSeal::from(seal));
+        let (index, seal) = (of.index, SharedCertificate::from(seal));
         self.seals.insert(index, seal.clone());
-        if self.seals.len() > MOST_SEALS {
+        if self.seals.len() > MAX_CERTIFICATES {
             self.seals.pop_first();
         }
         Ok(seal)
     }
 
     /// The seal by which a proof of a scope holds.
-    pub fn proved(&self, scope: Scope, index: Version, proof: &ScopeProof) -> Option<SharedSeal> {
+    pub fn certificate_for(
+        &self,
+        scope: Scope,
+        index: Version,
+        proof: &ScopeProof,
+    ) -> Option<SharedCertificate> {
         let seal = self.seals.get(&index)?;
-        proof.check(&seal.statement.state_root, scope).is_ok().then(|| seal.clone())
+        proof.verify(&seal.statement.state_root, scope).is_ok().then(|| seal.clone())
     }
 
     /// Whether a voter of the newest council signed how far decisions were.
-    pub fn is_fresh(&self, proof: &FreshnessProof) -> bool {
+    pub fn is_valid_freshness_proof(&self, proof: &FreshnessProof) -> bool {
         proof.is_valid(&self.council, &self.keys)
     }
 }
--- a/distribution/src/wire.rs
+++ b/distribution/src/wire.rs
@@ -1,7 +1,7 @@
 //! The form of what subscribers and control machines say to each other, in postcard's compact encoding. Who
 //! says it is proved by the packet that carries it.
 //!
-//! A datagram holds a version byte and one message or more. [`pack`] and [`read`] are the two ways; what is
+//! A datagram holds a version byte and one message or more. [`encode`] and [`decode`] are the two ways; what is
 //! read has bounded keys, values and lists, and nothing else of it is checked.
 
 use agree::certificate::{Certificate, CouncilProof};
@@ -13,20 +13,20 @@
 use crate::Version;
 use crate::batch::BatchPath;
 use crate::cursor::Cursor;
-use crate::entry::{Key, LONGEST_VALUE};
-use crate::merkle::LONGEST_PATH;
+use crate::entry::{Key, MAX_VALUE_BYTES};
+use crate::merkle::MAX_PATH_LEN;
 use crate::scope::Scope;
 use crate::state::ScopeProof;
 
 /// The first byte of a datagram.
 pub const VERSION: u8 = 1;
 /// Bytes of the longest datagram: with what the packet around it takes it is cut up on no path.
-pub const LARGEST: usize = 1000;
+pub const MAX_DATAGRAM_BYTES: usize = 1000;
 /// Bytes of changes in one message: the longest change fits, and what stands beside them in the message
 /// (two places with keys of full length) still leaves it within a datagram.
-pub const MOST_CHANGES_BYTES: usize = 640;
+pub const MAX_CHANGES_BYTES: usize = 640;
 /// Scopes in one message at most.
-pub const MOST_SCOPES: usize = 64;
+pub const MAX_MESSAGE_SCOPES: usize = 64;
 
 /// Where a transfer of a scope stands, for whoever goes on with it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
     /// The version that it started from: removals after it must not be left out.
     pub base: Version,
     /// The newest state that a part of it came from: an older control machine cannot go on with it.
-    pub seen: Version,
+    pub source_version: Version,
     /// Up to where the changes are there.
     pub after: Cursor,
 }
@@ -55,7 +55,7 @@
     /// Drawn anew for each poll.
     pub nonce: u64,
     /// Since when the newest council votes whose proof the subscriber has.
-    pub council: Version,
+    pub council_since: Version,
     /// Some of its scopes, with what it has of each.
     pub scopes: Vec<(Scope, Position)>,
 }
@@ -80,7 +80,7 @@
     /// Removals up to this version are left out.
     pub base: Version,
     /// The state that they are read from.
-    pub seen: Version,
+    pub source_version: Version,
     /// They follow this place without a gap.
     pub after: Cursor,
     /// The changes.
@@ -91,10 +91,10 @@
 
 impl Changes {
     /// Up to where the scope's changes are known with them.
-    pub fn until(&self) -> Cursor {
+    pub fn end(&self) -> Cursor {
         let last = self.changes.last();
         match last {
-            _ if self.complete => Cursor::all_of(self.seen),
+            _ if self.complete => Cursor::end_of(self.source_version),
             Some(last) => Cursor::at(last.version, last.key.clone()),
             None => self.after.clone(),
         }
@@ -119,7 +119,7 @@
         index: Version,
     },
     /// From a control machine: a voter's word on how far decisions were after a poll was sent.
-    Fresh {
+    Freshness {
         /// The poll's nonce.
         nonce: u64,
         /// The way from the poll's nonce to the one that the voter was asked with.
@@ -139,11 +139,11 @@
         proof: ScopeProof,
     },
     /// From a control machine: a majority's signatures on the state at an index.
-    Seal(Certificate),
+    Certificate(Certificate),
     /// From a control machine: the proof of the council that follows the one that the subscriber knows.
-    Council(CouncilProof),
+    CouncilProof(CouncilProof),
     /// From a control machine that is full: poll again after so many milliseconds.
-    Later {
+    RetryLater {
         /// Milliseconds.
         after_ms: u32,
     },
@@ -151,8 +151,8 @@
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Unfit {
-    /// It is longer than [`LARGEST`].
+pub enum DecodeError {
+    /// It is longer than [`MAX_DATAGRAM_BYTES`].
     #[error("longer than any datagram")]
     Oversized,
     /// Its version is not known.
@@ -167,15 +167,15 @@
 }
 
 /// Puts messages into datagrams in their order, as many into each as fit. One that fits none is left out.
-pub fn pack(messages: &[Message]) -> Vec<Vec<u8>> {
+pub fn encode(messages: &[Message]) -> Vec<Vec<u8>> {
     let mut datagrams: Vec<Vec<u8>> = Vec::new();
     for message in messages {
         let bytes = postcard::to_stdvec(message).expect("plain data");
-        if bytes.len() + 1 > LARGEST {
+        if bytes.len() + 1 > MAX_DATAGRAM_BYTES {
             continue;
         }
         match datagrams.last_mut() {
-            Some(last) if last.len() + bytes.len() <= LARGEST => last.extend(bytes),
+            Some(last) if last.len() + bytes.len() <= MAX_DATAGRAM_BYTES => last.extend(bytes),
             _ => datagrams.push([&[VERSION], &bytes[..]].concat()),
         }
     }
@@ -186,40 +186,40 @@
 ///
 /// # Errors
 ///
-/// [`Unfit`] where any part of it is not as it must be; nothing of it is used then.
-pub fn read(bytes: &[u8]) -> Result<Vec<Message>, Unfit> {
-    if bytes.len() > LARGEST {
-        return Err(Unfit::Oversized);
+/// [`DecodeError`] where any part of it is not as it must be; nothing of it is used then.
+pub fn decode(bytes: &[u8]) -> Result<Vec<Message>, DecodeError> {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(DecodeError::Oversized);
     }
-    let (&version, mut body) = bytes.split_first().ok_or(Unfit::Form)?;
+    let (&version, mut body) = bytes.split_first().ok_or(DecodeError::Form)?;
     if version != VERSION {
-        return Err(Unfit::Version);
+        return Err(DecodeError::Version);
     }
     let mut messages = Vec::new();
     while !body.is_empty() {
-        let (message, rest) = postcard::take_from_bytes::<Message>(body).map_err(|_| Unfit::Form)?;
+        let (message, rest) = postcard::take_from_bytes::<Message>(body).map_err(|_| DecodeError::Form)?;
         if !is_bounded(&message) {
-            return Err(Unfit::Bounds);
+            return Err(DecodeError::Bounds);
         }
         messages.push(message);
         body = rest;
     }
-    if messages.is_empty() { Err(Unfit::Form) } else { Ok(messages) }
+    if messages.is_empty() { Err(DecodeError::Form) } else { Ok(messages) }
 }
 
 fn is_bounded(message: &Message) -> bool {
     let fits = |seal: &Certificate| seal.signatures.len() <= MAX_VOTERS;
     match message {
-        Message::Poll(poll) => poll.scopes.len() <= MOST_SCOPES,
-        Message::Unsubscribe { scopes } => scopes.len() <= MOST_SCOPES,
+        Message::Poll(poll) => poll.scopes.len() <= MAX_MESSAGE_SCOPES,
+        Message::Unsubscribe { scopes } => scopes.len() <= MAX_MESSAGE_SCOPES,
         Message::Changes(changes) => changes.changes.iter().all(|change| {
             let length = change.value.as_ref().map_or(0, Vec::len);
-            length <= LONGEST_VALUE
+            length <= MAX_VALUE_BYTES
         }),
-        Message::Proof { proof, .. } => proof.path.len() <= LONGEST_PATH,
-        Message::Seal(seal) => fits(seal),
-        Message::Council(link) => fits(&link.certificate) && link.council.voters().len() <= MAX_VOTERS,
-        Message::Fresh { path, .. } => path.is_bounded(),
-        Message::Alive { .. } | Message::Later { .. } => true,
+        Message::Proof { proof, .. } => proof.path.len() <= MAX_PATH_LEN,
+        Message::Certificate(seal) => fits(seal),
+        Message::CouncilProof(link) => fits(&link.certificate) && link.council.voters().len() <= MAX_VOTERS,
+        Message::Freshness { path, .. } => path.is_bounded(),
+        Message::Alive { .. } | Message::RetryLater { .. } => true,
     }
 }
--- a/distribution/tests/crowds.rs
+++ b/distribution/tests/crowds.rs
@@ -55,12 +55,12 @@
         (0..2100).for_each(|number| world.kill_proxy(number));
         world.set(Scope::All, "limit", &[2; 20]);
         world.run(12.0 * HEARTBEAT);
-        assert_eq!(world.control(0).standing().subscribers, 0, "those that are gone are forgotten");
+        assert_eq!(world.control(0).status().subscribers, 0, "those that are gone are forgotten");
     }
-    let before = world.control(0).standing().counts;
+    let before = world.control(0).status().counts;
     (0..2100).for_each(|number| world.start_proxy(number));
     let took = world.run_until_all_are_new(heartbeats * HEARTBEAT);
-    let standing = world.control(0).standing();
+    let standing = world.control(0).status();
     let sent = standing.counts.sent_bytes - before.sent_bytes;
     let deferred = standing.counts.deferred - before.deferred;
     println!("{took} ms, {sent} bytes sent, {deferred} told to come later");
@@ -86,14 +86,14 @@
 fn a_full_control_machine_tells_the_rest_to_come_later_and_they_find_another() {
     let mut world = World::new(2, 1);
     world.set(Scope::All, "limit", &[1; 20]);
-    world.terms.most_subscribers = 15;
+    world.terms.max_subscribers = 15;
     (0..2).for_each(|number| world.start_machine(number));
     for _ in 0..28 {
         world.add_proxy(&[Scope::All]);
     }
     world.run_until_all_are_new(60.0 * HEARTBEAT);
-    let standings = [world.control(0).standing(), world.control(1).standing()];
-    assert!(standings.iter().all(|standing| standing.subscribers <= 15));
+    let statuses = [world.control(0).status(), world.control(1).status()];
+    assert!(statuses.iter().all(|standing| standing.subscribers <= 15));
 }
 
 #[test]
--- a/distribution/tests/operators.rs
+++ b/distribution/tests/operators.rs
@@ -11,8 +11,8 @@
 
 fn poll(in_force: Version) -> Vec<u8> {
     let position = Position { in_force, transfer: None };
-    let poll = Poll { nonce: 5, council: 0, scopes: vec![(SERVICE, position)] };
-    wire::pack(&[Message::Poll(poll)]).remove(0)
+    let poll = Poll { nonce: 5, council_since: 0, scopes: vec![(SERVICE, position)] };
+    wire::encode(&[Message::Poll(poll)]).remove(0)
 }
 
 fn settled(proxies: usize) -> World {
@@ -37,15 +37,18 @@
     let changes = world.control(0).changes(world.now);
     let shown = changes.iter().find(|change| change.version == version).expect("shown");
     assert_eq!((shown.scope, shown.key.as_str(), shown.removed), (SERVICE, "b", false));
-    assert_eq!((shown.acknowledged, shown.lacking), (9, 1));
-    assert_eq!(shown.names[0].id, subscriber_id(4));
+    assert_eq!((shown.acknowledged, shown.missing), (9, 1));
+    assert_eq!(shown.longest_missing[0].id, subscriber_id(4));
     let expected = 2.5 * HEARTBEAT..3.5 * HEARTBEAT;
-    assert!(expected.contains(&shown.names[0].since_ms) && expected.contains(&shown.since_ms), "{shown:?}");
-    assert!(shown.names[0].silent_ms > 2.0 * HEARTBEAT, "and that it is gone: {shown:?}");
+    assert!(
+        expected.contains(&shown.longest_missing[0].since_ms) && expected.contains(&shown.since_ms),
+        "{shown:?}"
+    );
+    assert!(shown.longest_missing[0].silent_ms > 2.0 * HEARTBEAT, "and that it is gone: {shown:?}");
     assert!(changes[0].removed, "the newest first");
     world.links.heal();
     world.run(IN_FORCE);
-    assert!(world.control(0).changes(world.now).iter().all(|change| change.lacking == 0));
+    assert!(world.control(0).changes(world.now).iter().all(|change| change.missing == 0));
 }
 
 #[test]
@@ -64,10 +67,10 @@
     world.run(HEARTBEAT);
     let shown = world.control(0).changes(world.now).remove(0);
     assert_eq!(shown.version, version);
-    assert_eq!((shown.acknowledged, shown.lacking), (5, 1), "nobody acknowledges what was not sealed yet");
-    assert_eq!(shown.names[0].id, liar);
-    assert!(world.control(0).standing().counts.ahead > 0);
+    assert_eq!((shown.acknowledged, shown.missing), (5, 1), "nobody acknowledges what was not sealed yet");
+    assert_eq!(shown.longest_missing[0].id, liar);
+    assert!(world.control(0).status().counts.ahead > 0);
     say(&mut world, version);
     let shown = world.control(0).changes(world.now).remove(0);
-    assert_eq!((shown.acknowledged, shown.lacking), (6, 0), "it is believed to say so, and no more is shown");
+    assert_eq!((shown.acknowledged, shown.missing), (6, 0), "it is believed to say so, and no more is shown");
 }
--- a/distribution/tests/search.rs
+++ b/distribution/tests/search.rs
@@ -13,9 +13,9 @@
 use agree::Id;
 use agree::freshness::FreshnessProof;
 use council::{Council, Keys};
-use distribution::faults::{Fault, plant};
+use distribution::faults::{Fault, inject_fault};
 use distribution::placement::ControlMachine;
-use distribution::state::LEAST_REMOVALS;
+use distribution::state::MIN_REMEMBERED_REMOVALS;
 use distribution::{Control, ControlTerms, Scope, Subscriber, SubscriberTerms, Version};
 use rstest::rstest;
 
@@ -73,7 +73,7 @@
 fn control(restarts: u64, now: f64) -> Control {
     let terms = ControlTerms {
         heartbeat: HEARTBEAT,
-        most_subscribers: 10,
+        max_subscribers: 10,
         bytes_per_second: 1e6,
         subscriber_bytes_per_second: 6000.0,
         snapshots_at_once: 10,
@@ -86,10 +86,10 @@
         id: place as Id,
         region: 1,
         controls: vec![ControlMachine { id: CONTROL as Id, region: 1 }],
-        founders,
+        bootstrap_members: founders,
         heartbeat: HEARTBEAT,
         lease: 10.0 * HEARTBEAT,
-        most_scope_bytes: 1 << 16,
+        max_scope_bytes: 1 << 16,
     };
     let mut subscriber = Subscriber::new(terms, Keys(place as Id), place as u64 + 10 * restarts, now);
     subscriber.subscribe(SCOPE, now);
@@ -97,7 +97,7 @@
 }
 
 fn long_key(key: &str) -> String {
-    key.repeat(distribution::entry::LONGEST_KEY)
+    key.repeat(distribution::entry::MAX_KEY_BYTES)
 }
 
 impl Small {
@@ -162,7 +162,7 @@
     fn behind() -> Self {
         let mut small = Self::settled();
         small.links.clear();
-        for removal in 0..=LEAST_REMOVALS {
+        for removal in 0..=MIN_REMEMBERED_REMOVALS {
             let key = format!("r{removal}");
             small.council.decide(small.now, &[(SCOPE, &key, None)]);
         }
@@ -192,10 +192,10 @@
     fn follow(&mut self) {
         while self.followed < self.council.index() {
             self.followed += 1;
-            self.control.decided(self.followed, self.council.changes(self.followed).to_vec());
+            self.control.add_decided_changes(self.followed, self.council.changes(self.followed).to_vec());
         }
         if let Some(seal) = self.council.seal(self.followed) {
-            self.control.sealed(seal, self.council.links());
+            self.control.update_certificate(seal, self.council.links());
         }
         self.control.turn(self.now);
         self.carry_on(CONTROL);
@@ -212,7 +212,7 @@
     /// What comes of a step at one of them.
     fn carry_on(&mut self, place: usize) {
         if place == CONTROL {
-            while let Some(nonce) = self.control.ask() {
+            while let Some(nonce) = self.control.next_freshness_request() {
                 self.answers.push(self.council.fresh(nonce));
             }
             while let Some(out) = self.control.outgoing() {
@@ -221,8 +221,8 @@
             return;
         }
         let number = place - 1;
-        while self.subscribers[number].changed().is_some() {}
-        if let Some(bytes) = self.subscribers[number].saved() {
+        while self.subscribers[number].next_changed_scope().is_some() {}
+        if let Some(bytes) = self.subscribers[number].state_to_save() {
             let disk = &mut self.disks[number];
             disk.1 = std::mem::replace(&mut disk.0, bytes);
         }
@@ -245,7 +245,7 @@
     fn time(&mut self) {
         self.now += TIME;
         for proof in std::mem::take(&mut self.answers) {
-            self.control.fresh(self.now, proof);
+            self.control.receive_freshness_proof(self.now, proof);
         }
         self.control.turn(self.now);
         self.carry_on(CONTROL);
@@ -282,7 +282,7 @@
         if self.decided < SCRIPT.len() {
             steps.push(Step::Decide);
         }
-        if self.followed < self.council.index() || self.control.standing().index == 0 {
+        if self.followed < self.council.index() || self.control.status().index == 0 {
             steps.push(Step::Follow);
         }
         for (&(from, to), waiting) in self.links.iter().filter(|(_, waiting)| !waiting.is_empty()) {
@@ -338,8 +338,8 @@
             if covered > index {
                 return Some(format!("subscriber {number} at {index} claims to know {covered}"));
             }
-            let counts = subscriber.standing(self.now).counts;
-            if counts.mismatched + counts.malformed + counts.unproved > 0 {
+            let counts = subscriber.status(self.now).counts;
+            if counts.mismatched + counts.malformed + counts.unverified > 0 {
                 return Some(format!("subscriber {number} found fault with an honest machine: {counts:?}"));
             }
         }
@@ -465,11 +465,11 @@
 }
 
 #[rstest]
-#[case::staged_content_is_not_compared(Fault::Unproved, Small::settled(), "has not what was decided")]
-#[case::an_older_seal_is_taken(Fault::OlderSeal, Small::late(), "went back")]
-#[case::a_snapshot_goes_on_without_deltas(Fault::NoDeltas, Small::behind(), "found fault")]
+#[case::staged_content_is_not_compared(Fault::SkipDigestCheck, Small::settled(), "has not what was decided")]
+#[case::an_older_seal_is_taken(Fault::AcceptOlderCertificate, Small::late(), "went back")]
+#[case::a_snapshot_goes_on_without_deltas(Fault::OmitDeltas, Small::behind(), "found fault")]
 fn a_fault_put_in_on_purpose_is_found(#[case] fault: Fault, #[case] start: Small, #[case] how: &str) {
-    plant(Some(fault));
+    inject_fault(Some(fault));
     let found = search(start, 4, 1);
     println!("{fault:?}: {} states, {:?}", found.states, found.broken);
     let broken = found.broken.expect("found");
--- a/distribution/tests/state.rs
+++ b/distribution/tests/state.rs
@@ -1,11 +1,11 @@
 //! The state of all scopes: versions, digests, proofs, and reading on from any place while it changes.
 
-use distribution::content::{Content, EMPTY};
+use distribution::content::{Content, EMPTY_DIGEST};
 use distribution::cursor::Cursor;
-use distribution::entry::{Change, Entry, Key, LONGEST_KEY, LONGEST_VALUE, Unfit};
-use distribution::merkle::{Summary, Unproved};
+use distribution::entry::{Change, Entry, InvalidEntry, Key, MAX_KEY_BYTES, MAX_VALUE_BYTES};
+use distribution::merkle::{PathError, ScopeSummary};
 use distribution::scope::Scope;
-use distribution::state::{LEAST_REMOVALS, Refused, ScopedState, SnapshotNeeded};
+use distribution::state::{ApplyError, MIN_REMEMBERED_REMOVALS, ScopedState, SnapshotNeeded};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -31,10 +31,10 @@
 }
 
 #[rstest]
-#[case::empty("".to_owned(), Err(Unfit::EmptyKey))]
-#[case::longest("k".repeat(LONGEST_KEY), Ok(()))]
-#[case::too_long("k".repeat(LONGEST_KEY + 1), Err(Unfit::LongKey(LONGEST_KEY + 1)))]
-fn keys_are_bounded(#[case] name: String, #[case] expected: Result<(), Unfit>) {
+#[case::empty("".to_owned(), Err(InvalidEntry::EmptyKey))]
+#[case::longest("k".repeat(MAX_KEY_BYTES), Ok(()))]
+#[case::too_long("k".repeat(MAX_KEY_BYTES + 1), Err(InvalidEntry::LongKey(MAX_KEY_BYTES + 1)))]
+fn keys_are_bounded(#[case] name: String, #[case] expected: Result<(), InvalidEntry>) {
     assert_eq!(Key::new(name.clone()).map(drop), expected);
     let decoded: Result<Key, _> = postcard::from_bytes(&postcard::to_stdvec(&name).unwrap());
     assert_eq!(decoded.is_ok(), expected.is_ok());
@@ -45,9 +45,9 @@
     let mut state = state([set(SERVICE, "a", 5, b"1")]);
     let before = state.clone();
     let older = state.apply(set(SERVICE, "b", 4, b"2"));
-    assert_eq!(older, Err(Refused::Older { given: 4, newest: 5 }));
-    let long = state.apply(set(SERVICE, "b", 6, &[0; LONGEST_VALUE + 1]));
-    assert_eq!(long, Err(Refused::Unfit(Unfit::LongValue(LONGEST_VALUE + 1))));
+    assert_eq!(older, Err(ApplyError::Older { given: 4, newest: 5 }));
+    let long = state.apply(set(SERVICE, "b", 6, &[0; MAX_VALUE_BYTES + 1]));
+    assert_eq!(long, Err(ApplyError::InvalidEntry(InvalidEntry::LongValue(MAX_VALUE_BYTES + 1))));
     assert_eq!(state, before);
     state.apply(set(SERVICE, "b", 5, b"2")).expect("the same decision may change several keys");
     state.apply(set(Scope::All, "b", 1, b"2")).expect("scopes have versions of their own");
@@ -77,14 +77,14 @@
     let root = state.root();
     for &scope in &scopes {
         let proof = state.proof(scope);
-        assert_eq!(proof.check(&root, scope), Ok(()));
-        assert_eq!(proof.check(&[1; 32], scope), Err(Unproved::OtherRoot));
-        assert!(proof.check(&root, Scope::Service(1000)).is_err(), "of another scope");
+        assert_eq!(proof.verify(&root, scope), Ok(()));
+        assert_eq!(proof.verify(&[1; 32], scope), Err(PathError::RootMismatch));
+        assert!(proof.verify(&root, Scope::Service(1000)).is_err(), "of another scope");
         let mut forged = proof.clone();
         forged.summary.version = 4;
-        assert_eq!(forged.check(&root, scope), Err(Unproved::OtherRoot));
-        forged.summary = Summary::default();
-        assert!(forged.check(&root, scope).is_err(), "a scope that is there was denied");
+        assert_eq!(forged.verify(&root, scope), Err(PathError::RootMismatch));
+        forged.summary = ScopeSummary::default();
+        assert!(forged.verify(&root, scope).is_err(), "a scope that is there was denied");
     }
 }
 
@@ -94,12 +94,12 @@
     let root = state.root();
     for scope in (50..2000).map(Scope::Service) {
         let proof = state.proof(scope);
-        assert_eq!(proof.summary, Summary { digest: EMPTY, version: 0 });
-        assert_eq!(proof.check(&root, scope), Ok(()), "{scope}");
-        let denied = (0..50).map(Scope::Service).find(|&there| proof.check(&root, there).is_ok());
+        assert_eq!(proof.summary, ScopeSummary { digest: EMPTY_DIGEST, version: 0 });
+        assert_eq!(proof.verify(&root, scope), Ok(()), "{scope}");
+        let denied = (0..50).map(Scope::Service).find(|&there| proof.verify(&root, there).is_ok());
         assert_eq!(denied, None, "the proof that {scope} is not there denies another");
     }
-    assert_eq!(ScopedState::default().proof(SERVICE).check(&ScopedState::default().root(), SERVICE), Ok(()));
+    assert_eq!(ScopedState::default().proof(SERVICE).verify(&ScopedState::default().root(), SERVICE), Ok(()));
 }
 
 #[test]
@@ -115,8 +115,8 @@
 #[test]
 fn an_emptied_scope_keeps_its_version_and_the_digest_of_nothing() {
     let state = state([set(SERVICE, "a", 1, b"1"), remove(SERVICE, "a", 2)]);
-    assert_eq!(state.summary(SERVICE), Summary { digest: EMPTY, version: 2 });
-    assert_eq!(state.proof(SERVICE).check(&state.root(), SERVICE), Ok(()));
+    assert_eq!(state.summary(SERVICE), ScopeSummary { digest: EMPTY_DIGEST, version: 2 });
+    assert_eq!(state.proof(SERVICE).verify(&state.root(), SERVICE), Ok(()));
 }
 
 #[test]
@@ -138,10 +138,10 @@
     for version in 1..=1000 {
         state.apply(remove(SERVICE, &format!("r{version}"), version)).unwrap();
     }
-    let floor = 1000 - LEAST_REMOVALS as u64;
-    let read = |base| state.changes(SERVICE, base, &Cursor::all_of(base), usize::MAX);
+    let floor = 1000 - MIN_REMEMBERED_REMOVALS as u64;
+    let read = |base| state.changes(SERVICE, base, &Cursor::end_of(base), usize::MAX);
     assert_eq!(read(floor - 1), Err(SnapshotNeeded { floor }));
-    assert_eq!(read(floor).expect("not forgotten").changes.len(), LEAST_REMOVALS);
+    assert_eq!(read(floor).expect("not forgotten").changes.len(), MIN_REMEMBERED_REMOVALS);
 }
 
 /// Reads a scope in small pieces from a base on, after a cursor, while the state goes on changing in between.
@@ -154,7 +154,7 @@
 ) {
     loop {
         let Ok(run) = state.changes(SERVICE, base, &cursor, 60) else {
-            let (base, cursor) = (state.version(), Cursor::all_of(0));
+            let (base, cursor) = (state.version(), Cursor::end_of(0));
             return read_on(Content::default(), base, cursor, state, &mut |_| ());
         };
         for (version, key, value) in run.changes {
@@ -194,7 +194,7 @@
             held = state.content(SERVICE).cloned().unwrap_or_default();
         }
     }
-    let cursor = Cursor::all_of(base.unwrap_or(0));
+    let cursor = Cursor::end_of(base.unwrap_or(0));
     let base = base.unwrap_or(state.version());
     for _ in 0..20 {
         let mut version = state.version();
--- a/distribution/tests/stories.rs
+++ b/distribution/tests/stories.rs
@@ -105,7 +105,7 @@
         world.run(100.0);
         world.decide(&[(SERVICE, &format!("e{}", round * 5), None)]);
         world.set(SERVICE, &format!("n{round}"), &[3; 20]);
-        snapshots = snapshots.max(world.control(0).standing().snapshots);
+        snapshots = snapshots.max(world.control(0).status().snapshots);
     }
     assert_eq!(snapshots, 1, "one reads from the beginning, the other goes on");
     world.run_until_all_are_new(5.0 * IN_FORCE);
@@ -166,7 +166,7 @@
     world.links.heal();
     world.run(12.0 * HEARTBEAT);
     assert_eq!(world.subscriber(3).content(OTHER), None, "nothing of it is kept");
-    let sessions = (0..2).map(|n| world.control(n).standing().subscribers).sum::<usize>();
+    let sessions = (0..2).map(|n| world.control(n).status().subscribers).sum::<usize>();
     assert_eq!(sessions, 10);
 }
 
@@ -183,7 +183,7 @@
     world.run(5.0 * HEARTBEAT);
     let newest = world.council.index();
     assert!((0..20).all(|n| world.subscriber(n).index(SERVICE) == newest));
-    assert!(world.control(0).standing().counts.ahead > 0, "it sees that others know more");
+    assert!(world.control(0).status().counts.ahead > 0, "it sees that others know more");
     world.machines[0].stops_at = u64::MAX;
     world.set(SERVICE, "new", b"1");
     world.run_until_all_are_new(IN_FORCE);
@@ -268,14 +268,14 @@
     let fresh = world.add_proxy(&[SERVICE]);
     world.run_until_all_are_new(3.0 * IN_FORCE);
     world.run(2.0 * HEARTBEAT);
-    let version = world.subscriber(1).standing(world.now).council;
+    let version = world.subscriber(1).status(world.now).council_since;
     assert!(version > 0);
     for number in [0, fresh] {
-        assert_eq!(world.subscriber(number).standing(world.now).council, version);
+        assert_eq!(world.subscriber(number).status(world.now).council_since, version);
         world.kill_proxy(number);
         world.start_proxy(number);
-        let standing = world.subscriber(number).standing(world.now);
-        assert_eq!((standing.council, standing.scopes[&SERVICE].0), (version, world.council.index()));
+        let standing = world.subscriber(number).status(world.now);
+        assert_eq!((standing.council_since, standing.scopes[&SERVICE].0), (version, world.council.index()));
     }
 }
 
@@ -312,7 +312,7 @@
     let mut world = settled(3, 150, 1);
     let served = |world: &World, n: usize| {
         let control = world::control_id(n);
-        let at = |&p: &usize| world.subscriber(p).standing(world.now).control.0 == control;
+        let at = |&p: &usize| world.subscriber(p).status(world.now).control.0 == control;
         (0..150).filter(at).count()
     };
     let before: Vec<usize> = (0..3).map(|n| served(&world, n)).collect();
--- a/distribution/tests/world/mod.rs
+++ b/distribution/tests/world/mod.rs
@@ -44,7 +44,7 @@
 pub fn control_terms() -> ControlTerms {
     ControlTerms {
         heartbeat: HEARTBEAT,
-        most_subscribers: 3000,
+        max_subscribers: 3000,
         bytes_per_second: 8e6,
         subscriber_bytes_per_second: 6000.0,
         snapshots_at_once: 128,
@@ -186,10 +186,10 @@
             id: subscriber_id(number),
             region: proxy.region,
             controls,
-            founders: self.council.founders(),
+            bootstrap_members: self.council.founders(),
             heartbeat: HEARTBEAT,
             lease: LEASE,
-            most_scope_bytes: 1 << 20,
+            max_scope_bytes: 1 << 20,
         };
         let mut subscriber = Subscriber::new(terms, Keys(subscriber_id(number)), seed, now);
         proxy.scopes.iter().for_each(|&scope| subscriber.subscribe(scope, now));
@@ -283,10 +283,11 @@
             let Some(control) = machine.control.as_mut().filter(|_| !cut) else { continue };
             while machine.followed < self.council.index().min(machine.stops_at) {
                 machine.followed += 1;
-                control.decided(machine.followed, self.council.changes(machine.followed).to_vec());
+                control
+                    .add_decided_changes(machine.followed, self.council.changes(machine.followed).to_vec());
             }
             if let Some(seal) = self.council.seal(machine.followed) {
-                control.sealed(seal, self.council.links());
+                control.update_certificate(seal, self.council.links());
             }
         }
     }
@@ -294,7 +295,7 @@
     fn answer(&mut self) {
         while let Some((_, to, proof)) = self.answers.pop_front_if(|(at, _, _)| *at <= self.now) {
             if let Some(control) = self.machines[to].control.as_mut() {
-                control.fresh(self.now, proof);
+                control.receive_freshness_proof(self.now, proof);
             }
         }
     }
@@ -321,7 +322,7 @@
         if control.due() <= now {
             control.turn(now);
         }
-        while let Some(nonce) = control.ask() {
+        while let Some(nonce) = control.next_freshness_request() {
             if !cut && !self.leaderless {
                 self.answers.push_back((now + ASKING, number, self.council.fresh(nonce)));
             }
@@ -331,7 +332,7 @@
             sent += (out.bytes.len() + PACKET) as u64;
             self.links.send(now, from, place(out.to), out.bytes);
         }
-        let snapshots = control.standing().snapshots;
+        let snapshots = control.status().snapshots;
         let machine = &mut self.machines[number];
         machine.most_snapshots = machine.most_snapshots.max(snapshots);
         note(&mut machine.second, &mut machine.most_in_a_second, now, sent);
@@ -354,9 +355,9 @@
             sent += out.bytes.len() + PACKET;
             self.links.send(now, SUBSCRIBERS + number, place(out.to), out.bytes);
         }
-        while subscriber.changed().is_some() {}
+        while subscriber.next_changed_scope().is_some() {}
         if proxy.writes
-            && let Some(bytes) = subscriber.saved()
+            && let Some(bytes) = subscriber.state_to_save()
         {
             proxy.disk = bytes;
         }
@@ -379,9 +380,9 @@
                     proxy.reached.entry((scope, version)).or_insert(now);
                 }
             }
-            let counts = subscriber.standing(now).counts;
+            let counts = subscriber.status(now).counts;
             assert!(
-                !self.honest || counts.mismatched + counts.unproved + counts.malformed == 0,
+                !self.honest || counts.mismatched + counts.unverified + counts.malformed == 0,
                 "{counts:?}"
             );
             let covered = self.council.decided_by(now - subscriber.age(scope, now));
--- a/lab/src/scale/tier.rs
+++ b/lab/src/scale/tier.rs
@@ -88,10 +88,10 @@
             id: secrets.id(),
             region: fleet.layout.site(node).region as u16,
             controls: fleet.controls.clone(),
-            founders: fleet.council.voters.iter().map(|&voter| keys::secrets(voter).id()).collect(),
+            bootstrap_members: fleet.council.voters.iter().map(|&voter| keys::secrets(voter).id()).collect(),
             heartbeat: HEARTBEAT,
             lease: LEASE,
-            most_scope_bytes: MOST_SCOPE_BYTES,
+            max_scope_bytes: MOST_SCOPE_BYTES,
         };
         let channel = Channel::new(secrets.clone(), (*roster).clone(), EPOCH + now);
         let mut subscriber = Subscriber::new(terms, SharedKeys { secrets, roster }, seed, now);
@@ -108,11 +108,11 @@
 
     /// Looks at what has come into force, and keeps what is to be kept.
     fn take_over(&mut self) {
-        while let Some(scope) = self.subscriber.changed() {
+        while let Some(scope) = self.subscriber.next_changed_scope() {
             let newest = self.subscriber.content(scope).and_then(|of| of.iter().map(|entry| entry.1).max());
             self.versions.insert(scope, newest.unwrap_or(0));
         }
-        if let Some(saved) = self.subscriber.saved() {
+        if let Some(saved) = self.subscriber.state_to_save() {
             self.disk = saved;
         }
     }
@@ -181,7 +181,7 @@
     fn start(fleet: &TierFleet, node: NodeId, life: u32, disk: &[u8], (seed, now): (u64, f64)) -> Self {
         let terms = ControlTerms {
             heartbeat: HEARTBEAT,
-            most_subscribers: MOST_SUBSCRIBERS,
+            max_subscribers: MOST_SUBSCRIBERS,
             bytes_per_second: BYTES_PER_SECOND,
             subscriber_bytes_per_second: SUBSCRIBER_BYTES_PER_SECOND,
             snapshots_at_once: SNAPSHOTS_AT_ONCE,
@@ -201,24 +201,24 @@
         let agreement = self.council.agreement();
         let applied = agreement.applied();
         if let Some(changes) = agreement.machine_mut().take_changes() {
-            self.control.decided(applied, changes);
+            self.control.add_decided_changes(applied, changes);
         } else {
             self.control.restore(applied, agreement.machine().state().clone());
         }
-        if self.control.wants_state() {
+        if self.control.needs_state() {
             self.control.restore(applied, agreement.machine().state().clone());
         }
         if let Some(seal) = agreement.certificate().filter(|seal| seal.statement.index > self.sealed) {
             self.sealed = seal.statement.index;
-            self.control.sealed(seal, agreement.council_proofs());
+            self.control.update_certificate(seal, agreement.council_proofs());
         }
         while let Some(proof) = agreement.next_freshness_proof() {
-            self.control.fresh(now, proof);
+            self.control.receive_freshness_proof(now, proof);
         }
         if self.control.due() <= now {
             self.control.turn(now);
         }
-        while let Some(nonce) = self.control.ask() {
+        while let Some(nonce) = self.control.next_freshness_request() {
             agreement.request_freshness(nonce);
         }
     }
--- a/proxy/src/distributed/service.rs
+++ b/proxy/src/distributed/service.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use agree::Id;
-use distribution::progress::{ChangeProgress, Lacking};
+use distribution::progress::{ChangeProgress, MissingSubscriber};
 use distribution::{Control, ControlTerms};
 use gossip::Outgoing;
 use gossip::channel::Channel;
@@ -52,7 +52,7 @@
     ) -> Self {
         let control_terms = ControlTerms {
             heartbeat: terms.heartbeat,
-            most_subscribers: terms.max_subscribers,
+            max_subscribers: terms.max_subscribers,
             bytes_per_second: terms.bytes_per_second,
             subscriber_bytes_per_second: terms.subscriber_bytes_per_second,
             snapshots_at_once: terms.snapshots_at_once,
@@ -86,20 +86,20 @@
         let agreement = decided.agreement();
         let applied = agreement.applied();
         match agreement.machine_mut().take_changes() {
-            Changes::Since(changes) => self.control.decided(applied, changes),
+            Changes::Since(changes) => self.control.add_decided_changes(applied, changes),
             Changes::Reset => self.control.restore(applied, agreement.machine().scoped().clone()),
         }
-        if self.control.wants_state() {
+        if self.control.needs_state() {
             self.control.restore(applied, agreement.machine().scoped().clone());
         }
         if let Some(seal) = agreement.certificate() {
-            self.control.sealed(seal, agreement.council_proofs());
+            self.control.update_certificate(seal, agreement.council_proofs());
         }
         while let Some(proof) = agreement.next_freshness_proof() {
-            self.control.fresh(now, proof);
+            self.control.receive_freshness_proof(now, proof);
         }
         self.control.turn(now);
-        while let Some(nonce) = self.control.ask() {
+        while let Some(nonce) = self.control.next_freshness_request() {
             agreement.request_freshness(nonce);
         }
         self.send();
@@ -126,7 +126,7 @@
     /// Goes on with other keys, as in a rotation; `roster` is the subscribers'.
     pub fn rekey(&mut self, secrets: Secrets, roster: Roster) {
         for (gone, _) in self.addresses.extract_if(.., |id, _| !roster.contains(*id)) {
-            self.control.forget(gone);
+            self.control.remove_subscriber(gone);
         }
         self.channel.rekey(secrets, roster);
     }
@@ -137,7 +137,7 @@
 
     /// How it stands; `decided` is what it serves.
     pub fn status(&self, decided: &DecidedState) -> DistributionStatus {
-        let standing = self.control.standing();
+        let standing = self.control.status();
         let counts = standing.counts;
         let scoped = decided.scoped();
         let scope = |scope| ScopeStatus {
@@ -161,8 +161,8 @@
             channel: self.channel.counts(),
             counts: BTreeMap::from([
                 ("malformed".to_owned(), counts.malformed),
-                ("stray".to_owned(), counts.stray),
-                ("crowded".to_owned(), counts.crowded),
+                ("stray".to_owned(), counts.unexpected),
+                ("crowded".to_owned(), counts.rate_limited),
                 ("deferred".to_owned(), counts.deferred),
                 ("expired".to_owned(), counts.expired),
                 ("dropped".to_owned(), counts.dropped),
@@ -174,7 +174,7 @@
 
     /// Who of those that it serves has the newest changes.
     pub fn changes(&self, now: f64) -> Vec<ChangeStatus> {
-        let lacking = |of: &Lacking| LackingStatus {
+        let lacking = |of: &MissingSubscriber| LackingStatus {
             subscriber: self.name(of.id),
             since_ms: of.since_ms,
             silent_ms: of.silent_ms,
@@ -186,8 +186,8 @@
             removed: change.removed,
             since_ms: change.since_ms,
             have: change.acknowledged,
-            of: change.acknowledged + change.lacking,
-            lacking: change.names.iter().map(lacking).collect(),
+            of: change.acknowledged + change.missing,
+            lacking: change.longest_missing.iter().map(lacking).collect(),
         };
         self.control.changes(now).into_iter().map(row).collect()
     }
--- a/proxy/src/distributed/subscription.rs
+++ b/proxy/src/distributed/subscription.rs
@@ -9,7 +9,7 @@
 use distribution::Scope;
 use distribution::placement::ControlMachine;
 use distribution::saved::Restored;
-use distribution::subscriber::{LEASE_HEARTBEATS, MOST_SCOPE_BYTES, Subscriber, SubscriberTerms};
+use distribution::subscriber::{LEASE_HEARTBEATS, MAX_SCOPE_BYTES, Subscriber, SubscriberTerms};
 use gossip::Outgoing;
 use gossip::channel::Channel;
 use gossip::keys::{Roster, Secrets};
@@ -60,10 +60,10 @@
             id: channel.id(),
             region: terms.region,
             controls: terms.controls.iter().map(|control| control.machine).collect(),
-            founders: terms.bootstrap_members,
+            bootstrap_members: terms.bootstrap_members,
             heartbeat: terms.heartbeat,
             lease: LEASE_HEARTBEATS * terms.heartbeat,
-            most_scope_bytes: MOST_SCOPE_BYTES,
+            max_scope_bytes: MAX_SCOPE_BYTES,
         };
         let mut subscriber = Subscriber::new(subscriber_terms, keys, seed, now);
         terms.scopes.into_iter().for_each(|scope| subscriber.subscribe(scope, now));
@@ -78,7 +78,7 @@
 
     /// What is to be kept on the disk, where that has changed since it was last asked for.
     pub fn state_to_save(&mut self) -> Option<Vec<u8>> {
-        self.subscriber.saved()
+        self.subscriber.state_to_save()
     }
 
     /// Goes on with other keys, as in a rotation.
@@ -125,7 +125,7 @@
 
     /// Whether anything of what is in force has changed since this was last asked.
     pub fn take_changed(&mut self) -> bool {
-        std::iter::from_fn(|| self.subscriber.changed()).count() > 0
+        std::iter::from_fn(|| self.subscriber.next_changed_scope()).count() > 0
     }
 
     /// The servers that get nothing new by what is in force.
@@ -157,7 +157,7 @@
 
     /// How it stands.
     pub fn status(&self, now: f64) -> DistributionStatus {
-        let standing = self.subscriber.standing(now);
+        let standing = self.subscriber.status(now);
         let scope = |(scope, (index, age)): (&Scope, &(u64, f64))| ScopeStatus {
             scope: scope.to_string(),
             version: *index,
@@ -170,16 +170,16 @@
             role: DistributionRole::Subscriber,
             control: Some(self.name(control)),
             control_since_ms: Some(since),
-            council: standing.council,
+            council: standing.council_since,
             scopes: standing.scopes.iter().map(scope).collect(),
             drains: self.drains(),
             subscribers: None,
             channel: self.channel.counts(),
             counts: BTreeMap::from([
                 ("malformed".to_owned(), counts.malformed),
-                ("stray".to_owned(), counts.stray),
-                ("unproved".to_owned(), counts.unproved),
-                ("crowded".to_owned(), counts.crowded),
+                ("stray".to_owned(), counts.unexpected),
+                ("unproved".to_owned(), counts.unverified),
+                ("crowded".to_owned(), counts.rate_limited),
                 ("mismatched".to_owned(), counts.mismatched),
                 ("switched".to_owned(), counts.switched),
                 ("deferred".to_owned(), counts.deferred),
