--- a/distribution/src/batch.rs
+++ b/distribution/src/batch.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BatchPath {
     /// Where it stands in the batch.
-    place: u32,
+    index: u32,
     /// The hashes beside the way, from the nonce up; none where the way has no other side.
     siblings: Vec<Option<Nonce>>,
 }
@@ -24,17 +24,17 @@
     }
 
     /// Whether it leads from one to the other.
-    pub fn verifies(&self, nonce: u64, to: &Nonce) -> bool {
-        let (mut hash, mut place) = (leaf(nonce), self.place);
+    pub fn verifies(&self, nonce: u64, root: &Nonce) -> bool {
+        let (mut hash, mut index) = (hash_leaf(nonce), self.index);
         for sibling in &self.siblings {
             hash = match sibling {
-                None => branch(&hash, None),
-                Some(sibling) if place & 1 == 1 => branch(sibling, Some(&hash)),
-                Some(sibling) => branch(&hash, Some(sibling)),
+                None => hash_branch(&hash, None),
+                Some(sibling) if index & 1 == 1 => hash_branch(sibling, Some(&hash)),
+                Some(sibling) => hash_branch(&hash, Some(sibling)),
             };
-            place >>= 1;
+            index >>= 1;
         }
-        self.is_bounded() && hash == *to
+        self.is_bounded() && hash == *root
     }
 }
 
@@ -52,10 +52,10 @@
     /// out.
     pub fn new(nonces: &[u64]) -> Self {
         let mut levels =
-            vec![nonces.iter().take(Self::MAX_NONCES).map(|&nonce| leaf(nonce)).collect::<Vec<_>>()];
+            vec![nonces.iter().take(Self::MAX_NONCES).map(|&nonce| hash_leaf(nonce)).collect::<Vec<_>>()];
         while levels.last().is_some_and(|level| level.len() > 1) {
             let level = levels.last().expect("just looked at");
-            levels.push(level.chunks(2).map(|pair| branch(&pair[0], pair.get(1))).collect());
+            levels.push(level.chunks(2).map(|pair| hash_branch(&pair[0], pair.get(1))).collect());
         }
         Self { levels }
     }
@@ -66,24 +66,27 @@
     }
 
     /// The way from the nonce at a place.
-    pub fn path(&self, place: usize) -> BatchPath {
-        let below_the_top = &self.levels[..self.levels.len() - 1];
-        let sibling = |(depth, level): (usize, &Vec<Nonce>)| level.get(place >> depth ^ 1).copied();
-        BatchPath { place: place as u32, siblings: below_the_top.iter().enumerate().map(sibling).collect() }
+    pub fn path(&self, index: usize) -> BatchPath {
+        let levels_below_root = &self.levels[..self.levels.len() - 1];
+        let sibling = |(depth, level): (usize, &Vec<Nonce>)| level.get(index >> depth ^ 1).copied();
+        BatchPath {
+            index: index as u32,
+            siblings: levels_below_root.iter().enumerate().map(sibling).collect(),
+        }
     }
 }
 
-fn shortened(hasher: &blake3::Hasher) -> Nonce {
+fn truncate(hasher: &blake3::Hasher) -> Nonce {
     hasher.finalize().as_bytes()[..16].try_into().expect("as many bytes")
 }
 
-fn leaf(nonce: u64) -> Nonce {
+fn hash_leaf(nonce: u64) -> Nonce {
     let mut hasher = blake3::Hasher::new_derive_key("frostthread distribution 1 poll");
-    shortened(hasher.update(&nonce.to_le_bytes()))
+    truncate(hasher.update(&nonce.to_le_bytes()))
 }
 
-fn branch(left: &Nonce, right: Option<&Nonce>) -> Nonce {
+fn hash_branch(left: &Nonce, right: Option<&Nonce>) -> Nonce {
     let mut hasher = blake3::Hasher::new_derive_key("frostthread distribution 1 polls");
     hasher.update(left);
-    shortened(hasher.update(right.map_or(&[], |right| &right[..])))
+    truncate(hasher.update(right.map_or(&[], |right| &right[..])))
 }
--- a/distribution/src/content.rs
+++ b/distribution/src/content.rs
@@ -27,7 +27,7 @@
 impl Content {
     /// Puts an entry in the place of the former one of its key.
     pub fn insert(&mut self, entry: Entry) {
-        let hash = hash_of(&entry);
+        let hash = hash_entry(&entry);
         let Entry { key, version, value } = entry;
         self.entries.insert(key, Stored { version, value, hash });
     }
@@ -80,8 +80,8 @@
 }
 
 impl fmt::Debug for Content {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "Content({} entries, digest {:02x?})", self.len(), &self.digest()[..8])
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "Content({} entries, digest {:02x?})", self.len(), &self.digest()[..8])
     }
 }
 
@@ -93,7 +93,7 @@
     }
 }
 
-fn hash_of(entry: &Entry) -> Hash {
+fn hash_entry(entry: &Entry) -> Hash {
     let mut hasher = blake3::Hasher::new_derive_key("frostthread distribution 1 entry");
     hasher.update(&postcard::to_stdvec(entry).expect("plain data"));
     *hasher.finalize().as_bytes()
--- a/distribution/src/control.rs
+++ b/distribution/src/control.rs
@@ -29,44 +29,44 @@
 /// What is not acknowledged is sent again so many times a heartbeat. At 30% loss each way all but one in a
 /// million have it after some 12 times, within the 4 s in which a change must be in force. It costs bytes
 /// where packets take longer than this both ways.
-const REPEATS: f64 = 4.0;
+const REPEATS_PER_HEARTBEAT: f64 = 4.0;
 /// One subscriber is sent changes so many times a heartbeat at the most: what is decided in between goes
 /// along with the next, under one seal. More costs bytes in a burst, for a seal and a proof each time; less
 /// delays the later changes of a burst.
-const PUSHES: f64 = 4.0;
+const PUSHES_PER_HEARTBEAT: f64 = 4.0;
 /// A newer seal is proved to a subscriber of an unchanged scope once in this part of a heartbeat: that keeps
 /// the scope's age low. Less costs bytes while other scopes change.
-const REFRESH: f64 = 0.75;
+const REFRESH_HEARTBEATS: f64 = 0.75;
 /// What was sent is not sent again within this part of a heartbeat, though a poll that was on its way before
 /// still asks for it.
-const IN_FLIGHT: f64 = 1.0 / 8.0;
+const IN_FLIGHT_HEARTBEATS: f64 = 1.0 / 8.0;
 /// A subscriber that has not polled for so many heartbeats is forgotten. Less forgets those with bad links;
 /// more keeps sending to those who are gone.
-const GONE_HEARTBEATS: f64 = 10.0;
+const EXPIRY_HEARTBEATS: f64 = 10.0;
 /// To one that has not polled for so many heartbeats nothing is sent again, until it polls. At 30% loss one
 /// in some 10,000 is silent for as long that is there; more would send to those who are gone.
 const SILENT_HEARTBEATS: f64 = 2.5;
 /// The right to read a snapshot lapses when its holder has got no further for so many heartbeats.
-const SNAPSHOT_HEARTBEATS: f64 = 2.0;
+const SNAPSHOT_SLOT_HEARTBEATS: f64 = 2.0;
 /// Polls are gathered for this part of a heartbeat before the council is asked how far decisions are. Less
 /// asks it more often; more adds to every subscriber's age.
-const GATHER: f64 = 1.0 / 8.0;
+const GATHER_HEARTBEATS: f64 = 1.0 / 8.0;
 /// Batches of polls that wait for the council's answer.
-const MOST_BATCHES: usize = 16;
+const MAX_BATCHES: usize = 16;
 /// Whoever is told to come later is told so many heartbeats at most.
-const LATEST_HEARTBEATS: f64 = 8.0;
+const MAX_RETRY_HEARTBEATS: f64 = 8.0;
 /// The part of a second's bytes that may be sent at once after a pause. The rest comes evenly, so that no
 /// second has more than the setting.
-const BURST: f64 = 0.25;
+const BURST_FRACTION: f64 = 0.25;
 /// Bytes run short where less than this part of what may be sent at once is left.
-const BUSY: f64 = 0.5;
+const BUSY_FRACTION: f64 = 0.5;
 /// Bytes of the packet around a datagram, as they count against the bounds.
-const PACKET: usize = 120;
+const PACKET_OVERHEAD_BYTES: usize = 120;
 /// Councils that are proved to a subscriber at once: each fills most of a datagram.
-const LINKS_AT_ONCE: usize = 2;
+const COUNCIL_PROOFS_AT_ONCE: usize = 2;
 /// Datagrams that wait to be sent for each subscriber that may be there; past that the oldest are lost, as on
 /// the network.
-const MOST_OUT_EACH: usize = 8;
+const MAX_OUTGOING_PER_SUBSCRIBER: usize = 8;
 
 /// What is agreed for a control machine.
 #[derive(Clone, Debug, PartialEq)]
@@ -126,10 +126,10 @@
 }
 
 #[derive(Clone, Debug)]
-struct Asked {
+struct PendingBatch {
     batch: Batch,
     polls: Vec<(Id, u64)>,
-    at: f64,
+    requested_at: f64,
 }
 
 /// What a subscriber is to be sent of a scope.
@@ -150,14 +150,14 @@
 
 /// What was put together for a subscriber.
 #[derive(Debug, Default)]
-struct Served {
+struct Response {
     messages: Vec<Message>,
     /// A proof is among them: the seal goes along.
-    proves: bool,
+    includes_proof: bool,
     /// It is to be sent again until it is acknowledged.
-    repeats: bool,
+    needs_repeat: bool,
     /// Some scope is read from its beginning.
-    reads: bool,
+    reads_snapshot: bool,
     /// It is to come later for that.
     deferred: bool,
 }
@@ -166,46 +166,46 @@
 #[derive(Clone, Debug)]
 pub struct Control {
     terms: ControlTerms,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     replica: Replica,
-    links: Vec<CouncilProof>,
+    council_proofs: Vec<CouncilProof>,
     sessions: Sessions,
     /// Who reads a snapshot, and when each got further last.
     snapshots: BTreeMap<Id, f64>,
     /// Who was told to come later in this heartbeat, and in the one before.
     deferred: (usize, usize),
     progress: ChangeTracker,
-    bytes: TokenBucket,
+    byte_budget: TokenBucket,
     /// Polls whose senders are to be told how far decisions are.
     polls: Vec<(Id, u64)>,
     gather_until: f64,
-    wanted: VecDeque<Nonce>,
-    asked: VecDeque<Asked>,
+    freshness_requests: VecDeque<Nonce>,
+    pending_batches: VecDeque<PendingBatch>,
     sweep_at: f64,
-    out: VecDeque<Outgoing>,
+    outgoing: VecDeque<Outgoing>,
     counts: ControlCounts,
 }
 
 impl Control {
     /// One that serves nothing yet: [`Control::restore`] and [`Control::update_certificate`] give it what to serve.
     pub fn new(terms: ControlTerms, seed: u64, now: f64) -> Self {
-        let bytes = even(terms.bytes_per_second, now);
+        let bytes = new_byte_budget(terms.bytes_per_second, now);
         Self {
             sweep_at: now + terms.heartbeat,
             terms,
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             replica: Replica::default(),
-            links: Vec::new(),
+            council_proofs: Vec::new(),
             sessions: Sessions::default(),
             snapshots: BTreeMap::new(),
             deferred: (0, 0),
             progress: ChangeTracker::default(),
-            bytes,
+            byte_budget: bytes,
             polls: Vec::new(),
             gather_until: f64::INFINITY,
-            wanted: VecDeque::new(),
-            asked: VecDeque::new(),
-            out: VecDeque::new(),
+            freshness_requests: VecDeque::new(),
+            pending_batches: VecDeque::new(),
+            outgoing: VecDeque::new(),
             counts: ControlCounts::default(),
         }
     }
@@ -230,10 +230,13 @@
 
     /// The newest seal that is known, and the proofs of the councils since the founding, as far as they are
     /// kept, the oldest first. To be called also where they are the same again.
-    pub fn update_certificate(&mut self, seal: &Certificate, links: &[CouncilProof]) {
-        self.replica.update_certificate(seal);
-        if self.links.len() != links.len() || self.links.last() != links.last() {
-            self.links = links[links.len().saturating_sub(MAX_COUNCIL_PROOFS)..].to_vec();
+    pub fn update_certificate(&mut self, certificate: &Certificate, council_proofs: &[CouncilProof]) {
+        self.replica.update_certificate(certificate);
+        if self.council_proofs.len() != council_proofs.len()
+            || self.council_proofs.last() != council_proofs.last()
+        {
+            self.council_proofs =
+                council_proofs[council_proofs.len().saturating_sub(MAX_COUNCIL_PROOFS)..].to_vec();
         }
     }
 
@@ -247,22 +250,22 @@
         for (scope, version) in changed {
             for id in self.sessions.missing(scope, version) {
                 let pushed = self.sessions.get(id).map_or(f64::NEG_INFINITY, |session| session.pushed_at);
-                self.sessions.serve_by(id, now.max(pushed + self.terms.heartbeat / PUSHES));
+                self.sessions.serve_by(id, now.max(pushed + self.terms.heartbeat / PUSHES_PER_HEARTBEAT));
             }
         }
     }
 
     /// What the council is to be asked with, for the polls of many: [`agree::Agreement::request_freshness`].
     pub fn next_freshness_request(&mut self) -> Option<Nonce> {
-        self.wanted.pop_front()
+        self.freshness_requests.pop_front()
     }
 
     /// A voter's answer to what [`Control::next_freshness_request`] gave.
     pub fn receive_freshness_proof(&mut self, now: f64, proof: FreshnessProof) {
-        let found = self.asked.iter().position(|asked| asked.batch.nonce() == proof.nonce);
-        let Some(asked) = found.and_then(|found| self.asked.remove(found)) else { return };
-        for (place, &(id, nonce)) in asked.polls.iter().enumerate() {
-            let path = asked.batch.path(place);
+        let found = self.pending_batches.iter().position(|pending| pending.batch.nonce() == proof.nonce);
+        let Some(pending) = found.and_then(|found| self.pending_batches.remove(found)) else { return };
+        for (leaf_index, &(id, nonce)) in pending.polls.iter().enumerate() {
+            let path = pending.batch.path(leaf_index);
             self.send(now, id, &[Message::Freshness { nonce, path, proof: proof.clone() }]);
         }
     }
@@ -282,14 +285,14 @@
         };
         for message in messages {
             match message {
-                Message::Poll(poll) => self.polled(now, from, poll),
-                Message::Unsubscribe { scopes } => self.unsubscribed(from, &scopes),
+                Message::Poll(poll) => self.handle_poll(now, from, poll),
+                Message::Unsubscribe { scopes } => self.handle_unsubscribe(from, &scopes),
                 _ => self.counts.unexpected += 1,
             }
         }
     }
 
-    fn unsubscribed(&mut self, from: Id, scopes: &[Scope]) {
+    fn handle_unsubscribe(&mut self, from: Id, scopes: &[Scope]) {
         let Some(session) = self.sessions.get_mut(from) else { return };
         session.scopes.retain(|scope, _| !scopes.contains(scope));
         if session.scopes.is_empty() {
@@ -302,7 +305,7 @@
         self.snapshots.remove(&id);
     }
 
-    fn polled(&mut self, now: f64, from: Id, poll: Poll) {
+    fn handle_poll(&mut self, now: f64, from: Id, poll: Poll) {
         let (known, full) =
             (self.sessions.get(from).is_some(), self.sessions.len() >= self.terms.max_subscribers);
         let index = self.replica.index();
@@ -314,7 +317,7 @@
         if !known && full {
             return self.defer(now, from);
         }
-        let bytes = even(self.terms.subscriber_bytes_per_second, now);
+        let bytes = new_byte_budget(self.terms.subscriber_bytes_per_second, now);
         let session = self.sessions.open(from, bytes, self.terms.heartbeat, now);
         if !session.poll_budget.try_spend(now, 1.0) {
             self.counts.rate_limited += 1;
@@ -332,9 +335,11 @@
             {
                 *at = now;
             }
-            let (sent, proved) = before.map_or((None, f64::NEG_INFINITY), |of| (of.sent, of.proved_at));
+            let (sent, proved) = before.map_or((None, f64::NEG_INFINITY), |subscription| {
+                (subscription.sent, subscription.proved_at)
+            });
             let acknowledged = position.in_force.min(index);
-            let of = ScopeSubscription {
+            let subscription = ScopeSubscription {
                 position,
                 acknowledged,
                 polled_at: now,
@@ -342,7 +347,7 @@
                 proved_at: proved,
                 sent,
             };
-            session.scopes.insert(scope, of);
+            session.scopes.insert(scope, subscription);
         }
         self.send(now, from, &[alive]);
         self.sessions.serve_by(from, now);
@@ -354,7 +359,7 @@
             return;
         }
         self.polls.push((from, nonce));
-        self.gather_until = self.gather_until.min(now + GATHER * self.terms.heartbeat);
+        self.gather_until = self.gather_until.min(now + GATHER_HEARTBEATS * self.terms.heartbeat);
     }
 
     /// Tells one to come later, in more time the more are told so.
@@ -363,8 +368,8 @@
         self.deferred.0 += 1;
         let waiting = self.deferred.0.max(self.deferred.1) as f64;
         let rounds = (waiting / self.terms.snapshots_at_once.max(1) as f64).ceil();
-        let heartbeats = 0.5 + self.chance.random::<f64>() * rounds;
-        let after = heartbeats.min(LATEST_HEARTBEATS) * self.terms.heartbeat;
+        let heartbeats = 0.5 + self.rng.random::<f64>() * rounds;
+        let after = heartbeats.min(MAX_RETRY_HEARTBEATS) * self.terms.heartbeat;
         self.send(now, id, &[Message::RetryLater { after_ms: after as u32 }]);
     }
 
@@ -375,9 +380,9 @@
             self.sweep(now);
         }
         if now >= self.gather_until {
-            self.ask_council(now);
+            self.request_freshness(now);
         }
-        while self.bytes.available(now) > 0.0
+        while self.byte_budget.available(now) > 0.0
             && let Some(id) = self.sessions.next(now)
         {
             self.serve(now, id);
@@ -389,26 +394,26 @@
         let heartbeat = self.terms.heartbeat;
         self.sweep_at = now + heartbeat;
         self.deferred = (0, self.deferred.0);
-        let ended = self.sessions.expire(now - GONE_HEARTBEATS * heartbeat);
+        let ended = self.sessions.expire(now - EXPIRY_HEARTBEATS * heartbeat);
         self.counts.expired += ended.len() as u64;
-        let lapsed = now - SNAPSHOT_HEARTBEATS * heartbeat;
+        let lapsed = now - SNAPSHOT_SLOT_HEARTBEATS * heartbeat;
         self.snapshots.retain(|_, at| *at >= lapsed);
-        self.asked.retain(|asked| asked.at >= lapsed);
+        self.pending_batches.retain(|pending| pending.requested_at >= lapsed);
     }
 
     /// Asks the council for all polls that were gathered.
-    fn ask_council(&mut self, now: f64) {
+    fn request_freshness(&mut self, now: f64) {
         self.gather_until = f64::INFINITY;
         let polls = std::mem::take(&mut self.polls);
         let nonces: Vec<u64> = polls.iter().map(|(_, nonce)| *nonce).collect();
         let batch = Batch::new(&nonces);
-        self.wanted.push_back(batch.nonce());
-        self.asked.push_back(Asked { batch, polls, at: now });
-        while self.asked.len() > MOST_BATCHES {
-            self.asked.pop_front();
+        self.freshness_requests.push_back(batch.nonce());
+        self.pending_batches.push_back(PendingBatch { batch, polls, requested_at: now });
+        while self.pending_batches.len() > MAX_BATCHES {
+            self.pending_batches.pop_front();
         }
-        while self.wanted.len() > MOST_BATCHES {
-            self.wanted.pop_front();
+        while self.freshness_requests.len() > MAX_BATCHES {
+            self.freshness_requests.pop_front();
         }
     }
 
@@ -419,58 +424,63 @@
             let at = session.byte_budget.available_at(1.0);
             return self.sessions.serve_by(id, at);
         }
-        let listens = now - session.polled_at <= SILENT_HEARTBEATS * self.terms.heartbeat;
+        let is_listening = now - session.polled_at <= SILENT_HEARTBEATS * self.terms.heartbeat;
         let scopes: Vec<Scope> = session.scopes.keys().copied().collect();
         let council = session.council_since;
-        let mut served = Served::default();
-        self.link(council, &mut served);
+        let mut response = Response::default();
+        self.add_council_proofs(council, &mut response);
         // It verifies seals of the newest council that it knows alone.
-        let verifies = self.replica.served().is_some_and(|(seal, _)| seal.statement.version == council);
-        for scope in scopes.into_iter().filter(|_| verifies) {
+        let knows_council =
+            self.replica.served().is_some_and(|(certificate, _)| certificate.statement.version == council);
+        for scope in scopes.into_iter().filter(|_| knows_council) {
             let plan = self.plan(now, id, scope);
-            if matches!(plan, Plan::Snapshot(_)) && !self.may_read(now, id) {
-                served.deferred = true;
+            if matches!(plan, Plan::Snapshot(_)) && !self.may_read_snapshot(now, id) {
+                response.deferred = true;
             } else {
-                served.reads |= matches!(plan, Plan::Snapshot(_));
-                self.carry_out(now, id, scope, plan, &mut served);
+                response.reads_snapshot |= matches!(plan, Plan::Snapshot(_));
+                self.add_messages(now, id, scope, plan, &mut response);
             }
         }
-        if !served.reads && !self.reads(id) {
+        if !response.reads_snapshot && !self.is_reading_snapshot(id) {
             self.snapshots.remove(&id);
         }
-        if let Some((seal, _)) = self.replica.served().filter(|_| served.proves) {
-            served.messages.push(Message::Certificate(Certificate::clone(seal)));
+        if let Some((certificate, _)) = self.replica.served().filter(|_| response.includes_proof) {
+            response.messages.push(Message::Certificate(Certificate::clone(certificate)));
         }
-        self.send(now, id, &served.messages);
-        if let Some(session) = self.sessions.get_mut(id).filter(|_| served.repeats) {
+        self.send(now, id, &response.messages);
+        if let Some(session) = self.sessions.get_mut(id).filter(|_| response.needs_repeat) {
             session.pushed_at = now;
         }
-        if served.deferred {
+        if response.deferred {
             self.defer(now, id);
         }
-        if served.repeats && listens {
-            self.sessions.serve_by(id, now + self.terms.heartbeat / REPEATS);
+        if response.needs_repeat && is_listening {
+            self.sessions.serve_by(id, now + self.terms.heartbeat / REPEATS_PER_HEARTBEAT);
         }
     }
 
     /// Proves the councils after one, until a poll names a newer one.
-    fn link(&self, council: Version, served: &mut Served) {
-        let newer = self.links.iter().filter(|link| link.certificate.statement.version > council);
-        served.messages.extend(newer.take(LINKS_AT_ONCE).cloned().map(Message::CouncilProof));
-        served.repeats |= !served.messages.is_empty();
+    fn add_council_proofs(&self, council: Version, response: &mut Response) {
+        let newer = self
+            .council_proofs
+            .iter()
+            .filter(|council_proof| council_proof.certificate.statement.version > council);
+        response.messages.extend(newer.take(COUNCIL_PROOFS_AT_ONCE).cloned().map(Message::CouncilProof));
+        response.needs_repeat |= !response.messages.is_empty();
     }
 
     /// Whether one has begun to read a scope that it has not acknowledged as in force.
-    fn reads(&self, id: Id) -> bool {
-        let reading = |of: &ScopeSubscription| {
-            let base = of.position.transfer.as_ref().map(|transfer| transfer.base);
-            of.position.in_force == 0 || base.is_some_and(|base| base != of.position.in_force)
+    fn is_reading_snapshot(&self, id: Id) -> bool {
+        let reading = |subscription: &ScopeSubscription| {
+            let base = subscription.position.transfer.as_ref().map(|transfer| transfer.base);
+            subscription.position.in_force == 0
+                || base.is_some_and(|base| base != subscription.position.in_force)
         };
         self.sessions.get(id).is_some_and(|session| session.scopes.values().any(reading))
     }
 
     /// Whether one may read a scope from its beginning: so many do at once.
-    fn may_read(&mut self, now: f64, id: Id) -> bool {
+    fn may_read_snapshot(&mut self, now: f64, id: Id) -> bool {
         if self.snapshots.len() < self.terms.snapshots_at_once {
             self.snapshots.entry(id).or_insert(now);
         }
@@ -478,17 +488,25 @@
     }
 
     fn plan(&self, now: f64, id: Id, scope: Scope) -> Plan {
-        let of = self.sessions.get(id).and_then(|session| session.scopes.get(&scope));
-        let (Some(of), Some((seal, state))) = (of, self.replica.served()) else { return Plan::Nothing };
-        let index = seal.index();
-        if of.position.in_force >= index {
+        let subscription = self.sessions.get(id).and_then(|session| session.scopes.get(&scope));
+        let (Some(subscription), Some((certificate, state))) = (subscription, self.replica.served()) else {
+            return Plan::Nothing;
+        };
+        let index = certificate.index();
+        if subscription.position.in_force >= index {
             return Plan::Nothing;
         }
-        let same = of.sent.as_ref().filter(|sent| sent.index == index && sent.position == of.position);
-        match same {
-            Some(sent) if now - sent.sent_at < IN_FLIGHT * self.terms.heartbeat => Plan::InFlight,
-            _ => match plan(of, index, state, scope) {
-                Plan::Refresh if self.is_busy() || now - of.proved_at < REFRESH * self.terms.heartbeat => {
+        let last_sent = subscription
+            .sent
+            .as_ref()
+            .filter(|sent| sent.index == index && sent.position == subscription.position);
+        match last_sent {
+            Some(sent) if now - sent.sent_at < IN_FLIGHT_HEARTBEATS * self.terms.heartbeat => Plan::InFlight,
+            _ => match plan(subscription, index, state, scope) {
+                Plan::Refresh
+                    if self.is_busy()
+                        || now - subscription.proved_at < REFRESH_HEARTBEATS * self.terms.heartbeat =>
+                {
                     Plan::Nothing
                 }
                 plan => plan,
@@ -498,76 +516,78 @@
 
     /// Whether bytes run short: what keeps ages low waits then for what has changed.
     fn is_busy(&self) -> bool {
-        self.bytes.fraction_left() < BUSY
+        self.byte_budget.fraction_left() < BUSY_FRACTION
     }
 
     /// Puts together what a plan comes to.
-    fn carry_out(&mut self, now: f64, id: Id, scope: Scope, plan: Plan, served: &mut Served) {
-        let (Some(session), Some((seal, state))) = (self.sessions.get_mut(id), self.replica.served()) else {
+    fn add_messages(&mut self, now: f64, id: Id, scope: Scope, plan: Plan, response: &mut Response) {
+        let (Some(session), Some((certificate, state))) = (self.sessions.get_mut(id), self.replica.served())
+        else {
             return;
         };
-        let Some(of) = session.scopes.get_mut(&scope) else { return };
-        let index = seal.index();
+        let Some(subscription) = session.scopes.get_mut(&scope) else { return };
+        let index = certificate.index();
         let repeats = matches!(plan, Plan::Transfer(_));
         let transfer = match plan {
             Plan::Nothing => return,
             Plan::InFlight => {
-                served.repeats |= of.sent.as_ref().is_some_and(|sent| sent.repeats);
+                response.needs_repeat |= subscription.sent.as_ref().is_some_and(|sent| sent.repeats);
                 return;
             }
             Plan::Proof | Plan::Refresh => None,
             Plan::Transfer(transfer) | Plan::Snapshot(transfer) => Some(transfer),
         };
-        of.wants_proof = false;
-        of.sent = Some(Sent { position: of.position.clone(), index, sent_at: now, repeats });
-        served.repeats |= repeats;
-        let mut room = session.byte_budget.available(now);
+        subscription.wants_proof = false;
+        subscription.sent =
+            Some(Sent { position: subscription.position.clone(), index, sent_at: now, repeats });
+        response.needs_repeat |= repeats;
+        let mut remaining_bytes = session.byte_budget.available(now);
         let complete = transfer.is_none_or(|mut transfer| {
-            while let Some(changes) = read_on(state, scope, index, &transfer) {
+            while let Some(changes) = read_changes(state, scope, index, &transfer) {
                 let complete = changes.complete;
                 transfer.after = changes.end();
-                served.messages.push(Message::Changes(changes));
-                room -= MAX_CHANGES_BYTES as f64;
-                if complete || room <= 0.0 {
+                response.messages.push(Message::Changes(changes));
+                remaining_bytes -= MAX_CHANGES_BYTES as f64;
+                if complete || remaining_bytes <= 0.0 {
                     return complete;
                 }
             }
             false
         });
         if complete {
-            of.proved_at = now;
-            served.messages.push(Message::Proof { scope, index, proof: state.proof(scope) });
-            served.proves = true;
+            subscription.proved_at = now;
+            response.messages.push(Message::Proof { scope, index, proof: state.proof(scope) });
+            response.includes_proof = true;
         }
     }
 
     fn send(&mut self, now: f64, to: Id, messages: &[Message]) {
         for bytes in wire::encode(messages) {
-            let size = (bytes.len() + PACKET) as f64;
-            self.bytes.spend(now, size);
+            let size = (bytes.len() + PACKET_OVERHEAD_BYTES) as f64;
+            self.byte_budget.spend(now, size);
             if let Some(session) = self.sessions.get_mut(to) {
                 session.byte_budget.spend(now, size);
             }
             self.counts.sent += 1;
             self.counts.sent_bytes += bytes.len() as u64;
-            self.out.push_back(Outgoing { to, bytes });
+            self.outgoing.push_back(Outgoing { to, bytes });
         }
-        while self.out.len() > MOST_OUT_EACH * self.terms.max_subscribers.max(1) {
-            self.out.pop_front();
+        while self.outgoing.len() > MAX_OUTGOING_PER_SUBSCRIBER * self.terms.max_subscribers.max(1) {
+            self.outgoing.pop_front();
             self.counts.dropped += 1;
         }
     }
 
     /// When [`Control::turn`] is to be called at the latest.
     pub fn due(&self) -> f64 {
-        let serve = self.sessions.due().max(self.bytes.available_at(1.0));
+        let serve = self.sessions.due().max(self.byte_budget.available_at(1.0));
         let serve = if self.replica.can_advance() { f64::NEG_INFINITY } else { serve };
         serve.min(self.gather_until).min(self.sweep_at)
     }
 
     /// The next datagram to be sent.
     pub fn outgoing(&mut self) -> Option<Outgoing> {
-        self.out.pop_front()
+        self.outgoing.pop_front()
     }
 
     /// How it stands.
@@ -587,42 +607,43 @@
 }
 
 /// A budget of so many bytes in any second.
-fn even(bytes_per_second: f64, now: f64) -> TokenBucket {
-    TokenBucket::new((1.0 - BURST) * bytes_per_second, BURST * bytes_per_second, now)
+fn new_byte_budget(bytes_per_second: f64, now: f64) -> TokenBucket {
+    TokenBucket::new((1.0 - BURST_FRACTION) * bytes_per_second, BURST_FRACTION * bytes_per_second, now)
 }
 
 /// What follows for a subscriber that has this much of a scope. A snapshot is read at the pace of the
 /// reader's polls; what has changed is sent of its own accord.
-fn plan(of: &ScopeSubscription, index: Version, state: &ScopedState, scope: Scope) -> Plan {
-    let position = &of.position;
+fn plan(subscription: &ScopeSubscription, index: Version, state: &ScopedState, scope: Scope) -> Plan {
+    let position = &subscription.position;
     let in_force = position.in_force;
-    let from_force = Transfer { base: in_force, source_version: in_force, after: Cursor::end_of(in_force) };
-    let transfer = position.transfer.clone().unwrap_or(from_force);
+    let from_in_force =
+        Transfer { base: in_force, source_version: in_force, after: Cursor::end_of(in_force) };
+    let transfer = position.transfer.clone().unwrap_or(from_in_force);
     if transfer.source_version > index {
         return Plan::Nothing;
     }
-    let snapshot = |transfer| if of.wants_proof { Plan::Snapshot(transfer) } else { Plan::Nothing };
-    let anew = Transfer { base: index, source_version: index, after: Cursor::end_of(0) };
+    let snapshot = |transfer| if subscription.wants_proof { Plan::Snapshot(transfer) } else { Plan::Nothing };
+    let from_start = Transfer { base: index, source_version: index, after: Cursor::end_of(0) };
     if in_force == 0 && position.transfer.is_none() {
-        return snapshot(anew);
+        return snapshot(from_start);
     }
     if transfer.after >= Cursor::end_of(state.summary(scope).version) {
         // Its content is the newest: what is wanting is the proof.
         return match position.transfer {
-            _ if !of.wants_proof => Plan::Nothing,
+            _ if !subscription.wants_proof => Plan::Nothing,
             Some(_) => Plan::Proof,
             None => Plan::Refresh,
         };
     }
     match state.changes(scope, transfer.base, &transfer.after, 0) {
-        Err(_) => snapshot(anew),
+        Err(_) => snapshot(from_start),
         Ok(_) if transfer.base != in_force => snapshot(transfer),
         Ok(_) => Plan::Transfer(transfer),
     }
 }
 
 /// The changes of one message.
-fn read_on(state: &ScopedState, scope: Scope, seen: Version, transfer: &Transfer) -> Option<Changes> {
+fn read_changes(state: &ScopedState, scope: Scope, seen: Version, transfer: &Transfer) -> Option<Changes> {
     let (base, after) = (transfer.base, transfer.after.clone());
     let run = state.changes(scope, base, &after, MAX_CHANGES_BYTES).ok()?;
     let change = |(version, key, value)| KeyChange { version, key, value };
--- a/distribution/src/cursor.rs
+++ b/distribution/src/cursor.rs
@@ -40,7 +40,7 @@
     /// Whether the change of a key at a version is known up to here.
     pub fn covers(&self, version: Version, key: &Key) -> bool {
         version < self.version
-            || version == self.version && self.key.as_ref().is_none_or(|of_version| key <= of_version)
+            || version == self.version && self.key.as_ref().is_none_or(|last_known| key <= last_known)
     }
 }
 
@@ -52,7 +52,7 @@
 
 impl Ord for Cursor {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        let place = |cursor: &Self| (cursor.version, cursor.key.is_none());
-        place(self).cmp(&place(other)).then_with(|| self.key.cmp(&other.key))
+        let sort_key = |cursor: &Self| (cursor.version, cursor.key.is_none());
+        sort_key(self).cmp(&sort_key(other)).then_with(|| self.key.cmp(&other.key))
     }
 }
--- a/distribution/src/entry.rs
+++ b/distribution/src/entry.rs
@@ -68,8 +68,8 @@
 }
 
 impl fmt::Display for Key {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.write_str(&self.0)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(&self.0)
     }
 }
 
--- a/distribution/src/merkle.rs
+++ b/distribution/src/merkle.rs
@@ -38,7 +38,7 @@
     siblings: Vec<Option<Hash>>,
     /// The leaf that stands where the scope's would, where the scope was never written to: its place and its
     /// hash.
-    other: Option<(Hash, Hash)>,
+    other_leaf: Option<(Hash, Hash)>,
 }
 
 /// A path that proves nothing.
@@ -75,25 +75,29 @@
         if self.siblings.len() > MAX_PATH_LEN {
             return Err(PathError::TooLong);
         }
-        let place = place(scope);
+        let position = scope_position(scope);
         let absent = *summary == ScopeSummary::default();
-        let lowest = match &self.other {
+        let leaf_hash = match &self.other_leaf {
             None if absent => EMPTY_HASH,
-            None => leaf(&place, summary),
-            Some((other, hash)) => {
-                let in_the_way =
-                    (0..self.siblings.len()).all(|depth| bit(other, depth) == bit(&place, depth));
-                if !absent || *other == place || !in_the_way {
+            None => hash_summary_leaf(&position, summary),
+            Some((other_leaf, hash)) => {
+                let shares_prefix =
+                    (0..self.siblings.len()).all(|depth| bit(other_leaf, depth) == bit(&position, depth));
+                if !absent || *other_leaf == position || !shares_prefix {
                     return Err(PathError::WrongLeaf);
                 }
-                placed(other, hash)
+                hash_leaf(other_leaf, hash)
             }
         };
-        let (mut hash, mut depth) = (lowest, self.siblings.len());
+        let (mut hash, mut depth) = (leaf_hash, self.siblings.len());
         for sibling in self.siblings.iter().rev() {
             depth -= 1;
             let sibling = sibling.unwrap_or(EMPTY_HASH);
-            hash = if bit(&place, depth) { branch(&sibling, &hash) } else { branch(&hash, &sibling) };
+            hash = if bit(&position, depth) {
+                hash_branch(&sibling, &hash)
+            } else {
+                hash_branch(&hash, &sibling)
+            };
         }
         if hash == *root { Ok(()) } else { Err(PathError::RootMismatch) }
     }
@@ -110,7 +114,7 @@
     #[default]
     Empty,
     Leaf {
-        place: Hash,
+        position: Hash,
         summary: Hash,
         hash: Hash,
     },
@@ -128,23 +132,25 @@
         }
     }
 
-    fn of(children: Box<[Self; 2]>) -> Self {
-        Self::Branch { hash: branch(&children[0].hash(), &children[1].hash()), children }
+    fn branch_of(children: Box<[Self; 2]>) -> Self {
+        Self::Branch { hash: hash_branch(&children[0].hash(), &children[1].hash()), children }
     }
 
-    fn with(self, depth: usize, new: (Hash, Hash)) -> Self {
-        let (place, summary) = new;
+    fn insert(self, depth: usize, new: (Hash, Hash)) -> Self {
+        let (position, summary) = new;
         match self {
-            Self::Leaf { place: old, .. } if old != place => {
+            Self::Leaf { position: old, .. } if old != position => {
                 let mut children = Box::new([Self::Empty, Self::Empty]);
                 children[usize::from(bit(&old, depth))] = self;
-                Self::Branch { hash: EMPTY_HASH, children }.with(depth, new)
+                Self::Branch { hash: EMPTY_HASH, children }.insert(depth, new)
+            }
+            Self::Empty | Self::Leaf { .. } => {
+                Self::Leaf { position, summary, hash: hash_leaf(&position, &summary) }
             }
-            Self::Empty | Self::Leaf { .. } => Self::Leaf { place, summary, hash: placed(&place, &summary) },
             Self::Branch { mut children, .. } => {
-                let child = &mut children[usize::from(bit(&place, depth))];
-                *child = std::mem::take(child).with(depth + 1, new);
-                Self::of(children)
+                let child = &mut children[usize::from(bit(&position, depth))];
+                *child = std::mem::take(child).insert(depth + 1, new);
+                Self::branch_of(children)
             }
         }
     }
@@ -153,8 +159,8 @@
 impl Trie {
     /// Sets what a scope comes to.
     pub fn set(&mut self, scope: Scope, summary: &ScopeSummary) {
-        let new = (place(scope), summary_hash(summary));
-        self.root = std::mem::take(&mut self.root).with(0, new);
+        let new = (scope_position(scope), summary_hash(summary));
+        self.root = std::mem::take(&mut self.root).insert(0, new);
     }
 
     /// The hash over all of it.
@@ -164,23 +170,23 @@
 
     /// The way from the scope's leaf, or from where it would be, to the root.
     pub fn path(&self, scope: Scope) -> MerklePath {
-        let wanted = place(scope);
+        let target = scope_position(scope);
         let (mut node, mut siblings) = (&self.root, Vec::new());
         while let Node::Branch { children, .. } = node {
-            let side = usize::from(bit(&wanted, siblings.len()));
+            let side = usize::from(bit(&target, siblings.len()));
             let sibling = &children[1 - side];
             siblings.push(Some(sibling.hash()).filter(|_| *sibling != Node::Empty));
             node = &children[side];
         }
-        let other = match node {
-            Node::Leaf { place, summary, .. } if *place != wanted => Some((*place, *summary)),
+        let other_leaf = match node {
+            Node::Leaf { position, summary, .. } if *position != target => Some((*position, *summary)),
             _ => None,
         };
-        MerklePath { siblings, other }
+        MerklePath { siblings, other_leaf }
     }
 }
 
-fn hashed(context: &str, parts: &[&[u8]]) -> Hash {
+fn hash_parts(context: &str, parts: &[&[u8]]) -> Hash {
     let mut hasher = blake3::Hasher::new_derive_key(context);
     for part in parts {
         hasher.update(part);
@@ -188,28 +194,28 @@
     *hasher.finalize().as_bytes()
 }
 
-fn place(scope: Scope) -> Hash {
+fn scope_position(scope: Scope) -> Hash {
     let name = postcard::to_stdvec(&scope).expect("plain data");
-    hashed("frostthread distribution 1 place", &[&name])
+    hash_parts("frostthread distribution 1 place", &[&name])
 }
 
 fn summary_hash(summary: &ScopeSummary) -> Hash {
-    hashed("frostthread distribution 1 summary", &[&summary.digest, &summary.version.to_le_bytes()])
+    hash_parts("frostthread distribution 1 summary", &[&summary.digest, &summary.version.to_le_bytes()])
 }
 
-fn placed(place: &Hash, summary: &Hash) -> Hash {
-    hashed("frostthread distribution 1 leaf", &[place, summary])
+fn hash_leaf(position: &Hash, summary: &Hash) -> Hash {
+    hash_parts("frostthread distribution 1 leaf", &[position, summary])
 }
 
-fn leaf(place: &Hash, summary: &ScopeSummary) -> Hash {
-    placed(place, &summary_hash(summary))
+fn hash_summary_leaf(position: &Hash, summary: &ScopeSummary) -> Hash {
+    hash_leaf(position, &summary_hash(summary))
 }
 
-fn branch(left: &Hash, right: &Hash) -> Hash {
-    hashed("frostthread distribution 1 branch", &[left, right])
+fn hash_branch(left: &Hash, right: &Hash) -> Hash {
+    hash_parts("frostthread distribution 1 branch", &[left, right])
 }
 
 /// The bit of a place that says on which side of the branch at this depth it is.
-fn bit(place: &Hash, depth: usize) -> bool {
-    place[depth / 8] >> (7 - depth % 8) & 1 == 1
+fn bit(position: &Hash, depth: usize) -> bool {
+    position[depth / 8] >> (7 - depth % 8) & 1 == 1
 }
--- a/distribution/src/nonces.rs
+++ b/distribution/src/nonces.rs
@@ -5,20 +5,20 @@
 #[derive(Clone, Debug)]
 pub struct NonceGenerator {
     seed: u64,
-    drawn: u64,
+    count: u64,
 }
 
 impl NonceGenerator {
     /// The same seed gives the same nonces.
     pub fn new(seed: u64) -> Self {
-        Self { seed, drawn: 0 }
+        Self { seed, count: 0 }
     }
 
     /// The next one.
     pub fn next_nonce(&mut self) -> u64 {
-        self.drawn += 1;
+        self.count += 1;
         let mut hasher = blake3::Hasher::new_derive_key("frostthread distribution 1 nonce");
-        hasher.update(&self.seed.to_le_bytes()).update(&self.drawn.to_le_bytes());
+        hasher.update(&self.seed.to_le_bytes()).update(&self.count.to_le_bytes());
         u64::from_le_bytes(hasher.finalize().as_bytes()[..8].try_into().expect("eight bytes"))
     }
 }
--- a/distribution/src/progress.rs
+++ b/distribution/src/progress.rs
@@ -11,9 +11,9 @@
 use crate::sessions::Sessions;
 
 /// Changes that are shown; older ones are forgotten.
-const MOST_SHOWN: usize = 256;
+const MAX_TRACKED_CHANGES: usize = 256;
 /// Subscribers that are named as lacking a change.
-const MOST_NAMED: usize = 8;
+const MAX_NAMED_SUBSCRIBERS: usize = 8;
 
 /// A subscriber that lacks a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -48,18 +48,18 @@
 }
 
 #[derive(Clone, Debug)]
-struct Served {
+struct TrackedChange {
     scope: Scope,
     key: Key,
     version: Version,
     removed: bool,
-    at: f64,
+    served_at: f64,
 }
 
 /// The newest changes.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeTracker {
-    served: VecDeque<Served>,
+    tracked: VecDeque<TrackedChange>,
 }
 
 impl ChangeTracker {
@@ -67,45 +67,51 @@
     pub fn record(&mut self, change: &Change, now: f64) {
         let Change { scope, key, version, value } = change;
         let (scope, key, version) = (*scope, key.clone(), *version);
-        self.served.push_back(Served { scope, key, version, removed: value.is_none(), at: now });
-        if self.served.len() > MOST_SHOWN {
-            self.served.pop_front();
+        self.tracked.push_back(TrackedChange {
+            scope,
+            key,
+            version,
+            removed: value.is_none(),
+            served_at: now,
+        });
+        if self.tracked.len() > MAX_TRACKED_CHANGES {
+            self.tracked.pop_front();
         }
     }
 
     /// How far each has come, the newest first.
     pub fn changes(&self, sessions: &Sessions, now: f64) -> Vec<ChangeProgress> {
-        self.served.iter().rev().map(|served| served.progress(sessions, now)).collect()
+        self.tracked.iter().rev().map(|tracked| tracked.progress(sessions, now)).collect()
     }
 }
 
-impl Served {
+impl TrackedChange {
     fn progress(&self, sessions: &Sessions, now: f64) -> ChangeProgress {
-        let (mut acknowledged, mut names) = (0, Vec::new());
+        let (mut acknowledged, mut longest_missing) = (0, Vec::new());
         for (id, session) in sessions.iter() {
             match session.has(self.scope, self.version) {
                 Some(true) => acknowledged += 1,
-                Some(false) => names.push(MissingSubscriber {
+                Some(false) => longest_missing.push(MissingSubscriber {
                     id,
                     silent_ms: now - session.polled_at,
-                    since_ms: now - self.at.max(session.started_at),
+                    since_ms: now - self.served_at.max(session.started_at),
                 }),
                 None => {}
             }
         }
-        let lacking = names.len();
-        names.sort_by(|a, b| b.since_ms.total_cmp(&a.since_ms).then(a.id.cmp(&b.id)));
-        names.truncate(MOST_NAMED);
+        let missing = longest_missing.len();
+        longest_missing.sort_by(|a, b| b.since_ms.total_cmp(&a.since_ms).then(a.id.cmp(&b.id)));
+        longest_missing.truncate(MAX_NAMED_SUBSCRIBERS);
         let (scope, key, version, removed) = (self.scope, self.key.clone(), self.version, self.removed);
         ChangeProgress {
             scope,
             key,
             version,
             removed,
-            since_ms: now - self.at,
+            since_ms: now - self.served_at,
             acknowledged,
-            missing: lacking,
-            longest_missing: names,
+            missing,
+            longest_missing,
         }
     }
 }
--- a/distribution/src/saved.rs
+++ b/distribution/src/saved.rs
@@ -31,8 +31,8 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SavedState {
     /// The proofs of all councils since the founders'.
-    pub links: Vec<CouncilProof>,
-    seals: Vec<Certificate>,
+    pub council_proofs: Vec<CouncilProof>,
+    certificates: Vec<Certificate>,
     scopes: Vec<SavedScope>,
 }
 
@@ -47,14 +47,22 @@
 
 impl SavedState {
     /// Puts together what is kept.
-    pub fn new<'a>(links: &[CouncilProof], held: impl Iterator<Item = (Scope, &'a VerifiedScope)>) -> Self {
-        let (mut seals, mut scopes) = (BTreeMap::new(), Vec::new());
-        for (scope, held) in held {
-            seals.insert(held.index(), (*held.certificate).clone());
-            let (index, proof, entries) = (held.index(), held.proof.clone(), held.content.entries());
+    pub fn new<'a>(
+        council_proofs: &[CouncilProof],
+        verified: impl Iterator<Item = (Scope, &'a VerifiedScope)>,
+    ) -> Self {
+        let (mut certificates, mut scopes) = (BTreeMap::new(), Vec::new());
+        for (scope, verified) in verified {
+            certificates.insert(verified.index(), (*verified.certificate).clone());
+            let (index, proof, entries) =
+                (verified.index(), verified.proof.clone(), verified.content.entries());
             scopes.push(SavedScope { scope, index, proof, entries });
         }
-        Self { links: links.to_vec(), seals: seals.into_values().collect(), scopes }
+        Self {
+            council_proofs: council_proofs.to_vec(),
+            certificates: certificates.into_values().collect(),
+            scopes,
+        }
     }
 
     /// Its bytes.
@@ -65,43 +73,54 @@
     /// What bytes hold; none where they are of no form that is known.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (&version, body) = bytes.split_first()?;
-        let (saved, rest) = postcard::take_from_bytes::<Self>(body).ok()?;
-        (version == VERSION && rest.is_empty() && saved.links.len() <= MAX_COUNCIL_PROOFS).then_some(saved)
+        let (saved, remaining) = postcard::take_from_bytes::<Self>(body).ok()?;
+        (version == VERSION && remaining.is_empty() && saved.council_proofs.len() <= MAX_COUNCIL_PROOFS)
+            .then_some(saved)
     }
 
     /// The scopes whose seals a majority of a council signed that the founders' and the links prove; none for
     /// each that is not proved.
-    pub fn verify(self, founders: &Council, keys: &impl Signer) -> Vec<Option<(Scope, VerifiedScope)>> {
-        let councils = councils(founders, &self.links, keys);
-        let mut seals = BTreeMap::new();
-        for seal in self.seals {
-            let of = &seal.statement;
-            let council = councils.get(&of.version).filter(|council| council.digest() == of.council_digest);
-            if council.is_some_and(|council| seal.is_valid(council, keys)) {
-                seals.insert(of.index, SharedCertificate::from(seal));
+    pub fn verify(
+        self,
+        bootstrap_council: &Council,
+        keys: &impl Signer,
+    ) -> Vec<Option<(Scope, VerifiedScope)>> {
+        let councils = councils(bootstrap_council, &self.council_proofs, keys);
+        let mut certificates = BTreeMap::new();
+        for certificate in self.certificates {
+            let statement = &certificate.statement;
+            let council = councils
+                .get(&statement.version)
+                .filter(|council| council.digest() == statement.council_digest);
+            if council.is_some_and(|council| certificate.is_valid(council, keys)) {
+                certificates.insert(statement.index, SharedCertificate::from(certificate));
             }
         }
-        let held = |saved: SavedScope| {
-            let seal = seals.get(&saved.index)?.clone();
-            saved.proof.verify(&seal.statement.state_root, saved.scope).ok()?;
-            let fit = saved.entries.iter().all(|entry| entry.value.len() <= MAX_VALUE_BYTES);
+        let verified = |saved: SavedScope| {
+            let certificate = certificates.get(&saved.index)?.clone();
+            saved.proof.verify(&certificate.statement.state_root, saved.scope).ok()?;
+            let within_limits = saved.entries.iter().all(|entry| entry.value.len() <= MAX_VALUE_BYTES);
             let content = saved.entries.into_iter().collect();
-            fit.then_some((saved.scope, VerifiedScope { certificate: seal, proof: saved.proof, content }))
+            within_limits.then_some((saved.scope, VerifiedScope { certificate, proof: saved.proof, content }))
         };
-        self.scopes.into_iter().map(held).collect()
+        self.scopes.into_iter().map(verified).collect()
     }
 }
 
 /// All councils from the founders on, by the decision since which each votes.
-fn councils(founders: &Council, links: &[CouncilProof], keys: &impl Signer) -> BTreeMap<Version, Council> {
-    let mut councils = BTreeMap::from([(0, founders.clone())]);
-    for link in links {
-        let (newest, former) = councils.last_key_value().expect("the founders'");
-        let version = link.certificate.statement.version;
-        if version <= *newest || !link.is_valid(former, keys) {
+fn councils(
+    bootstrap_council: &Council,
+    council_proofs: &[CouncilProof],
+    keys: &impl Signer,
+) -> BTreeMap<Version, Council> {
+    let mut councils = BTreeMap::from([(0, bootstrap_council.clone())]);
+    for council_proof in council_proofs {
+        let (newest, previous) = councils.last_key_value().expect("the founders'");
+        let version = council_proof.certificate.statement.version;
+        if version <= *newest || !council_proof.is_valid(previous, keys) {
             break;
         }
-        councils.insert(version, link.council.clone());
+        councils.insert(version, council_proof.council.clone());
     }
     councils
 }
--- a/distribution/src/scope.rs
+++ b/distribution/src/scope.rs
@@ -18,12 +18,12 @@
 }
 
 impl fmt::Display for Scope {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::All => write!(to, "all"),
-            Self::Region(number) => write!(to, "region {number}"),
-            Self::Zone(number) => write!(to, "zone {number}"),
-            Self::Service(number) => write!(to, "service {number}"),
+            Self::All => write!(formatter, "all"),
+            Self::Region(number) => write!(formatter, "region {number}"),
+            Self::Zone(number) => write!(formatter, "zone {number}"),
+            Self::Service(number) => write!(formatter, "service {number}"),
         }
     }
 }
--- a/distribution/src/scope_store.rs
+++ b/distribution/src/scope_store.rs
@@ -64,34 +64,34 @@
 /// One scope.
 #[derive(Clone, Debug, Default)]
 pub struct ScopeStore {
-    held: Option<VerifiedScope>,
+    verified: Option<VerifiedScope>,
     staged: Option<Staged>,
     /// The newest proof that holds, while its content is not in force.
-    proved: Option<(SharedCertificate, ScopeProof)>,
+    pending_proof: Option<(SharedCertificate, ScopeProof)>,
     /// A proof whose seal has not come.
-    unsealed: Option<(Version, ScopeProof)>,
+    deferred_proof: Option<(Version, ScopeProof)>,
     /// When the poll was sent since which nothing newer was decided than what is in force.
-    fresh: Option<f64>,
+    fresh_since: Option<f64>,
 }
 
 impl ScopeStore {
     /// What is in force.
     pub fn verified(&self) -> Option<&VerifiedScope> {
-        self.held.as_ref()
+        self.verified.as_ref()
     }
 
     /// The index of the seal by which the scope is in force; 0 where it is not.
     pub fn index(&self) -> Version {
-        self.held.as_ref().map_or(0, VerifiedScope::index)
+        self.verified.as_ref().map_or(0, VerifiedScope::index)
     }
 
     /// Takes what was kept, once it is verified as below.
-    pub fn restore(&mut self, held: VerifiedScope) -> bool {
-        let fits = held.content.digest() == held.proof.summary.digest;
-        if fits {
-            *self = Self { held: Some(held), ..Self::default() };
+    pub fn restore(&mut self, verified: VerifiedScope) -> bool {
+        let matches = verified.content.digest() == verified.proof.summary.digest;
+        if matches {
+            *self = Self { verified: Some(verified), ..Self::default() };
         }
-        fits
+        matches
     }
 
     /// What the control machine is told.
@@ -102,49 +102,50 @@
 
     /// Whether a transfer is under way, or waits for its proof.
     pub fn is_in_progress(&self) -> bool {
-        self.staged.is_some() || self.held.is_none()
+        self.staged.is_some() || self.verified.is_none()
     }
 
     /// All decided before that time is in force.
     pub fn fresh_since(&self) -> Option<f64> {
-        self.fresh
+        self.fresh_since
     }
 
     /// Nothing was decided after an index before that time.
     pub fn record_freshness(&mut self, index: Version, at: f64) {
-        if self.held.is_some() && index <= self.index() {
-            self.fresh = Some(self.fresh.map_or(at, |before| before.max(at)));
+        if self.verified.is_some() && index <= self.index() {
+            self.fresh_since = Some(self.fresh_since.map_or(at, |previous| previous.max(at)));
         }
     }
 
     /// Up to where the content is known that newer changes are put on.
-    fn start(&self) -> Transfer {
+    fn transfer_start(&self) -> Transfer {
         let in_force = self.index();
         let transfer = Transfer { base: in_force, source_version: in_force, after: Cursor::end_of(in_force) };
         self.staged.as_ref().map_or(transfer, |staged| staged.transfer.clone())
     }
 
     /// Stages changes that go on from what is there, or begin the scope anew.
-    pub fn stage(&mut self, from: Id, message: Changes, most_bytes: usize) -> UpdateOutcome {
+    pub fn stage(&mut self, from: Id, message: Changes, max_bytes: usize) -> UpdateOutcome {
         if !is_ordered(&message) {
             return UpdateOutcome::Malformed;
         }
-        let start = self.start();
-        let goes_on = message.base <= start.base
-            && message.after <= start.after
-            && message.source_version >= start.base;
-        let begins = message.after == Cursor::end_of(0) && message.base > start.base;
-        let until = message.end();
-        if begins {
+        let transfer_start = self.transfer_start();
+        let continues = message.base <= transfer_start.base
+            && message.after <= transfer_start.after
+            && message.source_version >= transfer_start.base;
+        let restarts = message.after == Cursor::end_of(0) && message.base > transfer_start.base;
+        let end = message.end();
+        if restarts {
             let transfer = Transfer { base: message.base, source_version: 0, after: Cursor::end_of(0) };
             self.staged =
                 Some(Staged { transfer, content: Content::default(), bytes: 0, source: Some(from) });
-        } else if !goes_on || until <= start.after {
+        } else if !continues || end <= transfer_start.after {
             return UpdateOutcome::NoEffect;
         }
-        let content = || self.held.as_ref().map(|held| held.content.clone()).unwrap_or_default();
-        let fresh = || Staged { transfer: start, content: content(), bytes: 0, source: Some(from) };
-        let staged = self.staged.get_or_insert_with(fresh);
+        let content = || self.verified.as_ref().map(|verified| verified.content.clone()).unwrap_or_default();
+        let new_staged =
+            || Staged { transfer: transfer_start, content: content(), bytes: 0, source: Some(from) };
+        let staged = self.staged.get_or_insert_with(new_staged);
         staged.source = staged.source.filter(|source| *source == from);
         for KeyChange { version, key, value } in message.changes {
             if staged.transfer.after.covers(version, &key) {
@@ -156,9 +157,9 @@
                 None => staged.content.remove(&key),
             }
         }
-        staged.transfer.after = until;
+        staged.transfer.after = end;
         staged.transfer.source_version = staged.transfer.source_version.max(message.source_version);
-        if staged.bytes > most_bytes {
+        if staged.bytes > max_bytes {
             self.staged = None;
             return UpdateOutcome::Malformed;
         }
@@ -168,44 +169,45 @@
     /// A proof came whose seal is not known yet: the latest waits for it.
     pub fn defer_proof(&mut self, index: Version, proof: ScopeProof) {
         if index > self.index() || is_injected(Fault::AcceptOlderCertificate) {
-            self.unsealed = Some((index, proof));
+            self.deferred_proof = Some((index, proof));
         }
     }
 
     /// The proof that waits for the seal of an index.
     pub fn take_deferred_proof(&mut self, index: Version) -> Option<ScopeProof> {
-        self.unsealed.take_if(|(of, _)| *of == index).map(|(_, proof)| proof)
+        self.deferred_proof.take_if(|(of, _)| *of == index).map(|(_, proof)| proof)
     }
 
     /// A proof that holds by a seal.
-    pub fn add_proof(&mut self, seal: SharedCertificate, proof: ScopeProof) {
-        let newest = self.proved.as_ref().map_or(self.index(), |(seal, _)| seal.index());
-        if seal.index() > newest || is_injected(Fault::AcceptOlderCertificate) {
-            self.proved = Some((seal, proof));
+    pub fn add_proof(&mut self, certificate: SharedCertificate, proof: ScopeProof) {
+        let newest = self.pending_proof.as_ref().map_or(self.index(), |(certificate, _)| certificate.index());
+        if certificate.index() > newest || is_injected(Fault::AcceptOlderCertificate) {
+            self.pending_proof = Some((certificate, proof));
         }
     }
 
     /// Puts in force what is complete and proved.
     pub fn apply_verified(&mut self) -> UpdateOutcome {
-        let Some((seal, proof)) = self.proved.as_ref() else { return UpdateOutcome::NoEffect };
-        let (index, summary) = (seal.index(), proof.summary);
+        let Some((certificate, proof)) = self.pending_proof.as_ref() else { return UpdateOutcome::NoEffect };
+        let (index, summary) = (certificate.index(), proof.summary);
         if is_injected(Fault::SkipDigestCheck) && self.staged.is_some() {
             return self.put_in_force();
         }
-        if let Some(held) = self.held.as_ref().filter(|held| summary.version <= held.index()) {
+        if let Some(verified) = self.verified.as_ref().filter(|verified| summary.version <= verified.index())
+        {
             // Not changed since.
-            return if held.proof.summary.digest == summary.digest
+            return if verified.proof.summary.digest == summary.digest
                 || is_injected(Fault::AcceptOlderCertificate)
             {
                 self.confirm()
             } else {
-                self.proved = None;
+                self.pending_proof = None;
                 UpdateOutcome::Mismatch(None)
             };
         }
         let Some(staged) = &self.staged else {
-            let nothing = summary == ScopeSummary { digest: EMPTY_DIGEST, version: 0 };
-            return if self.held.is_none() && nothing {
+            let is_empty_scope = summary == ScopeSummary { digest: EMPTY_DIGEST, version: 0 };
+            return if self.verified.is_none() && is_empty_scope {
                 self.put_in_force()
             } else {
                 UpdateOutcome::NoEffect
@@ -228,8 +230,8 @@
     /// Drops what is staged; what is in force stays. The next transfer starts from what is in force, or from
     /// nothing where this one did.
     fn restart_transfer(&mut self) {
-        let from_force = self.staged.take().is_some_and(|staged| staged.transfer.base == self.index());
-        if from_force && self.held.is_some() {
+        let from_in_force = self.staged.take().is_some_and(|staged| staged.transfer.base == self.index());
+        if from_in_force && self.verified.is_some() {
             let transfer = Transfer { base: 0, source_version: 0, after: Cursor::end_of(0) };
             self.staged = Some(Staged { transfer, content: Content::default(), bytes: 0, source: None });
         }
@@ -243,23 +245,24 @@
     }
 
     fn put_in_force(&mut self) -> UpdateOutcome {
-        let Some((seal, proof)) = self.proved.take() else { return UpdateOutcome::NoEffect };
+        let Some((certificate, proof)) = self.pending_proof.take() else { return UpdateOutcome::NoEffect };
         let content = self.staged.take().map(|staged| staged.content).unwrap_or_default();
-        self.held = Some(VerifiedScope { certificate: seal, proof, content });
+        self.verified = Some(VerifiedScope { certificate, proof, content });
         UpdateOutcome::Changed
     }
 
     /// The content in force is the same by a newer seal.
     fn confirm(&mut self) -> UpdateOutcome {
-        let (Some((seal, proof)), Some(held)) = (self.proved.take(), &mut self.held) else {
+        let (Some((certificate, proof)), Some(verified)) = (self.pending_proof.take(), &mut self.verified)
+        else {
             return UpdateOutcome::NoEffect;
         };
-        let (before, index) = (held.index(), seal.index());
-        (held.certificate, held.proof) = (seal, proof);
+        let (previous, index) = (verified.index(), certificate.index());
+        (verified.certificate, verified.proof) = (certificate, proof);
         if let Some(staged) = &mut self.staged {
             if staged.transfer.after <= Cursor::end_of(index) {
                 self.staged = None;
-            } else if staged.transfer.base == before {
+            } else if staged.transfer.base == previous {
                 // Nothing was removed in between.
                 staged.transfer.base = index;
             }
@@ -271,11 +274,11 @@
 /// Whether the changes are in their order, after the place that they follow, and none newer than the state
 /// that they are of.
 fn is_ordered(message: &Changes) -> bool {
-    let place = |change: &KeyChange| Cursor::at(change.version, change.key.clone());
-    let mut before = message.after.clone();
+    let cursor = |change: &KeyChange| Cursor::at(change.version, change.key.clone());
+    let mut previous = message.after.clone();
     message.changes.iter().all(|change| {
-        let ordered = place(change) > before;
-        before = place(change);
+        let ordered = cursor(change) > previous;
+        previous = cursor(change);
         ordered && change.version <= message.source_version
     })
 }
--- a/distribution/src/sessions.rs
+++ b/distribution/src/sessions.rs
@@ -14,7 +14,7 @@
 pub const MAX_SESSION_SCOPES: usize = 256;
 /// Polls of one subscriber that are answered in a heartbeat; more are left unread. An honest one sends a few
 /// datagrams at [`crate::subscriber`]'s hasty pace, and one for each datagram of a transfer.
-const POLLS_A_HEARTBEAT: f64 = 32.0;
+const POLLS_PER_HEARTBEAT: f64 = 32.0;
 
 /// What was last sent of a scope, so that it is not repeated while its acknowledgement is on its way.
 #[derive(Clone, Debug, PartialEq)]
@@ -71,7 +71,7 @@
 impl Session {
     /// Whether it has this version of a scope, as it says; none where it has not subscribed.
     pub fn has(&self, scope: Scope, version: Version) -> Option<bool> {
-        self.scopes.get(&scope).map(|of| of.acknowledged >= version)
+        self.scopes.get(&scope).map(|subscription| subscription.acknowledged >= version)
     }
 }
 
@@ -83,7 +83,7 @@
     queue: BTreeSet<(u64, Id)>,
 }
 
-fn micros(at: f64) -> u64 {
+fn to_micros(at: f64) -> u64 {
     (at.max(0.0) * 1000.0) as u64
 }
 
@@ -115,8 +115,8 @@
 
     /// Who wants a scope and lacks a version of it.
     pub fn missing(&self, scope: Scope, version: Version) -> Vec<Id> {
-        let lacks = |(_, session): &(Id, &Session)| session.has(scope, version) == Some(false);
-        self.iter().filter(lacks).map(|(id, _)| id).collect()
+        let is_missing = |(_, session): &(Id, &Session)| session.has(scope, version) == Some(false);
+        self.iter().filter(is_missing).map(|(id, _)| id).collect()
     }
 
     /// A new one, or the one that there is.
@@ -128,7 +128,7 @@
             council_since: 0,
             pushed_at: f64::NEG_INFINITY,
             byte_budget: bytes,
-            poll_budget: TokenBucket::new(POLLS_A_HEARTBEAT / heartbeat * 1000.0, POLLS_A_HEARTBEAT, now),
+            poll_budget: TokenBucket::new(POLLS_PER_HEARTBEAT / heartbeat * 1000.0, POLLS_PER_HEARTBEAT, now),
             due: None,
         })
     }
@@ -143,7 +143,7 @@
     /// Ends those, and drops scopes, that have not been polled for since a time. Gives who has ended.
     pub fn expire(&mut self, before: f64) -> Vec<Id> {
         for session in self.sessions.values_mut() {
-            session.scopes.retain(|_, of| of.polled_at >= before);
+            session.scopes.retain(|_, subscription| subscription.polled_at >= before);
         }
         let ended = |(id, session): (Id, &Session)| (session.polled_at < before).then_some(id);
         let ended: Vec<Id> = self.iter().filter_map(ended).collect();
@@ -154,7 +154,7 @@
     /// One is to be served by then, or earlier where that was said before.
     pub fn serve_by(&mut self, id: Id, at: f64) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
-        let at = micros(at);
+        let at = to_micros(at);
         if let Some(due) = session.due {
             if due <= at {
                 return;
@@ -168,7 +168,7 @@
     /// The next one that is to be served by now.
     pub fn next(&mut self, now: f64) -> Option<Id> {
         let &(at, id) = self.queue.first()?;
-        if at > micros(now) {
+        if at > to_micros(now) {
             return None;
         }
         self.queue.pop_first();
--- a/distribution/src/state.rs
+++ b/distribution/src/state.rs
@@ -87,16 +87,16 @@
 /// The entries of all scopes, with a root over them. The same changes in the same order give the same state,
 /// byte by byte. An empty scope keeps the version of its last change. Printed short: by what begins the root.
 #[derive(Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(try_from = "Plain", into = "Plain")]
+#[serde(try_from = "SerializedState", into = "SerializedState")]
 pub struct ScopedState {
     scopes: BTreeMap<Scope, ScopeState>,
     trie: Trie,
 }
 
 impl fmt::Debug for ScopedState {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (scopes, version) = (self.scopes.len(), self.version());
-        write!(to, "ScopedState({scopes} scopes at {version}, root {:02x?})", &self.root()[..8])
+        write!(formatter, "ScopedState({scopes} scopes at {version}, root {:02x?})", &self.root()[..8])
     }
 }
 
@@ -166,19 +166,19 @@
         scope: Scope,
         base: Version,
         after: &Cursor,
-        most_bytes: usize,
+        max_bytes: usize,
     ) -> Result<ChangeRun, SnapshotNeeded> {
         let none = ChangeRun { changes: Vec::new(), complete: true };
-        self.scopes.get(&scope).map_or(Ok(none), |state| state.changes(base, after, most_bytes))
+        self.scopes.get(&scope).map_or(Ok(none), |state| state.changes(base, after, max_bytes))
     }
 }
 
 impl ScopeState {
     fn apply(&mut self, key: Key, version: Version, value: Option<Vec<u8>>) {
-        let former = self.content.get(&key).map(|(version, _)| version);
-        let former = former.or_else(|| self.removed.remove(&key));
-        if let Some(former) = former {
-            self.order.remove(&(former, Some(key.clone())));
+        let previous = self.content.get(&key).map(|(version, _)| version);
+        let previous = previous.or_else(|| self.removed.remove(&key));
+        if let Some(previous) = previous {
+            self.order.remove(&(previous, Some(key.clone())));
         }
         self.order.insert((version, Some(key.clone())));
         match value {
@@ -188,12 +188,12 @@
                 self.removed.insert(key, version);
             }
         }
-        self.forget();
+        self.forget_removals();
         self.summary = ScopeSummary { digest: self.content.digest(), version };
     }
 
     /// Forgets the oldest removals past the bound.
-    fn forget(&mut self) {
+    fn forget_removals(&mut self) {
         while self.removed.len() > MIN_REMEMBERED_REMOVALS.max(self.content.len()) {
             let oldest = self.removed.iter().min_by_key(|(key, version)| (**version, *key));
             let (key, version) =
@@ -204,11 +204,11 @@
         }
     }
 
-    fn changes(&self, base: Version, after: &Cursor, most_bytes: usize) -> Result<ChangeRun, SnapshotNeeded> {
+    fn changes(&self, base: Version, after: &Cursor, max_bytes: usize) -> Result<ChangeRun, SnapshotNeeded> {
         if base < self.floor {
             return Err(SnapshotNeeded { floor: self.floor });
         }
-        let (mut changes, mut room) = (Vec::new(), most_bytes);
+        let (mut changes, mut remaining_bytes) = (Vec::new(), max_bytes);
         for (version, key) in self.order.range((after.bound(), Bound::Unbounded)) {
             let key = key.as_ref().expect("always there");
             let value = self.content.get(key).map(|(_, value)| value);
@@ -216,10 +216,10 @@
                 continue;
             }
             let size = change_size(key, value);
-            if !changes.is_empty() && size > room {
+            if !changes.is_empty() && size > remaining_bytes {
                 return Ok(ChangeRun { changes, complete: false });
             }
-            room = room.saturating_sub(size);
+            remaining_bytes = remaining_bytes.saturating_sub(size);
             changes.push((*version, key.clone(), value.map(<[u8]>::to_vec)));
         }
         Ok(ChangeRun { changes, complete: true })
@@ -229,18 +229,18 @@
 /// Bytes that a change takes in a message at most.
 pub fn change_size(key: &Key, value: Option<&[u8]>) -> usize {
     /// A version, two lengths and whether there is a value.
-    const AROUND: usize = 10 + 2 + 2 + 1;
-    AROUND + key.as_str().len() + value.map_or(0, <[u8]>::len)
+    const OVERHEAD_BYTES: usize = 10 + 2 + 2 + 1;
+    OVERHEAD_BYTES + key.as_str().len() + value.map_or(0, <[u8]>::len)
 }
 
 /// A state as it is kept: what follows from the rest is left out.
 #[derive(Serialize, Deserialize)]
-struct Plain {
-    scopes: Vec<PlainScope>,
+struct SerializedState {
+    scopes: Vec<SerializedScope>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct PlainScope {
+struct SerializedScope {
     scope: Scope,
     version: Version,
     floor: Version,
@@ -259,25 +259,25 @@
     Inconsistent,
 }
 
-impl From<ScopedState> for Plain {
+impl From<ScopedState> for SerializedState {
     fn from(state: ScopedState) -> Self {
-        let plain = |(scope, state): (Scope, ScopeState)| PlainScope {
+        let serialized = |(scope, state): (Scope, ScopeState)| SerializedScope {
             scope,
             version: state.summary.version,
             floor: state.floor,
             entries: state.content.entries(),
             removed: state.removed.into_iter().collect(),
         };
-        Self { scopes: state.scopes.into_iter().map(plain).collect() }
+        Self { scopes: state.scopes.into_iter().map(serialized).collect() }
     }
 }
 
-impl TryFrom<Plain> for ScopedState {
+impl TryFrom<SerializedState> for ScopedState {
     type Error = InvalidState;
 
-    fn try_from(plain: Plain) -> Result<Self, InvalidState> {
+    fn try_from(serialized: SerializedState) -> Result<Self, InvalidState> {
         let mut state = Self::default();
-        for scope in plain.scopes {
+        for scope in serialized.scopes {
             let name = scope.scope;
             let restored = ScopeState::try_from(scope)?;
             state.trie.set(name, &restored.summary);
@@ -289,15 +289,16 @@
     }
 }
 
-impl TryFrom<PlainScope> for ScopeState {
+impl TryFrom<SerializedScope> for ScopeState {
     type Error = InvalidState;
 
-    fn try_from(plain: PlainScope) -> Result<Self, InvalidState> {
+    fn try_from(serialized: SerializedScope) -> Result<Self, InvalidState> {
         let mut order = BTreeSet::new();
-        let live = plain.entries.iter().map(|entry| (&entry.key, entry.version));
-        let all: Vec<_> = live.chain(plain.removed.iter().map(|(key, version)| (key, *version))).collect();
-        let in_range = all.iter().all(|(_, version)| *version <= plain.version);
-        let sizes = plain.entries.iter().map(|entry| entry.value.len());
+        let live = serialized.entries.iter().map(|entry| (&entry.key, entry.version));
+        let all: Vec<_> =
+            live.chain(serialized.removed.iter().map(|(key, version)| (key, *version))).collect();
+        let in_range = all.iter().all(|(_, version)| *version <= serialized.version);
+        let sizes = serialized.entries.iter().map(|entry| entry.value.len());
         if let Some(bytes) = sizes.max().filter(|&bytes| bytes > crate::entry::MAX_VALUE_BYTES) {
             return Err(InvalidEntry::LongValue(bytes).into());
         }
@@ -305,11 +306,17 @@
             order.insert((*version, Some((*key).clone())));
         }
         let keys: BTreeSet<_> = all.iter().map(|(key, _)| *key).collect();
-        if keys.len() != all.len() || !in_range || plain.floor > plain.version {
+        if keys.len() != all.len() || !in_range || serialized.floor > serialized.version {
             return Err(InvalidState::Inconsistent);
         }
-        let content: Content = plain.entries.into_iter().collect();
-        let summary = ScopeSummary { digest: content.digest(), version: plain.version };
-        Ok(Self { content, order, removed: plain.removed.into_iter().collect(), floor: plain.floor, summary })
+        let content: Content = serialized.entries.into_iter().collect();
+        let summary = ScopeSummary { digest: content.digest(), version: serialized.version };
+        Ok(Self {
+            content,
+            order,
+            removed: serialized.removed.into_iter().collect(),
+            floor: serialized.floor,
+            summary,
+        })
     }
 }
--- a/distribution/src/subscriber.rs
+++ b/distribution/src/subscriber.rs
@@ -24,25 +24,25 @@
 
 /// While a poll is unanswered or a transfer is under way, polls go out so many times a heartbeat. More costs
 /// bytes; less makes a lost packet cost more time.
-const HASTE: f64 = 4.0;
+const FAST_POLLS_PER_HEARTBEAT: f64 = 4.0;
 /// What came is acknowledged after up to this part of a heartbeat, so that the subscribers of a scope do not
 /// all do so at once.
-const ACKNOWLEDGE: f64 = 1.0 / 8.0;
+const ACKNOWLEDGE_HEARTBEATS: f64 = 1.0 / 8.0;
 /// The part by which a heartbeat is drawn shorter or longer, so that those of many do not fall together.
-const JITTER: f64 = 0.1;
+const POLL_JITTER_FRACTION: f64 = 0.1;
 /// Polls that are remembered until their answers come. A council that answers later than so many polls gives
 /// no age.
-const MOST_ASKED: usize = 32;
+const MAX_PENDING_POLLS: usize = 32;
 /// Answers on how far decisions were that wait for the scopes to get there.
-const MOST_FRESH: usize = 16;
+const MAX_PENDING_FRESHNESS: usize = 16;
 /// Seals, councils and freshness proofs that are verified in a heartbeat: each costs up to four signature
 /// checks, and a control machine that lies must not keep a processor busy. A burst of changes needs one seal
 /// a change.
-const VERIFIED_A_HEARTBEAT: f64 = 64.0;
+const VERIFICATIONS_PER_HEARTBEAT: f64 = 64.0;
 /// Datagrams that wait to be sent; past that the oldest are lost, as on the network.
-const MOST_OUT: usize = 64;
+const MAX_OUTGOING: usize = 64;
 /// Bytes of a poll beside its scopes.
-const POLL_HEAD: usize = 32;
+const POLL_HEADER_BYTES: usize = 32;
 
 /// A control machine that answers but brings nothing new for so many heartbeats, while what is held grows older
 /// than that, is usually taken for gone. Less leaves one whose council elects a new leader; more costs age where
@@ -113,10 +113,10 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct SentPoll {
     nonce: u64,
     to: Id,
-    at: f64,
+    sent_at: f64,
 }
 
 /// A subscriber.
@@ -127,22 +127,22 @@
     scopes: BTreeMap<Scope, ScopeStore>,
     placement: Placement,
     nonces: NonceGenerator,
-    chance: Pcg64Mcg,
-    asked: VecDeque<Asked>,
+    rng: Pcg64Mcg,
+    sent_polls: VecDeque<SentPoll>,
     /// How far decisions were, and when the poll was sent that asked: newer than some scope.
-    fresh: VecDeque<(Version, f64)>,
-    verify: TokenBucket,
+    freshness: VecDeque<(Version, f64)>,
+    verification_budget: TokenBucket,
     polled_at: f64,
     poll_at: f64,
     /// When what came is to be acknowledged, if that is before the next poll.
     acknowledge_at: f64,
     /// It was told to come later: no polls until then.
-    held_off: f64,
+    held_off_until: f64,
     /// When something was last got from a control machine.
     progress_at: f64,
-    changed: BTreeSet<Scope>,
+    changed_scopes: BTreeSet<Scope>,
     unsaved: bool,
-    out: VecDeque<Outgoing>,
+    outgoing: VecDeque<Outgoing>,
     counts: SubscriberCounts,
 }
 
@@ -150,47 +150,47 @@
     /// A subscriber without any scope. `seed` must not be known to others: what a control machine can
     /// foretell it could answer beforehand.
     pub fn new(terms: SubscriberTerms, keys: K, seed: u64, now: f64) -> Self {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let founders = Council::bootstrap(terms.bootstrap_members.iter().copied());
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let bootstrap_council = Council::bootstrap(terms.bootstrap_members.iter().copied());
         let (region, heartbeat) = (terms.region, terms.heartbeat);
-        let placement = Placement::new(terms.id, region, &terms.controls, heartbeat, now, &mut chance);
-        let verified = VERIFIED_A_HEARTBEAT / heartbeat * 1000.0;
+        let placement = Placement::new(terms.id, region, &terms.controls, heartbeat, now, &mut rng);
+        let verifications_per_second = VERIFICATIONS_PER_HEARTBEAT / heartbeat * 1000.0;
         // Those that start together do not all come at once.
-        let poll_at = now + 0.5 * heartbeat * chance.random::<f64>();
+        let poll_at = now + 0.5 * heartbeat * rng.random::<f64>();
         Self {
             terms,
-            trust: Trust::new(founders, keys),
+            trust: Trust::new(bootstrap_council, keys),
             scopes: BTreeMap::new(),
             placement,
             nonces: NonceGenerator::new(seed),
-            chance,
-            asked: VecDeque::new(),
-            fresh: VecDeque::new(),
-            verify: TokenBucket::new(verified, VERIFIED_A_HEARTBEAT, now),
-            polled_at: poll_at - heartbeat / HASTE,
+            rng,
+            sent_polls: VecDeque::new(),
+            freshness: VecDeque::new(),
+            verification_budget: TokenBucket::new(verifications_per_second, VERIFICATIONS_PER_HEARTBEAT, now),
+            polled_at: poll_at - heartbeat / FAST_POLLS_PER_HEARTBEAT,
             poll_at,
             acknowledge_at: f64::INFINITY,
-            held_off: f64::NEG_INFINITY,
+            held_off_until: f64::NEG_INFINITY,
             progress_at: now,
-            changed: BTreeSet::new(),
+            changed_scopes: BTreeSet::new(),
             unsaved: false,
-            out: VecDeque::new(),
+            outgoing: VecDeque::new(),
             counts: SubscriberCounts::default(),
         }
     }
 
     /// Wants a scope from now on.
     pub fn subscribe(&mut self, scope: Scope, now: f64) {
-        if let Entry::Vacant(place) = self.scopes.entry(scope) {
-            place.insert(ScopeStore::default());
-            self.hasten(now);
+        if let Entry::Vacant(vacant) = self.scopes.entry(scope) {
+            vacant.insert(ScopeStore::default());
+            self.schedule_fast_poll(now);
         }
     }
 
     /// Wants a scope no more: nothing of it is held.
     pub fn unsubscribe(&mut self, scope: Scope) {
         if self.scopes.remove(&scope).is_some() {
-            self.changed.remove(&scope);
+            self.changed_scopes.remove(&scope);
             self.unsaved = true;
             self.send(self.placement.current().0, &[Message::Unsubscribe { scopes: vec![scope] }]);
         }
@@ -208,7 +208,7 @@
 
     /// What is in force of a scope; none before anything was proved.
     pub fn content(&self, scope: Scope) -> Option<&Content> {
-        self.scopes.get(&scope)?.verified().map(|held| &held.content)
+        self.scopes.get(&scope)?.verified().map(|verified| &verified.content)
     }
 
     /// The index of the seal by which a scope is in force; 0 where nothing is. All decisions up to it are
@@ -231,14 +231,14 @@
 
     /// The next scope whose content has changed.
     pub fn next_changed_scope(&mut self) -> Option<Scope> {
-        self.changed.pop_first()
+        self.changed_scopes.pop_first()
     }
 
     /// What is to be kept on the disk, where that has changed since it was last asked for.
     pub fn state_to_save(&mut self) -> Option<Vec<u8>> {
         std::mem::take(&mut self.unsaved).then(|| {
-            let held = self.scopes.iter().filter_map(|(scope, of)| Some((*scope, of.verified()?)));
-            SavedState::new(self.trust.council_proofs(), held).encode()
+            let verified = self.scopes.iter().filter_map(|(scope, store)| Some((*scope, store.verified()?)));
+            SavedState::new(self.trust.council_proofs(), verified).encode()
         })
     }
 
@@ -246,25 +246,26 @@
     pub fn restore(&mut self, bytes: &[u8]) -> Restored {
         let mut restored = Restored::default();
         let Some(saved) = SavedState::decode(bytes) else { return restored };
-        let links = saved.links.clone();
-        let founders = Council::bootstrap(self.terms.bootstrap_members.iter().copied());
-        for scope in saved.verify(&founders, self.trust.keys()) {
-            let Some((scope, held)) = scope else {
+        let council_proofs = saved.council_proofs.clone();
+        let bootstrap_council = Council::bootstrap(self.terms.bootstrap_members.iter().copied());
+        for scope in saved.verify(&bootstrap_council, self.trust.keys()) {
+            let Some((scope, verified)) = scope else {
                 restored.unverified += 1;
                 continue;
             };
-            let Some(holding) = self.scopes.get_mut(&scope).filter(|of| of.index() < held.index()) else {
+            let Some(store) = self.scopes.get_mut(&scope).filter(|store| store.index() < verified.index())
+            else {
                 continue;
             };
-            if holding.restore(held) {
+            if store.restore(verified) {
                 restored.scopes += 1;
-                self.changed.insert(scope);
+                self.changed_scopes.insert(scope);
             } else {
                 restored.unverified += 1;
             }
         }
-        for link in links {
-            if self.trust.advance_council(link).is_err() {
+        for council_proof in council_proofs {
+            if self.trust.advance_council(council_proof).is_err() {
                 break;
             }
         }
@@ -285,49 +286,51 @@
         };
         for message in messages {
             match message {
-                Message::Alive { nonce, index } => self.answered(now, from, nonce, index),
-                Message::Freshness { nonce, path, proof } => self.note_fresh(now, from, nonce, &path, &proof),
-                Message::Changes(changes) => self.stage(now, from, changes),
-                Message::Proof { scope, index, proof } => self.prove(now, scope, index, proof),
-                Message::Certificate(seal) => self.seal(now, seal),
-                Message::CouncilProof(link) => self.follow(now, link),
-                Message::RetryLater { after_ms } => self.hold_off(now, from, f64::from(after_ms)),
+                Message::Alive { nonce, index } => self.handle_alive(now, from, nonce, index),
+                Message::Freshness { nonce, path, proof } => {
+                    self.handle_freshness(now, from, nonce, &path, &proof)
+                }
+                Message::Changes(changes) => self.handle_changes(now, from, changes),
+                Message::Proof { scope, index, proof } => self.handle_proof(now, scope, index, proof),
+                Message::Certificate(certificate) => self.handle_certificate(now, certificate),
+                Message::CouncilProof(council_proof) => self.handle_council_proof(now, council_proof),
+                Message::RetryLater { after_ms } => self.handle_retry_later(now, from, f64::from(after_ms)),
                 Message::Poll(_) | Message::Unsubscribe { .. } => self.counts.unexpected += 1,
             }
         }
     }
 
-    fn answered(&mut self, now: f64, from: Id, nonce: u64, index: Version) {
-        if !self.asked.iter().any(|asked| asked.nonce == nonce && asked.to == from) {
+    fn handle_alive(&mut self, now: f64, from: Id, nonce: u64, index: Version) {
+        if !self.sent_polls.iter().any(|poll| poll.nonce == nonce && poll.to == from) {
             return;
         }
         if let Some(before) = self.placement.poll_answered(from, now) {
-            self.leave(before);
+            self.unsubscribe_from(before);
             self.counts.switched += 1;
-            (self.poll_at, self.held_off) = (now, f64::NEG_INFINITY);
+            (self.poll_at, self.held_off_until) = (now, f64::NEG_INFINITY);
             return;
         }
         if from == self.placement.current().0 {
-            self.pace(false);
-            for holding in self.scopes.values_mut() {
-                holding.discard_newer_than(index);
+            self.schedule_poll(false);
+            for store in self.scopes.values_mut() {
+                store.discard_newer_than(index);
             }
         }
     }
 
     /// Tells one that it is no longer needed.
-    fn leave(&mut self, control: Id) {
+    fn unsubscribe_from(&mut self, control: Id) {
         let scopes: Vec<Scope> = self.scopes.keys().copied().collect();
         for scopes in scopes.chunks(MAX_MESSAGE_SCOPES) {
             self.send(control, &[Message::Unsubscribe { scopes: scopes.to_vec() }]);
         }
     }
 
-    fn note_fresh(&mut self, now: f64, from: Id, nonce: u64, path: &BatchPath, proof: &FreshnessProof) {
-        let Some(&asked) = self.asked.iter().find(|asked| asked.nonce == nonce && asked.to == from) else {
+    fn handle_freshness(&mut self, now: f64, from: Id, nonce: u64, path: &BatchPath, proof: &FreshnessProof) {
+        let Some(&poll) = self.sent_polls.iter().find(|poll| poll.nonce == nonce && poll.to == from) else {
             return;
         };
-        if !self.verify.try_spend(now, 1.0) {
+        if !self.verification_budget.try_spend(now, 1.0) {
             self.counts.rate_limited += 1;
             return;
         }
@@ -335,96 +338,96 @@
             self.counts.unverified += 1;
             return;
         }
-        self.asked.retain(|asked| asked.nonce != nonce);
-        self.fresh.push_back((proof.index, asked.at));
-        if self.fresh.len() > MOST_FRESH {
-            self.fresh.pop_front();
+        self.sent_polls.retain(|poll| poll.nonce != nonce);
+        self.freshness.push_back((proof.index, poll.sent_at));
+        if self.freshness.len() > MAX_PENDING_FRESHNESS {
+            self.freshness.pop_front();
         }
-        self.note_ages();
+        self.update_ages();
     }
 
     /// What was decided by the time of a poll is known once it is in force.
-    fn note_ages(&mut self) {
-        for holding in self.scopes.values_mut() {
-            self.fresh.iter().for_each(|&(index, at)| holding.record_freshness(index, at));
+    fn update_ages(&mut self) {
+        for store in self.scopes.values_mut() {
+            self.freshness.iter().for_each(|&(index, at)| store.record_freshness(index, at));
         }
         let oldest = self.scopes.values().map(ScopeStore::index).min().unwrap_or(Version::MAX);
-        self.fresh.retain(|(index, _)| *index > oldest);
+        self.freshness.retain(|(index, _)| *index > oldest);
     }
 
-    fn stage(&mut self, now: f64, from: Id, changes: Changes) {
+    fn handle_changes(&mut self, now: f64, from: Id, changes: Changes) {
         let (scope, complete) = (changes.scope, changes.complete);
-        let Some(holding) = self.scopes.get_mut(&scope) else { return };
-        let progress = holding.stage(from, changes, self.terms.max_scope_bytes);
-        self.note(now, scope, progress);
-        if progress == UpdateOutcome::Staged {
+        let Some(store) = self.scopes.get_mut(&scope) else { return };
+        let outcome = store.stage(from, changes, self.terms.max_scope_bytes);
+        self.record_outcome(now, scope, outcome);
+        if outcome == UpdateOutcome::Staged {
             if !complete {
-                self.acknowledge(now);
+                self.schedule_acknowledgement(now);
             }
-            self.settle(now, scope);
+            self.apply_verified(now, scope);
         }
     }
 
-    fn prove(&mut self, now: f64, scope: Scope, index: Version, proof: ScopeProof) {
-        let Some(holding) = self.scopes.get_mut(&scope) else { return };
+    fn handle_proof(&mut self, now: f64, scope: Scope, index: Version, proof: ScopeProof) {
+        let Some(store) = self.scopes.get_mut(&scope) else { return };
         if !self.trust.has_certificate(index) {
-            return holding.defer_proof(index, proof);
+            return store.defer_proof(index, proof);
         }
         match self.trust.certificate_for(scope, index, &proof) {
-            Some(seal) => holding.add_proof(seal, proof),
+            Some(certificate) => store.add_proof(certificate, proof),
             None => self.counts.unverified += 1,
         }
-        self.settle(now, scope);
+        self.apply_verified(now, scope);
     }
 
-    fn seal(&mut self, now: f64, seal: Certificate) {
-        let index = seal.statement.index;
+    fn handle_certificate(&mut self, now: f64, certificate: Certificate) {
+        let index = certificate.statement.index;
         if self.trust.has_certificate(index) {
             return;
         }
-        if !self.verify.try_spend(now, 1.0) {
+        if !self.verification_budget.try_spend(now, 1.0) {
             self.counts.rate_limited += 1;
             return;
         }
-        if let Err(unbelieved) = self.trust.add_certificate(seal) {
-            self.counts.unverified += u64::from(unbelieved == VerificationError::Unsigned);
+        if let Err(error) = self.trust.add_certificate(certificate) {
+            self.counts.unverified += u64::from(error == VerificationError::Unsigned);
             return;
         }
         for scope in self.scopes.keys().copied().collect::<Vec<_>>() {
-            let waiting = self.scopes.get_mut(&scope).and_then(|holding| holding.take_deferred_proof(index));
+            let waiting = self.scopes.get_mut(&scope).and_then(|store| store.take_deferred_proof(index));
             if let Some(proof) = waiting {
-                self.prove(now, scope, index, proof);
+                self.handle_proof(now, scope, index, proof);
             }
         }
     }
 
-    fn follow(&mut self, now: f64, link: CouncilProof) {
-        if !self.trust.is_next(&link) {
+    fn handle_council_proof(&mut self, now: f64, council_proof: CouncilProof) {
+        if !self.trust.is_next(&council_proof) {
             return;
         }
-        if !self.verify.try_spend(now, 1.0) {
+        if !self.verification_budget.try_spend(now, 1.0) {
             self.counts.rate_limited += 1;
-        } else if self.trust.advance_council(link).is_err() {
+        } else if self.trust.advance_council(council_proof).is_err() {
             self.counts.unverified += 1;
         } else {
             self.unsaved = true;
             self.progress_at = now;
-            self.hasten(now);
+            self.schedule_fast_poll(now);
         }
     }
 
-    fn settle(&mut self, now: f64, scope: Scope) {
-        let Some(holding) = self.scopes.get_mut(&scope) else { return };
-        let progress = holding.apply_verified();
-        self.note(now, scope, progress);
-        if matches!(progress, UpdateOutcome::Changed | UpdateOutcome::Confirmed) {
-            self.note_ages();
-            self.acknowledge(now);
+    fn apply_verified(&mut self, now: f64, scope: Scope) {
+        let Some(store) = self.scopes.get_mut(&scope) else { return };
+        let outcome = store.apply_verified();
+        self.record_outcome(now, scope, outcome);
+        if matches!(outcome, UpdateOutcome::Changed | UpdateOutcome::Confirmed) {
+            self.update_ages();
+            self.schedule_acknowledgement(now);
         }
     }
 
-    fn note(&mut self, now: f64, scope: Scope, progress: UpdateOutcome) {
-        match progress {
+    fn record_outcome(&mut self, now: f64, scope: Scope, outcome: UpdateOutcome) {
+        match outcome {
             UpdateOutcome::NoEffect => return,
             UpdateOutcome::Malformed => {
                 self.counts.malformed += 1;
@@ -433,12 +436,12 @@
             UpdateOutcome::Mismatch(source) => {
                 self.counts.mismatched += 1;
                 if source == Some(self.placement.current().0) {
-                    self.placement.suspect(now, &mut self.chance);
+                    self.placement.suspect(now, &mut self.rng);
                 }
-                return self.hasten(now);
+                return self.schedule_fast_poll(now);
             }
             UpdateOutcome::Changed => {
-                self.changed.insert(scope);
+                self.changed_scopes.insert(scope);
                 self.unsaved = true;
             }
             UpdateOutcome::Staged | UpdateOutcome::Confirmed => {}
@@ -447,42 +450,42 @@
     }
 
     /// Says before long what it has.
-    fn acknowledge(&mut self, now: f64) {
-        let soon = ACKNOWLEDGE * self.terms.heartbeat;
-        let at = (now + soon * self.chance.random::<f64>()).max(self.polled_at + soon);
-        self.acknowledge_at = self.acknowledge_at.min(at).max(self.held_off);
+    fn schedule_acknowledgement(&mut self, now: f64) {
+        let soon = ACKNOWLEDGE_HEARTBEATS * self.terms.heartbeat;
+        let at = (now + soon * self.rng.random::<f64>()).max(self.polled_at + soon);
+        self.acknowledge_at = self.acknowledge_at.min(at).max(self.held_off_until);
     }
 
     /// Polls at the pace of what is unanswered.
-    fn hasten(&mut self, now: f64) {
-        let at = self.polled_at + self.terms.heartbeat / HASTE;
-        self.poll_at = self.poll_at.min(at.max(now)).max(self.held_off);
+    fn schedule_fast_poll(&mut self, now: f64) {
+        let at = self.polled_at + self.terms.heartbeat / FAST_POLLS_PER_HEARTBEAT;
+        self.poll_at = self.poll_at.min(at.max(now)).max(self.held_off_until);
     }
 
-    fn hold_off(&mut self, now: f64, from: Id, after: f64) {
+    fn handle_retry_later(&mut self, now: f64, from: Id, after: f64) {
         if from != self.placement.current().0 {
             return;
         }
         self.counts.deferred += 1;
         self.placement.poll_answered(from, now);
-        self.held_off = now + after.min(self.terms.lease);
-        self.poll_at = self.poll_at.max(self.held_off);
+        self.held_off_until = now + after.min(self.terms.lease);
+        self.poll_at = self.poll_at.max(self.held_off_until);
     }
 
     /// Time has passed.
     pub fn turn(&mut self, now: f64) {
-        if now >= self.stale_at() {
+        if now >= self.lease_expires_at() {
             self.progress_at = now;
-            self.placement.suspect(now, &mut self.chance);
+            self.placement.suspect(now, &mut self.rng);
         }
-        if self.placement.turn(now, &mut self.chance) {
+        if self.placement.turn(now, &mut self.rng) {
             self.counts.switched += 1;
-            self.held_off = f64::NEG_INFINITY;
+            self.held_off_until = f64::NEG_INFINITY;
             self.progress_at = now;
             self.poll_at = now;
         }
-        if let Some(other) = self.placement.next_retry(now, &mut self.chance) {
-            self.poll(now, other, Vec::new());
+        if let Some(other) = self.placement.next_retry(now, &mut self.rng) {
+            self.send_poll(now, other, Vec::new());
         }
         if now >= self.poll_at.min(self.acknowledge_at) {
             self.poll_all(now);
@@ -490,7 +493,7 @@
     }
 
     /// When the control machine that serves is taken for gone, as it answers but brings nothing.
-    fn stale_at(&self) -> f64 {
+    fn lease_expires_at(&self) -> f64 {
         let oldest = |at: f64, of: &ScopeStore| at.min(of.fresh_since().unwrap_or(f64::NEG_INFINITY));
         let fresh = self.scopes.values().fold(f64::INFINITY, oldest);
         let since = fresh.max(self.progress_at).max(self.placement.current().1);
@@ -499,29 +502,30 @@
 
     fn poll_all(&mut self, now: f64) {
         let to = self.placement.current().0;
-        let positions = self.scopes.iter().map(|(scope, holding)| (*scope, holding.position())).collect();
-        for scopes in in_datagrams(positions) {
-            self.poll(now, to, scopes);
+        let positions = self.scopes.iter().map(|(scope, store)| (*scope, store.position())).collect();
+        for scopes in split_into_datagrams(positions) {
+            self.send_poll(now, to, scopes);
         }
         self.placement.poll_sent(now);
         (self.polled_at, self.acknowledge_at) = (now, f64::INFINITY);
-        self.pace(true);
+        self.schedule_poll(true);
     }
 
     /// Sets when the next poll is due, unless something is to be acknowledged before.
-    fn pace(&mut self, unanswered: bool) {
-        let jitter = self.chance.random_range(1.0 - JITTER..1.0 + JITTER);
-        let underway = unanswered || self.scopes.values().any(ScopeStore::is_in_progress);
-        let pace = if underway { self.terms.heartbeat / HASTE } else { self.terms.heartbeat };
-        self.poll_at = (self.polled_at + jitter * pace).max(self.held_off);
+    fn schedule_poll(&mut self, unanswered: bool) {
+        let jitter = self.rng.random_range(1.0 - POLL_JITTER_FRACTION..1.0 + POLL_JITTER_FRACTION);
+        let in_progress = unanswered || self.scopes.values().any(ScopeStore::is_in_progress);
+        let pace =
+            if in_progress { self.terms.heartbeat / FAST_POLLS_PER_HEARTBEAT } else { self.terms.heartbeat };
+        self.poll_at = (self.polled_at + jitter * pace).max(self.held_off_until);
     }
 
-    fn poll(&mut self, now: f64, to: Id, scopes: Vec<(Scope, Position)>) {
+    fn send_poll(&mut self, now: f64, to: Id, scopes: Vec<(Scope, Position)>) {
         let poll =
             Poll { nonce: self.nonces.next_nonce(), council_since: self.trust.council_since(), scopes };
-        self.asked.push_back(Asked { nonce: poll.nonce, to, at: now });
-        if self.asked.len() > MOST_ASKED {
-            self.asked.pop_front();
+        self.sent_polls.push_back(SentPoll { nonce: poll.nonce, to, sent_at: now });
+        if self.sent_polls.len() > MAX_PENDING_POLLS {
+            self.sent_polls.pop_front();
         }
         self.send(to, &[Message::Poll(poll)]);
     }
@@ -530,27 +534,27 @@
         for bytes in wire::encode(messages) {
             self.counts.sent += 1;
             self.counts.sent_bytes += bytes.len() as u64;
-            self.out.push_back(Outgoing { to, bytes });
+            self.outgoing.push_back(Outgoing { to, bytes });
         }
-        while self.out.len() > MOST_OUT {
-            self.out.pop_front();
+        while self.outgoing.len() > MAX_OUTGOING {
+            self.outgoing.pop_front();
         }
     }
 
     /// When [`Subscriber::turn`] is to be called at the latest.
     pub fn due(&self) -> f64 {
-        self.poll_at.min(self.acknowledge_at).min(self.placement.due()).min(self.stale_at())
+        self.poll_at.min(self.acknowledge_at).min(self.placement.due()).min(self.lease_expires_at())
     }
 
     /// The next datagram to be sent.
     pub fn outgoing(&mut self) -> Option<Outgoing> {
-        self.out.pop_front()
+        self.outgoing.pop_front()
     }
 
     /// How it stands.
     pub fn status(&self, now: f64) -> SubscriberStatus {
         let (control, since) = self.placement.current();
-        let scope = |(scope, of): (&Scope, &ScopeStore)| (*scope, (of.index(), self.age(*scope, now)));
+        let scope = |(scope, store): (&Scope, &ScopeStore)| (*scope, (store.index(), self.age(*scope, now)));
         SubscriberStatus {
             control: (control, now - since),
             scopes: self.scopes.iter().map(scope).collect(),
@@ -561,18 +565,18 @@
 }
 
 /// Positions in runs that each fit a datagram; one empty run where there are none.
-fn in_datagrams(positions: Vec<(Scope, Position)>) -> Vec<Vec<(Scope, Position)>> {
-    let (mut runs, mut room) = (vec![Vec::new()], MAX_DATAGRAM_BYTES - POLL_HEAD);
+fn split_into_datagrams(positions: Vec<(Scope, Position)>) -> Vec<Vec<(Scope, Position)>> {
+    let (mut chunks, mut remaining_bytes) = (vec![Vec::new()], MAX_DATAGRAM_BYTES - POLL_HEADER_BYTES);
     for position in positions {
         let size = postcard::experimental::serialized_size(&position).expect("plain data");
-        let last = runs.last_mut().expect("never empty");
-        if size > room || last.len() == MAX_MESSAGE_SCOPES {
-            room = MAX_DATAGRAM_BYTES - POLL_HEAD;
-            runs.push(vec![position]);
+        let last = chunks.last_mut().expect("never empty");
+        if size > remaining_bytes || last.len() == MAX_MESSAGE_SCOPES {
+            remaining_bytes = MAX_DATAGRAM_BYTES - POLL_HEADER_BYTES;
+            chunks.push(vec![position]);
         } else {
             last.push(position);
         }
-        room = room.saturating_sub(size);
+        remaining_bytes = remaining_bytes.saturating_sub(size);
     }
-    runs
+    chunks
 }
--- a/distribution/src/token_bucket.rs
+++ b/distribution/src/token_bucket.rs
@@ -16,8 +16,9 @@
     }
 
     fn fill(&mut self, now: f64) {
-        let came = (now - self.updated_at).max(0.0) / 1000.0 * self.tokens_per_second;
-        (self.tokens, self.updated_at) = ((self.tokens + came).min(self.capacity), self.updated_at.max(now));
+        let refill = (now - self.updated_at).max(0.0) / 1000.0 * self.tokens_per_second;
+        (self.tokens, self.updated_at) =
+            ((self.tokens + refill).min(self.capacity), self.updated_at.max(now));
     }
 
     /// What may be used now; less than nothing where more was used than there was.
@@ -48,7 +49,7 @@
 
     /// When there will be as much, as things stand.
     pub fn available_at(&self, units: f64) -> f64 {
-        let wanting = units.min(self.capacity) - self.tokens;
-        self.updated_at + wanting.max(0.0) / self.tokens_per_second * 1000.0
+        let shortfall = units.min(self.capacity) - self.tokens;
+        self.updated_at + shortfall.max(0.0) / self.tokens_per_second * 1000.0
     }
 }
--- a/distribution/src/trust.rs
+++ b/distribution/src/trust.rs
@@ -32,8 +32,8 @@
 }
 
 impl From<Certificate> for SharedCertificate {
-    fn from(seal: Certificate) -> Self {
-        Self(Arc::new(seal))
+    fn from(certificate: Certificate) -> Self {
+        Self(Arc::new(certificate))
     }
 }
 
@@ -46,9 +46,9 @@
 }
 
 impl fmt::Debug for SharedCertificate {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Statement { index, version, state_root: state, .. } = &self.0.statement;
-        write!(to, "Seal({index} by council {version}, state {:02x?})", &state[..8])
+        write!(formatter, "Seal({index} by council {version}, state {:02x?})", &state[..8])
     }
 }
 
@@ -67,15 +67,21 @@
     keys: K,
     council: Council,
     /// Since when it votes.
-    version: Version,
-    links: Vec<CouncilProof>,
-    seals: BTreeMap<Version, SharedCertificate>,
+    council_since: Version,
+    council_proofs: Vec<CouncilProof>,
+    certificates: BTreeMap<Version, SharedCertificate>,
 }
 
 impl<K: Signer> Trust<K> {
     /// Believes the founders.
-    pub fn new(founders: Council, keys: K) -> Self {
-        Self { keys, council: founders, version: 0, links: Vec::new(), seals: BTreeMap::new() }
+    pub fn new(bootstrap_council: Council, keys: K) -> Self {
+        Self {
+            keys,
+            council: bootstrap_council,
+            council_since: 0,
+            council_proofs: Vec::new(),
+            certificates: BTreeMap::new(),
+        }
     }
 
     /// Who signs, and how that is verified.
@@ -90,17 +96,18 @@
 
     /// Since when the newest council votes that is proved.
     pub fn council_since(&self) -> Version {
-        self.version
+        self.council_since
     }
 
     /// The proofs of all councils since the founders'.
     pub fn council_proofs(&self) -> &[CouncilProof] {
-        &self.links
+        &self.council_proofs
     }
 
     /// Whether a link could be the next one.
-    pub fn is_next(&self, link: &CouncilProof) -> bool {
-        link.certificate.statement.version > self.version && self.links.len() < MAX_COUNCIL_PROOFS
+    pub fn is_next(&self, council_proof: &CouncilProof) -> bool {
+        council_proof.certificate.statement.version > self.council_since
+            && self.council_proofs.len() < MAX_COUNCIL_PROOFS
     }
 
     /// Goes on to the next council.
@@ -108,26 +115,27 @@
     /// # Errors
     ///
     /// [`VerificationError`] where a majority of the council before it does not prove it.
-    pub fn advance_council(&mut self, link: CouncilProof) -> Result<(), VerificationError> {
-        if !self.is_next(&link) {
+    pub fn advance_council(&mut self, council_proof: CouncilProof) -> Result<(), VerificationError> {
+        if !self.is_next(&council_proof) {
             return Err(VerificationError::UnknownCouncil);
         }
-        if !link.is_valid(&self.council, &self.keys) {
+        if !council_proof.is_valid(&self.council, &self.keys) {
             return Err(VerificationError::Unsigned);
         }
-        (self.version, self.council) = (link.certificate.statement.version, link.council.clone());
-        self.links.push(link);
+        (self.council_since, self.council) =
+            (council_proof.certificate.statement.version, council_proof.council.clone());
+        self.council_proofs.push(council_proof);
         Ok(())
     }
 
     /// The newest sealed index.
     pub fn newest_index(&self) -> Version {
-        self.seals.last_key_value().map_or(0, |(index, _)| *index)
+        self.certificates.last_key_value().map_or(0, |(index, _)| *index)
     }
 
     /// Whether a seal of that index is known.
     pub fn has_certificate(&self, index: Version) -> bool {
-        self.seals.contains_key(&index)
+        self.certificates.contains_key(&index)
     }
 
     /// Takes a seal; the oldest of those that are kept make room.
@@ -135,23 +143,28 @@
     /// # Errors
     ///
     /// [`VerificationError`] where a majority of the newest council did not sign it.
-    pub fn add_certificate(&mut self, seal: Certificate) -> Result<SharedCertificate, VerificationError> {
-        let of = &seal.statement;
-        if let Some(known) = self.seals.get(&of.index).filter(|known| known.statement == *of) {
+    pub fn add_certificate(
+        &mut self,
+        certificate: Certificate,
+    ) -> Result<SharedCertificate, VerificationError> {
+        let statement = &certificate.statement;
+        if let Some(known) =
+            self.certificates.get(&statement.index).filter(|known| known.statement == *statement)
+        {
             return Ok(known.clone());
         }
-        if of.version != self.version || of.council_digest != self.council.digest() {
+        if statement.version != self.council_since || statement.council_digest != self.council.digest() {
             return Err(VerificationError::UnknownCouncil);
         }
-        if !seal.is_valid(&self.council, &self.keys) {
+        if !certificate.is_valid(&self.council, &self.keys) {
             return Err(VerificationError::Unsigned);
         }
-        let (index, seal) = (of.index, SharedCertificate::from(seal));
-        self.seals.insert(index, seal.clone());
-        if self.seals.len() > MAX_CERTIFICATES {
-            self.seals.pop_first();
+        let (index, certificate) = (statement.index, SharedCertificate::from(certificate));
+        self.certificates.insert(index, certificate.clone());
+        if self.certificates.len() > MAX_CERTIFICATES {
+            self.certificates.pop_first();
         }
-        Ok(seal)
+        Ok(certificate)
     }
 
     /// The seal by which a proof of a scope holds.
@@ -161,8 +174,8 @@
         index: Version,
         proof: &ScopeProof,
     ) -> Option<SharedCertificate> {
-        let seal = self.seals.get(&index)?;
-        proof.verify(&seal.statement.state_root, scope).is_ok().then(|| seal.clone())
+        let certificate = self.certificates.get(&index)?;
+        proof.verify(&certificate.statement.state_root, scope).is_ok().then(|| certificate.clone())
     }
 
     /// Whether a voter of the newest council signed how far decisions were.
--- a/distribution/src/wire.rs
+++ b/distribution/src/wire.rs
@@ -197,18 +197,19 @@
     }
     let mut messages = Vec::new();
     while !body.is_empty() {
-        let (message, rest) = postcard::take_from_bytes::<Message>(body).map_err(|_| DecodeError::Form)?;
+        let (message, remaining) =
+            postcard::take_from_bytes::<Message>(body).map_err(|_| DecodeError::Form)?;
         if !is_bounded(&message) {
             return Err(DecodeError::Bounds);
         }
         messages.push(message);
-        body = rest;
+        body = remaining;
     }
     if messages.is_empty() { Err(DecodeError::Form) } else { Ok(messages) }
 }
 
 fn is_bounded(message: &Message) -> bool {
-    let fits = |seal: &Certificate| seal.signatures.len() <= MAX_VOTERS;
+    let has_valid_size = |certificate: &Certificate| certificate.signatures.len() <= MAX_VOTERS;
     match message {
         Message::Poll(poll) => poll.scopes.len() <= MAX_MESSAGE_SCOPES,
         Message::Unsubscribe { scopes } => scopes.len() <= MAX_MESSAGE_SCOPES,
@@ -217,8 +218,10 @@
             length <= MAX_VALUE_BYTES
         }),
         Message::Proof { proof, .. } => proof.path.len() <= MAX_PATH_LEN,
-        Message::Certificate(seal) => fits(seal),
-        Message::CouncilProof(link) => fits(&link.certificate) && link.council.voters().len() <= MAX_VOTERS,
+        Message::Certificate(certificate) => has_valid_size(certificate),
+        Message::CouncilProof(council_proof) => {
+            has_valid_size(&council_proof.certificate) && council_proof.council.voters().len() <= MAX_VOTERS
+        }
         Message::Freshness { path, .. } => path.is_bounded(),
         Message::Alive { .. } | Message::RetryLater { .. } => true,
     }
--- a/distribution/tests/world/council.rs
+++ b/distribution/tests/cluster/council.rs
@@ -29,43 +29,49 @@
         signature(self.0, bytes)
     }
 
-    fn verify(&self, by: Id, bytes: &[u8], said: &[u8; 64]) -> bool {
-        signature(by, bytes) == *said
+    fn verify(&self, by: Id, bytes: &[u8], signature_bytes: &[u8; 64]) -> bool {
+        signature(by, bytes) == *signature_bytes
     }
 }
 
 #[derive(Clone, Debug)]
 struct Decision {
-    at: f64,
+    decided_at: f64,
     changes: Vec<Change>,
     state: ScopedState,
-    seal: Option<Certificate>,
+    certificate: Option<Certificate>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Council {
-    founders: Vec<Id>,
+    bootstrap_members: Vec<Id>,
     voters: agree::Council,
     version: Version,
-    links: Vec<CouncilProof>,
+    council_proofs: Vec<CouncilProof>,
     decisions: Vec<Rc<Decision>>,
 }
 
 impl Council {
     pub fn new(voters: u64) -> Self {
-        let founders: Vec<Id> = (VOTERS..VOTERS + voters).collect();
-        let voters = agree::Council::bootstrap(founders.iter().copied());
+        let bootstrap_members: Vec<Id> = (VOTERS..VOTERS + voters).collect();
+        let voters = agree::Council::bootstrap(bootstrap_members.iter().copied());
         let start = Decision {
-            at: f64::NEG_INFINITY,
+            decided_at: f64::NEG_INFINITY,
             changes: Vec::new(),
             state: ScopedState::default(),
-            seal: None,
+            certificate: None,
         };
-        Self { founders, voters, version: 0, links: Vec::new(), decisions: vec![Rc::new(start)] }
+        Self {
+            bootstrap_members,
+            voters,
+            version: 0,
+            council_proofs: Vec::new(),
+            decisions: vec![Rc::new(start)],
+        }
     }
 
-    pub fn founders(&self) -> Vec<Id> {
-        self.founders.clone()
+    pub fn bootstrap_members(&self) -> Vec<Id> {
+        self.bootstrap_members.clone()
     }
 
     pub fn index(&self) -> Version {
@@ -86,26 +92,26 @@
         let changes: Vec<Change> = changes.iter().map(change).collect();
         changes.iter().for_each(|change| state.apply(change.clone()).expect("in order"));
         let voters = self.voters.clone();
-        let seal = Some(self.seal_of(version, &state, &voters));
-        self.decisions.push(Rc::new(Decision { at: now, changes, state, seal }));
+        let certificate = Some(self.sign_state(version, &state, &voters));
+        self.decisions.push(Rc::new(Decision { decided_at: now, changes, state, certificate }));
         version
     }
 
     /// Another voter comes in.
     pub fn elect(&mut self, now: f64) -> Version {
-        let former = self.voters.clone();
-        self.voters = former.with(Voter { id: 90 + self.index(), disk_id: 0 });
+        let previous = self.voters.clone();
+        self.voters = previous.with(Voter { id: 90 + self.index(), disk_id: 0 });
         self.version = self.index() + 1;
         let state = self.newest().state.clone();
-        let link = CouncilProof {
+        let council_proof = CouncilProof {
             council: self.voters.clone(),
-            certificate: self.seal_of(self.version, &state, &former),
+            certificate: self.sign_state(self.version, &state, &previous),
         };
-        self.links.push(link);
+        self.council_proofs.push(council_proof);
         self.decide(now, &[])
     }
 
-    fn seal_of(&self, index: Version, state: &ScopedState, by: &agree::Council) -> Certificate {
+    fn sign_state(&self, index: Version, state: &ScopedState, by: &agree::Council) -> Certificate {
         let zero = [0; 32];
         let statement = Statement {
             index,
@@ -129,25 +135,28 @@
         &self.decisions[index as usize].state
     }
 
-    pub fn seal(&self, index: Version) -> Option<&Certificate> {
-        self.decisions[index as usize].seal.as_ref()
+    pub fn certificate(&self, index: Version) -> Option<&Certificate> {
+        self.decisions[index as usize].certificate.as_ref()
     }
 
-    pub fn links(&self) -> &[CouncilProof] {
-        &self.links
+    pub fn council_proofs(&self) -> &[CouncilProof] {
+        &self.council_proofs
     }
 
-    pub fn version_of(&self, scope: Scope) -> Version {
+    pub fn scope_version(&self, scope: Scope) -> Version {
         self.newest().state.summary(scope).version
     }
 
     /// How far decisions were before a time.
     pub fn decided_by(&self, time: f64) -> Version {
-        self.decisions.iter().rposition(|of| of.at < time).map_or(0, |index| index as Version)
+        self.decisions
+            .iter()
+            .rposition(|decision| decision.decided_at < time)
+            .map_or(0, |index| index as Version)
     }
 
     /// A voter's answer, given now.
-    pub fn fresh(&self, nonce: Nonce) -> FreshnessProof {
+    pub fn freshness_proof(&self, nonce: Nonce) -> FreshnessProof {
         let signer = self.voters.ids().next().expect("a voter");
         FreshnessProof::sign(signer, nonce, self.index(), &Keys(signer))
     }
--- a/distribution/tests/world/mod.rs
+++ b/distribution/tests/cluster/mod.rs
@@ -19,11 +19,11 @@
 pub const LEASE: f64 = 10_000.0;
 pub const STEP: f64 = 5.0;
 /// Within which a change is to be in force everywhere.
-pub const IN_FORCE: f64 = 4_000.0;
+pub const IN_FORCE_WITHIN: f64 = 4_000.0;
 /// Bytes of the packet around each datagram, as the bounds count them.
-const PACKET: usize = 120;
+const PACKET_OVERHEAD_BYTES: usize = 120;
 /// Until the council has answered how far decisions are.
-const ASKING: f64 = 30.0;
+const FRESHNESS_DELAY: f64 = 30.0;
 pub const COUNCIL: NodeIndex = 0;
 /// The places of subscribers begin here.
 pub const SUBSCRIBERS: NodeIndex = 100;
@@ -37,7 +37,7 @@
     (SUBSCRIBERS + number) as Id
 }
 
-fn place(id: Id) -> NodeIndex {
+fn node_index(id: Id) -> NodeIndex {
     id as NodeIndex
 }
 
@@ -57,12 +57,12 @@
     /// How far it has followed the council.
     pub followed: Version,
     /// It follows no further than this.
-    pub stops_at: Version,
+    pub follows_until: Version,
     pub region: u16,
     /// Bytes sent, and the most of a second.
-    pub second: (u64, u64),
-    pub most_in_a_second: u64,
-    pub most_snapshots: usize,
+    pub current_second: (u64, u64),
+    pub max_bytes_per_second: u64,
+    pub max_snapshots: usize,
 }
 
 /// A border proxy's part.
@@ -71,17 +71,17 @@
     pub scopes: BTreeSet<Scope>,
     pub disk: Vec<u8>,
     /// What is in force is written to the disk as soon as it is.
-    pub writes: bool,
+    pub persists: bool,
     pub region: u16,
     in_force: BTreeMap<Scope, Version>,
     /// When each version came in force first.
     pub reached: BTreeMap<(Scope, Version), f64>,
-    pub second: (u64, u64),
-    pub most_in_a_second: u64,
-    pub total: u64,
+    pub current_second: (u64, u64),
+    pub max_bytes_per_second: u64,
+    pub total_bytes: u64,
 }
 
-pub struct World {
+pub struct Cluster {
     pub now: f64,
     pub council: Council,
     pub machines: Vec<Machine>,
@@ -92,15 +92,15 @@
     pub leaderless: bool,
     /// All control machines are honest: no transfer comes to other content than the proved one.
     pub honest: bool,
-    answers: VecDeque<(f64, NodeIndex, FreshnessProof)>,
-    seeds: u64,
+    freshness_proofs: VecDeque<(f64, NodeIndex, FreshnessProof)>,
+    next_seed: u64,
 }
 
-impl World {
+impl Cluster {
     /// So many control machines in one region.
     pub fn new(machines: usize, seed: u64) -> Self {
         let council = Council::new(3);
-        let mut world = Self {
+        let mut cluster = Self {
             now: 0.0,
             council,
             machines: Vec::new(),
@@ -109,29 +109,29 @@
             terms: control_terms(),
             leaderless: false,
             honest: true,
-            answers: VecDeque::new(),
-            seeds: seed * 1_000_000,
+            freshness_proofs: VecDeque::new(),
+            next_seed: seed * 1_000_000,
         };
-        (0..machines).for_each(|_| world.add_machine(REGION));
-        world
+        (0..machines).for_each(|_| cluster.add_machine(REGION));
+        cluster
     }
 
     fn seed(&mut self) -> u64 {
-        self.seeds += 1;
-        self.seeds
+        self.next_seed += 1;
+        self.next_seed
     }
 
     pub fn add_machine(&mut self, region: u16) {
-        let (control, second) = (None, (0, 0));
-        let (followed, stops_at, most_in_a_second, most_snapshots) = (0, Version::MAX, 0, 0);
+        let (control, current_second) = (None, (0, 0));
+        let (followed, follows_until, max_bytes_per_second, max_snapshots) = (0, Version::MAX, 0, 0);
         self.machines.push(Machine {
             control,
             followed,
-            stops_at,
+            follows_until,
             region,
-            second,
-            most_in_a_second,
-            most_snapshots,
+            current_second,
+            max_bytes_per_second,
+            max_snapshots,
         });
         self.start_machine(self.machines.len() - 1);
     }
@@ -165,13 +165,13 @@
             subscriber: None,
             scopes: scopes.iter().copied().collect(),
             disk: Vec::new(),
-            writes: true,
+            persists: true,
             region: REGION,
             in_force: BTreeMap::new(),
             reached: BTreeMap::new(),
-            second: (0, 0),
-            most_in_a_second: 0,
-            total: 0,
+            current_second: (0, 0),
+            max_bytes_per_second: 0,
+            total_bytes: 0,
         });
         let number = self.proxies.len() - 1;
         self.start_proxy(number);
@@ -186,7 +186,7 @@
             id: subscriber_id(number),
             region: proxy.region,
             controls,
-            bootstrap_members: self.council.founders(),
+            bootstrap_members: self.council.bootstrap_members(),
             heartbeat: HEARTBEAT,
             lease: LEASE,
             max_scope_bytes: 1 << 20,
@@ -242,29 +242,29 @@
 
     /// Until all subscribers that run have all of their scopes in force as they were decided; gives how long
     /// it took.
-    pub fn run_until_all_are_new(&mut self, most: f64) -> f64 {
-        let began = self.now;
-        while !self.lacking().is_empty() {
-            let took = self.now - began;
-            assert!(took < most, "after {took} ms: {:?}", &self.lacking()[..self.lacking().len().min(3)]);
+    pub fn run_until_converged(&mut self, max_time: f64) -> f64 {
+        let started_at = self.now;
+        while !self.missing().is_empty() {
+            let took = self.now - started_at;
+            assert!(took < max_time, "after {took} ms: {:?}", &self.missing()[..self.missing().len().min(3)]);
             self.step();
         }
-        self.now - began
+        self.now - started_at
     }
 
     /// Who lacks the newest version of a scope: the subscriber, the scope, and what it has.
-    pub fn lacking(&self) -> Vec<(usize, Scope, Version)> {
+    pub fn missing(&self) -> Vec<(usize, Scope, Version)> {
         let running =
             self.proxies.iter().enumerate().filter_map(|(n, of)| Some((n, of.subscriber.as_ref()?)));
         let scopes = running.flat_map(|(n, of)| of.scopes().map(move |scope| (n, scope, of.index(scope))));
-        let newest = |scope| self.council.version_of(scope).max(1).min(self.council.index());
+        let newest = |scope| self.council.scope_version(scope).max(1).min(self.council.index());
         scopes.filter(|(_, scope, index)| *index < newest(*scope)).collect()
     }
 
     pub fn step(&mut self) {
         self.now += STEP;
         self.follow();
-        self.answer();
+        self.deliver_freshness_proofs();
         while let Some((from, to, bytes)) = self.links.next_arrival(self.now) {
             self.deliver(from, to, &bytes);
         }
@@ -279,21 +279,21 @@
     /// Control machines hear of what is decided, unless they are cut off.
     fn follow(&mut self) {
         for (number, machine) in self.machines.iter_mut().enumerate() {
-            let cut = self.links.is_cut(COUNCIL, place(control_id(number)));
+            let cut = self.links.is_cut(COUNCIL, node_index(control_id(number)));
             let Some(control) = machine.control.as_mut().filter(|_| !cut) else { continue };
-            while machine.followed < self.council.index().min(machine.stops_at) {
+            while machine.followed < self.council.index().min(machine.follows_until) {
                 machine.followed += 1;
                 control
                     .add_decided_changes(machine.followed, self.council.changes(machine.followed).to_vec());
             }
-            if let Some(seal) = self.council.seal(machine.followed) {
-                control.update_certificate(seal, self.council.links());
+            if let Some(certificate) = self.council.certificate(machine.followed) {
+                control.update_certificate(certificate, self.council.council_proofs());
             }
         }
     }
 
-    fn answer(&mut self) {
-        while let Some((_, to, proof)) = self.answers.pop_front_if(|(at, _, _)| *at <= self.now) {
+    fn deliver_freshness_proofs(&mut self) {
+        while let Some((_, to, proof)) = self.freshness_proofs.pop_front_if(|(at, _, _)| *at <= self.now) {
             if let Some(control) = self.machines[to].control.as_mut() {
                 control.receive_freshness_proof(self.now, proof);
             }
@@ -305,10 +305,10 @@
         if to >= SUBSCRIBERS {
             let number = to - SUBSCRIBERS;
             let Some(proxy) = self.proxies.get_mut(number) else { return };
-            proxy.count(now, bytes.len() + PACKET);
+            proxy.count(now, bytes.len() + PACKET_OVERHEAD_BYTES);
             if let Some(subscriber) = proxy.subscriber.as_mut() {
                 subscriber.receive(now, from, bytes);
-                self.carry_out(number);
+                self.handle_updates(number);
             }
         } else if let Some(control) = self.machines[to - 1].control.as_mut() {
             control.receive(now, from, bytes);
@@ -317,25 +317,29 @@
 
     fn turn_machine(&mut self, number: usize) {
         let now = self.now;
-        let cut = self.links.is_cut(place(control_id(number)), COUNCIL);
+        let cut = self.links.is_cut(node_index(control_id(number)), COUNCIL);
         let Some(control) = self.machines[number].control.as_mut() else { return };
         if control.due() <= now {
             control.turn(now);
         }
         while let Some(nonce) = control.next_freshness_request() {
             if !cut && !self.leaderless {
-                self.answers.push_back((now + ASKING, number, self.council.fresh(nonce)));
+                self.freshness_proofs.push_back((
+                    now + FRESHNESS_DELAY,
+                    number,
+                    self.council.freshness_proof(nonce),
+                ));
             }
         }
-        let (mut sent, from) = (0, place(control_id(number)));
+        let (mut sent, from) = (0, node_index(control_id(number)));
         while let Some(out) = control.outgoing() {
-            sent += (out.bytes.len() + PACKET) as u64;
-            self.links.send(now, from, place(out.to), out.bytes);
+            sent += (out.bytes.len() + PACKET_OVERHEAD_BYTES) as u64;
+            self.links.send(now, from, node_index(out.to), out.bytes);
         }
         let snapshots = control.status().snapshots;
         let machine = &mut self.machines[number];
-        machine.most_snapshots = machine.most_snapshots.max(snapshots);
-        note(&mut machine.second, &mut machine.most_in_a_second, now, sent);
+        machine.max_snapshots = machine.max_snapshots.max(snapshots);
+        record_bytes(&mut machine.current_second, &mut machine.max_bytes_per_second, now, sent);
     }
 
     fn turn_proxy(&mut self, number: usize) {
@@ -343,29 +347,29 @@
         let Some(subscriber) = self.proxies[number].subscriber.as_mut() else { return };
         if subscriber.due() <= now {
             subscriber.turn(now);
-            self.carry_out(number);
+            self.handle_updates(number);
         }
     }
 
-    fn carry_out(&mut self, number: usize) {
+    fn handle_updates(&mut self, number: usize) {
         let (now, proxy) = (self.now, &mut self.proxies[number]);
         let subscriber = proxy.subscriber.as_mut().expect("runs");
         let mut sent = 0;
         while let Some(out) = subscriber.outgoing() {
-            sent += out.bytes.len() + PACKET;
-            self.links.send(now, SUBSCRIBERS + number, place(out.to), out.bytes);
+            sent += out.bytes.len() + PACKET_OVERHEAD_BYTES;
+            self.links.send(now, SUBSCRIBERS + number, node_index(out.to), out.bytes);
         }
         while subscriber.next_changed_scope().is_some() {}
-        if proxy.writes
+        if proxy.persists
             && let Some(bytes) = subscriber.state_to_save()
         {
             proxy.disk = bytes;
         }
         proxy.count(now, sent);
-        self.check(number);
+        self.check_invariants(number);
     }
 
-    fn check(&mut self, number: usize) {
+    fn check_invariants(&mut self, number: usize) {
         let (now, proxy) = (self.now, &mut self.proxies[number]);
         let subscriber = proxy.subscriber.as_ref().expect("runs");
         for scope in subscriber.scopes() {
@@ -393,17 +397,17 @@
 
 impl Proxy {
     fn count(&mut self, now: f64, bytes: usize) {
-        self.total += bytes as u64;
-        note(&mut self.second, &mut self.most_in_a_second, now, bytes as u64);
+        self.total_bytes += bytes as u64;
+        record_bytes(&mut self.current_second, &mut self.max_bytes_per_second, now, bytes as u64);
     }
 }
 
 /// Counts bytes by the second.
-fn note(second: &mut (u64, u64), most: &mut u64, now: f64, bytes: u64) {
+fn record_bytes(current_second: &mut (u64, u64), max: &mut u64, now: f64, bytes: u64) {
     let current = (now / 1000.0) as u64;
-    if second.0 != current {
-        *second = (current, 0);
+    if current_second.0 != current {
+        *current_second = (current, 0);
     }
-    second.1 += bytes;
-    *most = (*most).max(second.1);
+    current_second.1 += bytes;
+    *max = (*max).max(current_second.1);
 }
--- a/distribution/tests/search.rs
+++ b/distribution/tests/search.rs
@@ -3,7 +3,7 @@
 //! from its disk or an older copy of it. Whatever the order, no subscriber goes back a version or skips one,
 //! none claims to know more than it does, and once links are whole all reach the newest.
 
-#[path = "world/council.rs"]
+#[path = "cluster/council.rs"]
 #[allow(dead_code)]
 mod council;
 
@@ -22,15 +22,15 @@
 const SCOPE: Scope = Scope::Service(7);
 const HEARTBEAT: f64 = 1000.0;
 /// What one step of time lets pass: polls are repeated as often.
-const TIME: f64 = HEARTBEAT / 4.0;
+const TIME_STEP: f64 = HEARTBEAT / 4.0;
 /// Steps of time within which all reach the newest once links are whole.
-const SETTLED: usize = 24;
+const MAX_CONVERGE_STEPS: usize = 24;
 const CONTROL: usize = 0;
 const SUBSCRIBERS: [usize; 2] = [1, 2];
 /// Datagrams that wait on a link; older ones are lost.
-const WAITING: usize = 3;
+const MAX_WAITING: usize = 3;
 /// A value that fills most of a datagram, so that a transfer takes several.
-const LONG: usize = 390;
+const VALUE_BYTES: usize = 390;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
@@ -40,9 +40,9 @@
     Follow,
     Deliver(usize, usize),
     /// The second on a link comes before the first.
-    Overtake(usize, usize),
+    Reorder(usize, usize),
     Lose(usize, usize),
-    Double(usize, usize),
+    Duplicate(usize, usize),
     /// A quarter of a heartbeat passes, and everybody does what is due.
     Time,
     Restart(usize),
@@ -54,7 +54,7 @@
 const SCRIPT: [(&str, bool); 5] = [("b", true), ("a", true), ("b", false), ("a", false), ("b", true)];
 
 #[derive(Clone)]
-struct Small {
+struct SmallCluster {
     now: f64,
     council: Council,
     control: Control,
@@ -81,17 +81,17 @@
     Control::new(terms, 1000 + restarts, now)
 }
 
-fn subscriber(place: usize, founders: Vec<Id>, restarts: u64, now: f64) -> Subscriber<Keys> {
+fn subscriber(node: usize, bootstrap_members: Vec<Id>, restarts: u64, now: f64) -> Subscriber<Keys> {
     let terms = SubscriberTerms {
-        id: place as Id,
+        id: node as Id,
         region: 1,
         controls: vec![ControlMachine { id: CONTROL as Id, region: 1 }],
-        bootstrap_members: founders,
+        bootstrap_members,
         heartbeat: HEARTBEAT,
         lease: 10.0 * HEARTBEAT,
         max_scope_bytes: 1 << 16,
     };
-    let mut subscriber = Subscriber::new(terms, Keys(place as Id), place as u64 + 10 * restarts, now);
+    let mut subscriber = Subscriber::new(terms, Keys(node as Id), node as u64 + 10 * restarts, now);
     subscriber.subscribe(SCOPE, now);
     subscriber
 }
@@ -100,16 +100,16 @@
     key.repeat(distribution::entry::MAX_KEY_BYTES)
 }
 
-impl Small {
+impl SmallCluster {
     /// One entry is decided; nobody has heard of it.
     fn new() -> Self {
         let council = Council::new(3);
-        let founders = council.founders();
-        let mut small = Self {
+        let bootstrap_members = council.bootstrap_members();
+        let mut cluster = Self {
             now: 0.0,
             control: control(0, 0.0),
             followed: 0,
-            subscribers: SUBSCRIBERS.map(|place| subscriber(place, founders.clone(), 0, 0.0)).into(),
+            subscribers: SUBSCRIBERS.map(|node| subscriber(node, bootstrap_members.clone(), 0, 0.0)).into(),
             disks: vec![Default::default(); SUBSCRIBERS.len()],
             in_force: vec![0; SUBSCRIBERS.len()],
             links: BTreeMap::new(),
@@ -118,58 +118,58 @@
             restarts: 0,
             council,
         };
-        small.council.decide(0.0, &[(SCOPE, &long_key("a"), Some(&[0; LONG]))]);
-        small.control.restore(1, small.council.state(1).clone());
-        small.followed = 1;
-        small.follow();
-        small
+        cluster.council.decide(0.0, &[(SCOPE, &long_key("a"), Some(&[0; VALUE_BYTES]))]);
+        cluster.control.restore(1, cluster.council.state(1).clone());
+        cluster.followed = 1;
+        cluster.follow();
+        cluster
     }
 
     /// Both have what there is.
-    fn settled() -> Self {
-        let mut small = Self::new();
-        small.settle().expect("settles");
-        small.acknowledge();
-        small
+    fn converged() -> Self {
+        let mut cluster = Self::new();
+        cluster.converge().expect("settles");
+        cluster.acknowledge();
+        cluster
     }
 
     /// Two changes are on their way to both.
-    fn under_way() -> Self {
-        let mut small = Self::settled();
+    fn in_transit() -> Self {
+        let mut cluster = Self::converged();
         for step in [Step::Decide, Step::Follow, Step::Decide, Step::Time, Step::Follow, Step::Time] {
-            small.take(step);
+            cluster.apply(step);
         }
-        small
+        cluster
     }
 
     /// Both have what there is, and copies of what carried an earlier change are still on their way.
-    fn late() -> Self {
-        let mut small = Self::settled();
+    fn delayed() -> Self {
+        let mut cluster = Self::converged();
         for step in [Step::Decide, Step::Follow] {
-            small.take(step);
+            cluster.apply(step);
         }
-        let late = small.links.clone();
-        small.settle().expect("settles");
-        small.acknowledge();
-        small.take(Step::Decide);
-        small.settle().expect("settles");
-        small.acknowledge();
-        small.links = late;
-        small
+        let delayed = cluster.links.clone();
+        cluster.converge().expect("settles");
+        cluster.acknowledge();
+        cluster.apply(Step::Decide);
+        cluster.converge().expect("settles");
+        cluster.acknowledge();
+        cluster.links = delayed;
+        cluster
     }
 
     /// The second has missed more removals than are remembered, and starts from its disk.
     fn behind() -> Self {
-        let mut small = Self::settled();
-        small.links.clear();
+        let mut cluster = Self::converged();
+        cluster.links.clear();
         for removal in 0..=MIN_REMEMBERED_REMOVALS {
             let key = format!("r{removal}");
-            small.council.decide(small.now, &[(SCOPE, &key, None)]);
+            cluster.council.decide(cluster.now, &[(SCOPE, &key, None)]);
         }
-        small.council.decide(small.now, &[(SCOPE, &long_key("b"), Some(&[9; LONG]))]);
-        small.follow();
-        small.restart(2, false);
-        small
+        cluster.council.decide(cluster.now, &[(SCOPE, &long_key("b"), Some(&[9; VALUE_BYTES]))]);
+        cluster.follow();
+        cluster.restart(2, false);
+        cluster
     }
 
     /// All that waits comes, for a heartbeat and a half, so that the control machine knows who has what.
@@ -183,8 +183,8 @@
 
     fn deliver_all(&mut self) -> Result<(), String> {
         while let Some((&(from, to), _)) = self.links.iter().find(|(_, waiting)| !waiting.is_empty()) {
-            self.take(Step::Deliver(from, to));
-            self.broken().map_or(Ok(()), Err)?;
+            self.apply(Step::Deliver(from, to));
+            self.violation().map_or(Ok(()), Err)?;
         }
         Ok(())
     }
@@ -194,40 +194,40 @@
             self.followed += 1;
             self.control.add_decided_changes(self.followed, self.council.changes(self.followed).to_vec());
         }
-        if let Some(seal) = self.council.seal(self.followed) {
-            self.control.update_certificate(seal, self.council.links());
+        if let Some(certificate) = self.council.certificate(self.followed) {
+            self.control.update_certificate(certificate, self.council.council_proofs());
         }
         self.control.turn(self.now);
-        self.carry_on(CONTROL);
+        self.flush(CONTROL);
     }
 
     fn queue(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         let link = self.links.entry((from, to)).or_default();
         link.push_back(bytes);
-        if link.len() > WAITING {
+        if link.len() > MAX_WAITING {
             link.pop_front();
         }
     }
 
     /// What comes of a step at one of them.
-    fn carry_on(&mut self, place: usize) {
-        if place == CONTROL {
+    fn flush(&mut self, node: usize) {
+        if node == CONTROL {
             while let Some(nonce) = self.control.next_freshness_request() {
-                self.answers.push(self.council.fresh(nonce));
+                self.answers.push(self.council.freshness_proof(nonce));
             }
             while let Some(out) = self.control.outgoing() {
                 self.queue(CONTROL, out.to as usize, out.bytes);
             }
             return;
         }
-        let number = place - 1;
+        let number = node - 1;
         while self.subscribers[number].next_changed_scope().is_some() {}
         if let Some(bytes) = self.subscribers[number].state_to_save() {
             let disk = &mut self.disks[number];
             disk.1 = std::mem::replace(&mut disk.0, bytes);
         }
         while let Some(out) = self.subscribers[number].outgoing() {
-            self.queue(place, CONTROL, out.bytes);
+            self.queue(node, CONTROL, out.bytes);
         }
     }
 
@@ -239,42 +239,42 @@
         } else {
             self.subscribers[to - 1].receive(self.now, from as Id, bytes);
         }
-        self.carry_on(to);
+        self.flush(to);
     }
 
     fn time(&mut self) {
-        self.now += TIME;
+        self.now += TIME_STEP;
         for proof in std::mem::take(&mut self.answers) {
             self.control.receive_freshness_proof(self.now, proof);
         }
         self.control.turn(self.now);
-        self.carry_on(CONTROL);
-        for place in SUBSCRIBERS {
-            if self.subscribers[place - 1].due() <= self.now {
-                self.subscribers[place - 1].turn(self.now);
+        self.flush(CONTROL);
+        for node in SUBSCRIBERS {
+            if self.subscribers[node - 1].due() <= self.now {
+                self.subscribers[node - 1].turn(self.now);
             }
-            self.carry_on(place);
+            self.flush(node);
         }
     }
 
-    fn restart(&mut self, place: usize, old: bool) {
+    fn restart(&mut self, node: usize, from_older_disk: bool) {
         self.restarts += 1;
-        if place == CONTROL {
+        if node == CONTROL {
             self.control = control(self.restarts, self.now);
-            self.followed = if old { 1 } else { self.followed };
+            self.followed = if from_older_disk { 1 } else { self.followed };
             self.control.restore(self.followed, self.council.state(self.followed).clone());
             self.answers.clear();
             return;
         }
-        let number = place - 1;
+        let number = node - 1;
         let disk = &mut self.disks[number];
-        if old {
+        if from_older_disk {
             disk.0 = disk.1.clone();
         }
-        let mut fresh = subscriber(place, self.council.founders(), self.restarts, self.now);
+        let mut fresh = subscriber(node, self.council.bootstrap_members(), self.restarts, self.now);
         fresh.restore(&disk.0);
         (self.subscribers[number], self.in_force[number]) = (fresh, 0);
-        self.carry_on(place);
+        self.flush(node);
     }
 
     fn steps(&self) -> Vec<Step> {
@@ -286,44 +286,44 @@
             steps.push(Step::Follow);
         }
         for (&(from, to), waiting) in self.links.iter().filter(|(_, waiting)| !waiting.is_empty()) {
-            steps.extend([Step::Deliver(from, to), Step::Lose(from, to), Step::Double(from, to)]);
+            steps.extend([Step::Deliver(from, to), Step::Lose(from, to), Step::Duplicate(from, to)]);
             if waiting.len() > 1 {
-                steps.push(Step::Overtake(from, to));
+                steps.push(Step::Reorder(from, to));
             }
         }
-        for place in 0..=SUBSCRIBERS.len() {
-            steps.extend([Step::Restart(place), Step::RestartOld(place)]);
+        for node in 0..=SUBSCRIBERS.len() {
+            steps.extend([Step::Restart(node), Step::RestartOld(node)]);
         }
         steps
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Decide => {
                 let (key, set) = SCRIPT[self.decided];
                 self.decided += 1;
-                let value = [self.decided as u8; LONG];
+                let value = [self.decided as u8; VALUE_BYTES];
                 self.council.decide(self.now, &[(SCOPE, &long_key(key), set.then_some(&value[..]))]);
             }
             Step::Follow => self.follow(),
-            Step::Deliver(from, to) | Step::Overtake(from, to) | Step::Double(from, to) => {
+            Step::Deliver(from, to) | Step::Reorder(from, to) | Step::Duplicate(from, to) => {
                 let link = self.links.get_mut(&(from, to)).expect("waits");
-                let place = usize::from(matches!(step, Step::Overtake(..)));
-                let bytes = link.remove(place).expect("waits");
-                if matches!(step, Step::Double(..)) {
+                let position = usize::from(matches!(step, Step::Reorder(..)));
+                let bytes = link.remove(position).expect("waits");
+                if matches!(step, Step::Duplicate(..)) {
                     link.push_back(bytes.clone());
                 }
                 self.deliver(from, to, &bytes);
             }
             Step::Lose(from, to) => drop(self.links.get_mut(&(from, to)).expect("waits").pop_front()),
             Step::Time => self.time(),
-            Step::Restart(place) => self.restart(place, false),
-            Step::RestartOld(place) => self.restart(place, true),
+            Step::Restart(node) => self.restart(node, false),
+            Step::RestartOld(node) => self.restart(node, true),
         }
     }
 
     /// What must never be.
-    fn broken(&mut self) -> Option<String> {
+    fn violation(&mut self) -> Option<String> {
         for (number, subscriber) in self.subscribers.iter().enumerate() {
             let (index, before) = (subscriber.index(SCOPE), self.in_force[number]);
             if index < before {
@@ -346,132 +346,136 @@
         None
     }
 
-    fn is_new(&self) -> bool {
-        let newest = self.council.version_of(SCOPE);
+    fn is_converged(&self) -> bool {
+        let newest = self.council.scope_version(SCOPE);
         self.subscribers.iter().all(|subscriber| subscriber.index(SCOPE) >= newest)
     }
 
     /// Links are whole from now on: all that waits comes, and so does all that follows.
-    fn settle(&mut self) -> Result<usize, String> {
+    fn converge(&mut self) -> Result<usize, String> {
         self.follow();
-        for steps in 0..SETTLED {
+        for steps in 0..MAX_CONVERGE_STEPS {
             self.deliver_all()?;
-            if self.is_new() {
+            if self.is_converged() {
                 return Ok(steps);
             }
             self.time();
         }
-        Err(format!("not all reach {} once links are whole", self.council.version_of(SCOPE)))
+        Err(format!("not all reach {} once links are whole", self.council.scope_version(SCOPE)))
     }
 
     /// All that there is, in 128 bits.
-    fn key(&self) -> [u8; 16] {
-        let mut hashed = Hashed(blake3::Hasher::new());
-        write!(hashed, "{:?} {:?} {:?}", self.control, self.subscribers, self.answers).expect("hashes all");
-        write!(hashed, "{} {} {}", self.now, self.followed, self.decided).expect("hashes all");
+    fn state_hash(&self) -> [u8; 16] {
+        let mut writer = HashWriter(blake3::Hasher::new());
+        write!(writer, "{:?} {:?} {:?}", self.control, self.subscribers, self.answers).expect("hashes all");
+        write!(writer, "{} {} {}", self.now, self.followed, self.decided).expect("hashes all");
         let disks = self.disks.iter().flat_map(|(newest, before)| [newest, before]);
         let waiting = self.links.values().flatten();
         for bytes in disks.chain(waiting) {
-            write!(hashed, "|{}|", bytes.len()).expect("hashes all");
-            hashed.0.update(bytes);
+            write!(writer, "|{}|", bytes.len()).expect("hashes all");
+            writer.0.update(bytes);
         }
         let waiting: Vec<_> = self.links.iter().map(|(link, waiting)| (link, waiting.len())).collect();
-        write!(hashed, "{waiting:?}").expect("hashes all");
-        hashed.0.finalize().as_bytes()[..16].try_into().expect("as many bytes")
+        write!(writer, "{waiting:?}").expect("hashes all");
+        writer.0.finalize().as_bytes()[..16].try_into().expect("as many bytes")
     }
 }
 
 /// Takes text in without keeping it.
-struct Hashed(blake3::Hasher);
+struct HashWriter(blake3::Hasher);
 
-impl fmt::Write for Hashed {
+impl fmt::Write for HashWriter {
     fn write_str(&mut self, text: &str) -> fmt::Result {
         self.0.update(text.as_bytes());
         Ok(())
     }
 }
 
-struct Found {
+struct SearchResult {
     states: usize,
-    settled: usize,
+    converged_states: usize,
     /// Steps of time that the slowest took to settle.
     slowest: usize,
-    broken: Option<String>,
+    violation: Option<String>,
 }
 
 /// Goes through all orders of so many steps; from one state in so many it is tried whether all reach the
 /// newest once links are whole.
-fn search(start: Small, depth: usize, one_in: usize) -> Found {
-    let mut known = HashSet::from([start.key()]);
-    let mut found = Found { states: 1, settled: 0, slowest: 0, broken: None };
+fn search(start: SmallCluster, depth: usize, one_in: usize) -> SearchResult {
+    let mut visited = HashSet::from([start.state_hash()]);
+    let mut result = SearchResult { states: 1, converged_states: 0, slowest: 0, violation: None };
     let mut level = vec![(start, Vec::new())];
     for _ in 0..depth {
         let mut next = Vec::new();
-        for (small, way) in level {
-            for step in small.steps() {
-                let mut after = small.clone();
-                after.take(step);
-                let way: Vec<Step> = way.iter().copied().chain([step]).collect();
-                if let Some(broken) = after.broken() {
-                    found.broken = Some(format!("{broken}: {way:?}"));
-                    return found;
+        for (cluster, path) in level {
+            for step in cluster.steps() {
+                let mut after = cluster.clone();
+                after.apply(step);
+                let path: Vec<Step> = path.iter().copied().chain([step]).collect();
+                if let Some(violation) = after.violation() {
+                    result.violation = Some(format!("{violation}: {path:?}"));
+                    return result;
                 }
-                if !known.insert(after.key()) {
+                if !visited.insert(after.state_hash()) {
                     continue;
                 }
-                found.states += 1;
-                if found.states.is_multiple_of(one_in) {
-                    found.settled += 1;
-                    match after.clone().settle() {
-                        Ok(steps) => found.slowest = found.slowest.max(steps),
-                        Err(broken) => {
-                            found.broken = Some(format!("{broken}: {way:?}"));
-                            return found;
+                result.states += 1;
+                if result.states.is_multiple_of(one_in) {
+                    result.converged_states += 1;
+                    match after.clone().converge() {
+                        Ok(steps) => result.slowest = result.slowest.max(steps),
+                        Err(violation) => {
+                            result.violation = Some(format!("{violation}: {path:?}"));
+                            return result;
                         }
                     }
                 }
-                next.push((after, way));
+                next.push((after, path));
             }
         }
         level = next;
     }
-    found
+    result
 }
 
 /// Steps of the search; more with DISTRIBUTION_DEPTH.
-fn depth(usual: usize) -> usize {
-    std::env::var("DISTRIBUTION_DEPTH").ok().and_then(|depth| depth.parse().ok()).unwrap_or(usual)
+fn depth(default_depth: usize) -> usize {
+    std::env::var("DISTRIBUTION_DEPTH").ok().and_then(|depth| depth.parse().ok()).unwrap_or(default_depth)
 }
 
 #[rstest]
-#[case::with_empty_disks(Small::new(), 4)]
-#[case::with_all_in_force(Small::settled(), 4)]
-#[case::with_changes_under_way(Small::under_way(), 3)]
-#[case::with_late_copies_of_an_earlier_change(Small::late(), 4)]
-#[case::with_one_far_behind(Small::behind(), 4)]
-fn no_order_of_steps_takes_a_version_back_or_skips_one_and_all_reach_the_newest(
-    #[case] start: Small,
-    #[case] usual: usize,
+#[case::with_empty_disks(SmallCluster::new(), 4)]
+#[case::with_all_in_force(SmallCluster::converged(), 4)]
+#[case::with_changes_in_transit(SmallCluster::in_transit(), 3)]
+#[case::with_delayed_copies_of_an_earlier_change(SmallCluster::delayed(), 4)]
+#[case::with_one_far_behind(SmallCluster::behind(), 4)]
+fn no_order_of_steps_reverts_or_skips_a_version_or_blocks_convergence(
+    #[case] start: SmallCluster,
+    #[case] default_depth: usize,
 ) {
-    let depth = depth(usual);
+    let depth = depth(default_depth);
     let began = std::time::Instant::now();
-    let found = search(start, depth, 10);
-    let (states, settled, slowest) = (found.states, found.settled, found.slowest);
+    let result = search(start, depth, 10);
+    let (states, converged_states, slowest) = (result.states, result.converged_states, result.slowest);
     println!(
-        "{depth} steps: {states} states; {settled} on whole links, {slowest} steps of time at most; {:?}",
+        "{depth} steps: {states} states; {converged_states} on whole links, {slowest} steps of time at most; {:?}",
         began.elapsed()
     );
-    assert_eq!(found.broken, None);
+    assert_eq!(result.violation, None);
 }
 
 #[rstest]
-#[case::staged_content_is_not_compared(Fault::SkipDigestCheck, Small::settled(), "has not what was decided")]
-#[case::an_older_seal_is_taken(Fault::AcceptOlderCertificate, Small::late(), "went back")]
-#[case::a_snapshot_goes_on_without_deltas(Fault::OmitDeltas, Small::behind(), "found fault")]
-fn a_fault_put_in_on_purpose_is_found(#[case] fault: Fault, #[case] start: Small, #[case] how: &str) {
+#[case::staged_content_is_not_verified(
+    Fault::SkipDigestCheck,
+    SmallCluster::converged(),
+    "has not what was decided"
+)]
+#[case::an_older_certificate_is_accepted(Fault::AcceptOlderCertificate, SmallCluster::delayed(), "went back")]
+#[case::a_snapshot_goes_on_without_deltas(Fault::OmitDeltas, SmallCluster::behind(), "found fault")]
+fn an_injected_fault_is_found(#[case] fault: Fault, #[case] start: SmallCluster, #[case] how: &str) {
     inject_fault(Some(fault));
-    let found = search(start, 4, 1);
-    println!("{fault:?}: {} states, {:?}", found.states, found.broken);
-    let broken = found.broken.expect("found");
-    assert!(broken.contains(how), "{broken}");
+    let result = search(start, 4, 1);
+    println!("{fault:?}: {} states, {:?}", result.states, result.violation);
+    let violation = result.violation.expect("found");
+    assert!(violation.contains(how), "{violation}");
 }
--- a/distribution/tests/state.rs
+++ b/distribution/tests/state.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_older_version_or_a_long_value_changes_nothing() {
+fn an_older_version_or_an_oversized_value_is_rejected_without_effect() {
     let mut state = state([set(SERVICE, "a", 5, b"1")]);
     let before = state.clone();
     let older = state.apply(set(SERVICE, "b", 4, b"2"));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_proof_holds_for_its_scope_its_summary_and_its_root_alone() {
+fn a_proof_holds_only_for_its_own_scope_summary_and_root() {
     let scopes: Vec<Scope> = (0..300).map(Scope::Service).chain((0..16).map(Scope::Zone)).collect();
     let state = state(scopes.iter().map(|&scope| set(scope, "a", 3, b"1")));
     let root = state.root();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn absence_is_proved_and_cannot_be_made_up() {
+fn absence_is_proved_and_cannot_be_forged() {
     let state = state((0..50).map(|number| set(Scope::Service(number), "a", 3, b"1")));
     let root = state.root();
     for scope in (50..2000).map(Scope::Service) {
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_path_has_about_as_many_hashes_as_the_logarithm_of_the_scopes() {
+fn proof_size_grows_with_the_logarithm_of_the_number_of_scopes() {
     let state = state((0..1300).map(|number| set(Scope::Service(number), "a", 3, b"1")));
     let sizes =
         (0..1300).map(|number| postcard::to_stdvec(&state.proof(Scope::Service(number))).unwrap().len());
@@ -113,14 +113,14 @@
 }
 
 #[test]
-fn an_emptied_scope_keeps_its_version_and_the_digest_of_nothing() {
+fn an_emptied_scope_keeps_its_version_and_has_the_empty_digest() {
     let state = state([set(SERVICE, "a", 1, b"1"), remove(SERVICE, "a", 2)]);
     assert_eq!(state.summary(SERVICE), ScopeSummary { digest: EMPTY_DIGEST, version: 2 });
     assert_eq!(state.proof(SERVICE).verify(&state.root(), SERVICE), Ok(()));
 }
 
 #[test]
-fn a_state_comes_back_the_same_from_its_bytes_and_a_damaged_one_is_refused() {
+fn a_state_survives_a_round_trip_and_a_damaged_one_is_rejected() {
     let removals = (0..100).map(|n| remove(SERVICE, &format!("r{n}"), 2));
     let changes = [set(SERVICE, "a", 1, b"1"), set(Scope::All, "b", 1, b"2")];
     let state = state(changes.into_iter().chain(removals));
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn removals_are_bounded_and_whoever_missed_a_forgotten_one_is_told() {
+fn removals_are_bounded_and_a_reader_that_missed_one_needs_a_snapshot() {
     let mut state = ScopedState::default();
     for version in 1..=1000 {
         state.apply(remove(SERVICE, &format!("r{version}"), version)).unwrap();
@@ -145,62 +145,62 @@
 }
 
 /// Reads a scope in small pieces from a base on, after a cursor, while the state goes on changing in between.
-fn read_on(
-    mut held: Content,
+fn read_to_end(
+    mut content: Content,
     base: u64,
     mut cursor: Cursor,
     state: &mut ScopedState,
-    meanwhile: &mut dyn FnMut(&mut ScopedState),
+    change_between: &mut dyn FnMut(&mut ScopedState),
 ) {
     loop {
         let Ok(run) = state.changes(SERVICE, base, &cursor, 60) else {
             let (base, cursor) = (state.version(), Cursor::end_of(0));
-            return read_on(Content::default(), base, cursor, state, &mut |_| ());
+            return read_to_end(Content::default(), base, cursor, state, &mut |_| ());
         };
         for (version, key, value) in run.changes {
             cursor = Cursor::at(version, key.clone());
             match value {
-                Some(value) => held.insert(Entry { key, version, value }),
-                None => held.remove(&key),
+                Some(value) => content.insert(Entry { key, version, value }),
+                None => content.remove(&key),
             }
         }
         if run.complete {
-            return assert_eq!(held.digest(), state.summary(SERVICE).digest);
+            return assert_eq!(content.digest(), state.summary(SERVICE).digest);
         }
-        meanwhile(state);
+        change_between(state);
     }
 }
 
-fn change(chance: &mut Pcg64Mcg, version: u64) -> Change {
-    let name = format!("k{}", chance.random_range(0..30));
-    let removed = chance.random_bool(0.3);
+fn change(rng: &mut Pcg64Mcg, version: u64) -> Change {
+    let name = format!("k{}", rng.random_range(0..30));
+    let removed = rng.random_bool(0.3);
     if removed { remove(SERVICE, &name, version) } else { set(SERVICE, &name, version, &[9]) }
 }
 
 #[rstest]
-#[case::of_a_reader_that_holds_nothing(None)]
-#[case::of_one_that_holds_an_early_version(Some(40))]
-#[case::of_one_that_holds_the_newest(Some(150))]
-fn reading_on_in_pieces_comes_to_the_same_whatever_is_changed_meanwhile(
+#[case::from_an_empty_reader(None)]
+#[case::from_an_early_version(Some(40))]
+#[case::from_the_newest_version(Some(150))]
+fn reading_in_pieces_converges_while_the_state_changes(
     #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64,
     #[case] base: Option<u64>,
 ) {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let (mut state, mut held) = (ScopedState::default(), Content::default());
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
+    let (mut state, mut content) = (ScopedState::default(), Content::default());
     for step in 1..=300 {
         let version = step / 2;
-        state.apply(change(&mut chance, version)).expect("in order");
+        state.apply(change(&mut rng, version)).expect("in order");
         if base.is_some_and(|base| version <= base) {
-            held = state.content(SERVICE).cloned().unwrap_or_default();
+            content = state.content(SERVICE).cloned().unwrap_or_default();
         }
     }
     let cursor = Cursor::end_of(base.unwrap_or(0));
     let base = base.unwrap_or(state.version());
     for _ in 0..20 {
         let mut version = state.version();
-        read_on(held.clone(), base, cursor.clone(), &mut state.clone(), &mut |state| {
+        read_to_end(content.clone(), base, cursor.clone(), &mut state.clone(), &mut |state| {
             version += 1;
-            (0..2).for_each(|_| state.apply(change(&mut chance, version)).expect("in order"));
+            (0..2).for_each(|_| state.apply(change(&mut rng, version)).expect("in order"));
         });
     }
 }
