--- a/distribution/src/content.rs
+++ b/distribution/src/content.rs
@@ -1,4 +1,4 @@
-//! The live entries of one scope and their digest: what a subscriber puts in force.
+//! The live entries of one scope and their digest.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,7 +8,7 @@
 use crate::Version;
 use crate::entry::{Entry, Key};
 
-/// The digest of a scope that holds nothing, also of one that never did.
+/// The digest of a scope without entries, whether or not it ever had any.
 pub const EMPTY_DIGEST: Hash = [0; 32];
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -18,36 +18,36 @@
     hash: Hash,
 }
 
-/// The live entries of a scope, by key. Printed short: by their number and what begins the digest.
+/// The live entries of a scope, by key. `Debug` prints only their number and the start of the digest.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Content {
     entries: BTreeMap<Key, Stored>,
 }
 
 impl Content {
-    /// Puts an entry in the place of the former one of its key.
+    /// Inserts an entry, replacing an earlier one with the same key.
     pub fn insert(&mut self, entry: Entry) {
         let hash = hash_entry(&entry);
         let Entry { key, version, value } = entry;
         self.entries.insert(key, Stored { version, value, hash });
     }
 
-    /// Takes an entry away.
+    /// Removes the entry of a key.
     pub fn remove(&mut self, key: &Key) {
         self.entries.remove(key);
     }
 
-    /// The value of a key, and the decision that gave it.
+    /// The value of a key and the version that set it.
     pub fn get(&self, key: &Key) -> Option<(Version, &[u8])> {
         self.entries.get(key).map(|stored| (stored.version, &stored.value[..]))
     }
 
-    /// All entries in the order of their keys: key, version, value.
+    /// Iterates over the entries in key order: key, version, value.
     pub fn iter(&self) -> impl Iterator<Item = (&Key, Version, &[u8])> {
         self.entries.iter().map(|(key, stored)| (key, stored.version, &stored.value[..]))
     }
 
-    /// All entries in the order of their keys.
+    /// Copies all entries, in key order.
     pub fn entries(&self) -> Vec<Entry> {
         let entry = |(key, version, value): (&Key, Version, &[u8])| {
             let (key, value) = (key.clone(), value.to_vec());
@@ -56,17 +56,17 @@
         self.iter().map(entry).collect()
     }
 
-    /// How many entries there are.
+    /// Number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no entry.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// BLAKE3 over the entries in key order (key, version, value); [`EMPTY_DIGEST`] without any.
+    /// BLAKE3 over the entries in key order (key, version, value); [`EMPTY_DIGEST`] if there are none.
     pub fn digest(&self) -> Hash {
         if self.is_empty() {
             return EMPTY_DIGEST;
@@ -95,6 +95,6 @@
 
 fn hash_entry(entry: &Entry) -> Hash {
     let mut hasher = blake3::Hasher::new_derive_key("frostthread distribution 1 entry");
-    hasher.update(&postcard::to_stdvec(entry).expect("plain data"));
+    hasher.update(&postcard::to_stdvec(entry).expect("plain data always serializes"));
     *hasher.finalize().as_bytes()
 }
--- a/distribution/src/control.rs
+++ b/distribution/src/control.rs
@@ -1,8 +1,9 @@
-//! A control machine's part: it follows the log whole and serves the scopes of its subscribers, by seals that
-//! they can verify.
+//! The control machine's part: it follows the whole log and serves scopes to its subscribers, with
+//! certificates that they can verify.
 //!
-//! What a subscriber is to be sent follows from what it says that it has, so that there is no queue for it:
-//! its newest acknowledged place in the changes is the queue, and a key that is changed twice is sent once.
+//! What a subscriber is sent follows from the position that it reports, so there is no queue for it: its
+//! newest acknowledged position in the changes takes the place of a queue, and a key that changes twice is
+//! sent once.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -26,102 +27,103 @@
 use crate::wire::{self, Changes, KeyChange, MAX_CHANGES_BYTES, Message, Poll, Transfer};
 use crate::{Outgoing, Version};
 
-/// What is not acknowledged is sent again so many times a heartbeat. At 30% loss each way all but one in a
-/// million have it after some 12 times, within the 4 s in which a change must be in force. It costs bytes
-/// where packets take longer than this both ways.
+/// Retransmissions per heartbeat of what is not acknowledged. At 30% loss in each direction all but one in a
+/// million have it after some 12 transmissions, within the 4 s in which a change must be in force. It costs
+/// bytes if the round trip takes longer than this interval.
 const REPEATS_PER_HEARTBEAT: f64 = 4.0;
-/// One subscriber is sent changes so many times a heartbeat at the most: what is decided in between goes
-/// along with the next, under one seal. More costs bytes in a burst, for a seal and a proof each time; less
-/// delays the later changes of a burst.
+/// Maximum number of times per heartbeat that one subscriber is sent changes; what is decided in between goes
+/// with the next, under one certificate. A larger value costs bytes in a burst, for a certificate and a proof
+/// each time; a smaller one delays the later changes of a burst.
 const PUSHES_PER_HEARTBEAT: f64 = 4.0;
-/// A newer seal is proved to a subscriber of an unchanged scope once in this part of a heartbeat: that keeps
-/// the scope's age low. Less costs bytes while other scopes change.
+/// Interval in heartbeats at which a newer certificate is proved to a subscriber of an unchanged scope, which
+/// keeps the scope's age low. A smaller value costs bytes while other scopes change.
 const REFRESH_HEARTBEATS: f64 = 0.75;
-/// What was sent is not sent again within this part of a heartbeat, though a poll that was on its way before
-/// still asks for it.
+/// What was sent is not sent again within this part of a heartbeat, even if a poll that was already on its
+/// way still requests it.
 const IN_FLIGHT_HEARTBEATS: f64 = 1.0 / 8.0;
-/// A subscriber that has not polled for so many heartbeats is forgotten. Less forgets those with bad links;
-/// more keeps sending to those who are gone.
+/// A subscriber that has not polled for this many heartbeats is removed. A smaller value removes those with
+/// bad links; a larger one keeps sending to those that are gone.
 const EXPIRY_HEARTBEATS: f64 = 10.0;
-/// To one that has not polled for so many heartbeats nothing is sent again, until it polls. At 30% loss one
-/// in some 10,000 is silent for as long that is there; more would send to those who are gone.
+/// Nothing is retransmitted to a subscriber that has not polled for this many heartbeats, until it polls. At
+/// 30% loss one in some 10,000 that are present is silent for as long; a larger value sends to those that are
+/// gone.
 const SILENT_HEARTBEATS: f64 = 2.5;
-/// The right to read a snapshot lapses when its holder has got no further for so many heartbeats.
+/// A snapshot slot expires if its holder has made no progress for this many heartbeats.
 const SNAPSHOT_SLOT_HEARTBEATS: f64 = 2.0;
-/// Polls are gathered for this part of a heartbeat before the council is asked how far decisions are. Less
-/// asks it more often; more adds to every subscriber's age.
+/// Time in heartbeats for which polls are collected before the council is asked for a freshness proof. A
+/// smaller value asks it more often; a larger one adds to every subscriber's age.
 const GATHER_HEARTBEATS: f64 = 1.0 / 8.0;
-/// Batches of polls that wait for the council's answer.
+/// Maximum number of batches of polls that wait for the council's answer.
 const MAX_BATCHES: usize = 16;
-/// Whoever is told to come later is told so many heartbeats at most.
+/// Maximum delay in heartbeats that a subscriber is asked to wait before it polls again.
 const MAX_RETRY_HEARTBEATS: f64 = 8.0;
-/// The part of a second's bytes that may be sent at once after a pause. The rest comes evenly, so that no
-/// second has more than the setting.
+/// The fraction of a second's bytes that may be sent at once after a pause. The rest is spread evenly, so
+/// that no second exceeds the setting.
 const BURST_FRACTION: f64 = 0.25;
-/// Bytes run short where less than this part of what may be sent at once is left.
+/// Bytes are short if less than this fraction of the burst is left.
 const BUSY_FRACTION: f64 = 0.5;
-/// Bytes of the packet around a datagram, as they count against the bounds.
+/// Bytes of the packet around a datagram, which count against the limits.
 const PACKET_OVERHEAD_BYTES: usize = 120;
-/// Councils that are proved to a subscriber at once: each fills most of a datagram.
+/// Number of council proofs sent to a subscriber at once: each fills most of a datagram.
 const COUNCIL_PROOFS_AT_ONCE: usize = 2;
-/// Datagrams that wait to be sent for each subscriber that may be there; past that the oldest are lost, as on
-/// the network.
+/// Maximum number of datagrams waiting to be sent, for each allowed subscriber; past that the oldest are
+/// dropped, as on the network.
 const MAX_OUTGOING_PER_SUBSCRIBER: usize = 8;
 
-/// What is agreed for a control machine.
+/// Configuration of a control machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlTerms {
-    /// How often subscribers poll: milliseconds.
+    /// Interval between polls of a subscriber, in milliseconds.
     pub heartbeat: f64,
-    /// Subscribers at most.
+    /// Maximum number of subscribers.
     pub max_subscribers: usize,
-    /// Bytes that all of them are sent in a second.
+    /// Bytes per second to all subscribers together.
     pub bytes_per_second: f64,
-    /// Bytes that one of them is sent in a second.
+    /// Bytes per second to one subscriber.
     pub subscriber_bytes_per_second: f64,
-    /// Subscribers that read a scope from its beginning at once.
+    /// Maximum number of subscribers that read a scope from its beginning at the same time.
     pub snapshots_at_once: usize,
 }
 
-/// What has happened so far.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ControlCounts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes, without what carries them.
+    /// Bytes sent, without the packets around them.
     pub sent_bytes: u64,
     /// Datagrams received.
     pub received: u64,
     /// Bytes received.
     pub received_bytes: u64,
-    /// Datagrams of no form, or of a version that is not known.
+    /// Datagrams that could not be decoded, or of an unknown version.
     pub malformed: u64,
     /// Messages that only control machines send.
     pub unexpected: u64,
-    /// Polls left unread as their sender sends too many.
+    /// Polls ignored because their sender sent too many.
     pub rate_limited: u64,
-    /// Subscribers that were told to come later.
+    /// Subscribers that were asked to poll again later.
     pub deferred: u64,
-    /// Subscribers that were forgotten as they polled no more.
+    /// Subscribers that were removed because they stopped polling.
     pub expired: u64,
-    /// Datagrams dropped as too many waited.
+    /// Datagrams dropped because too many were waiting.
     pub dropped: u64,
-    /// Positions of what no council has signed yet, as far as is known here: their sender is ahead, or lies.
+    /// Reported positions that no known certificate covers yet: the sender is ahead, or faulty.
     pub ahead: u64,
-    /// States that came to another root than the one that a majority signed.
+    /// States whose root differed from the one that a majority signed.
     pub diverged: u64,
 }
 
-/// How a control machine stands.
+/// Status of a control machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlStatus {
-    /// The sealed index that is served; 0 before the first.
+    /// The certified index that is served; 0 before the first.
     pub index: Version,
-    /// Subscribers.
+    /// Number of subscribers.
     pub subscribers: usize,
-    /// Of these, how many read a scope from its beginning.
+    /// Number of subscribers that read a scope from its beginning.
     pub snapshots: usize,
-    /// What has happened so far.
+    /// Counters since the start.
     pub counts: ControlCounts,
 }
 
@@ -132,33 +134,33 @@
     requested_at: f64,
 }
 
-/// What a subscriber is to be sent of a scope.
+/// What to send a subscriber for a scope.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Plan {
     Nothing,
-    /// What it lacks was sent just now.
+    /// What it is missing was sent just now.
     InFlight,
-    /// That its newest content is the newest.
+    /// A proof that the content it has received is the newest.
     Proof,
-    /// That what is in force has not changed.
+    /// A proof that the content in force has not changed.
     Refresh,
-    /// What follows, from there on.
+    /// The changes after its position.
     Transfer(Transfer),
-    /// All of it, from the beginning.
+    /// The whole scope, from the beginning.
     Snapshot(Transfer),
 }
 
-/// What was put together for a subscriber.
+/// The messages for one subscriber.
 #[derive(Debug, Default)]
 struct Response {
     messages: Vec<Message>,
-    /// A proof is among them: the seal goes along.
+    /// A proof is included, so the certificate is sent too.
     includes_proof: bool,
-    /// It is to be sent again until it is acknowledged.
+    /// To be retransmitted until acknowledged.
     needs_repeat: bool,
-    /// Some scope is read from its beginning.
+    /// A scope is read from its beginning.
     reads_snapshot: bool,
-    /// It is to come later for that.
+    /// The subscriber has to come back later for a snapshot.
     deferred: bool,
 }
 
@@ -170,13 +172,13 @@
     replica: Replica,
     council_proofs: Vec<CouncilProof>,
     sessions: Sessions,
-    /// Who reads a snapshot, and when each got further last.
+    /// Subscribers that read a snapshot, and when each last made progress.
     snapshots: BTreeMap<Id, f64>,
-    /// Who was told to come later in this heartbeat, and in the one before.
+    /// Number of subscribers deferred in this heartbeat, and in the one before.
     deferred: (usize, usize),
     progress: ChangeTracker,
     byte_budget: TokenBucket,
-    /// Polls whose senders are to be told how far decisions are.
+    /// Subscriber and nonce of the polls to be answered with a freshness proof.
     polls: Vec<(Id, u64)>,
     gather_until: f64,
     freshness_requests: VecDeque<Nonce>,
@@ -187,7 +189,8 @@
 }
 
 impl Control {
-    /// One that serves nothing yet: [`Control::restore`] and [`Control::update_certificate`] give it what to serve.
+    /// Creates a control machine that serves nothing yet: [`Control::restore`] and
+    /// [`Control::update_certificate`] provide what to serve.
     pub fn new(terms: ControlTerms, seed: u64, now: f64) -> Self {
         let bytes = new_byte_budget(terms.bytes_per_second, now);
         Self {
@@ -210,26 +213,24 @@
         }
     }
 
-    /// Whether [`Control::restore`] is to be called: at the start, or as the state here is not the signed
-    /// one.
+    /// Whether to call [`Control::restore`]: at the start, or if the state here is not the signed one.
     pub fn needs_state(&self) -> bool {
         self.replica.needs_state()
     }
 
-    /// Takes the state that all decisions up to an index came to. Decisions after it are given by
+    /// Replaces the state with the result of all decisions up to an index. Later decisions are given by
     /// [`Control::add_decided_changes`].
     pub fn restore(&mut self, index: Version, state: ScopedState) {
         self.replica.restore(index, state);
     }
 
-    /// The decisions up to an index are carried out, and changed this. To be called also where they changed
-    /// nothing.
+    /// Adds the changes of the decisions up to an index. To be called even if they changed nothing.
     pub fn add_decided_changes(&mut self, index: Version, changes: impl IntoIterator<Item = Change>) {
         self.replica.add_decided_changes(index, changes);
     }
 
-    /// The newest seal that is known, and the proofs of the councils since the founding, as far as they are
-    /// kept, the oldest first. To be called also where they are the same again.
+    /// Updates the newest known certificate, and the proofs of the councils since the bootstrap members, as
+    /// far as they are kept, the oldest first. To be called even if they have not changed.
     pub fn update_certificate(&mut self, certificate: &Certificate, council_proofs: &[CouncilProof]) {
         self.replica.update_certificate(certificate);
         if self.council_proofs.len() != council_proofs.len()
@@ -255,12 +256,13 @@
         }
     }
 
-    /// What the council is to be asked with, for the polls of many: [`agree::Agreement::request_freshness`].
+    /// The next nonce to send to the council, on behalf of many polls:
+    /// [`agree::Agreement::request_freshness`].
     pub fn next_freshness_request(&mut self) -> Option<Nonce> {
         self.freshness_requests.pop_front()
     }
 
-    /// A voter's answer to what [`Control::next_freshness_request`] gave.
+    /// Handles a voter's answer to a nonce of [`Control::next_freshness_request`].
     pub fn receive_freshness_proof(&mut self, now: f64, proof: FreshnessProof) {
         let found = self.pending_batches.iter().position(|pending| pending.batch.nonce() == proof.nonce);
         let Some(pending) = found.and_then(|found| self.pending_batches.remove(found)) else { return };
@@ -270,12 +272,12 @@
         }
     }
 
-    /// One is no longer a member of the fleet.
+    /// Removes a subscriber that is no longer a member of the fleet.
     pub fn remove_subscriber(&mut self, id: Id) {
         self.close(id);
     }
 
-    /// A datagram came from a member, as its packet proves.
+    /// Handles a datagram from a member authenticated by its packet.
     pub fn receive(&mut self, now: f64, from: Id, bytes: &[u8]) {
         self.counts.received += 1;
         self.counts.received_bytes += bytes.len() as u64;
@@ -311,7 +313,7 @@
         let index = self.replica.index();
         let alive = Message::Alive { nonce: poll.nonce, index };
         if !known && poll.scopes.is_empty() {
-            // It only wants to know whether this one is there.
+            // A poll without scopes only checks whether this machine is reachable.
             return if full { self.defer(now, from) } else { self.send(now, from, &[alive]) };
         }
         if !known && full {
@@ -362,7 +364,7 @@
         self.gather_until = self.gather_until.min(now + GATHER_HEARTBEATS * self.terms.heartbeat);
     }
 
-    /// Tells one to come later, in more time the more are told so.
+    /// Asks a subscriber to poll again later; the delay grows with the number of deferred subscribers.
     fn defer(&mut self, now: f64, id: Id) {
         self.counts.deferred += 1;
         self.deferred.0 += 1;
@@ -373,7 +375,7 @@
         self.send(now, id, &[Message::RetryLater { after_ms: after as u32 }]);
     }
 
-    /// Time has passed, or something was decided or sealed.
+    /// One turn of the event loop: to be called when time has passed, or something was decided or certified.
     pub fn turn(&mut self, now: f64) {
         self.advance(now);
         if now >= self.sweep_at {
@@ -389,7 +391,7 @@
         }
     }
 
-    /// Forgets who is gone.
+    /// Removes subscribers, snapshot slots and batches that have expired.
     fn sweep(&mut self, now: f64) {
         let heartbeat = self.terms.heartbeat;
         self.sweep_at = now + heartbeat;
@@ -401,7 +403,7 @@
         self.pending_batches.retain(|pending| pending.requested_at >= lapsed);
     }
 
-    /// Asks the council for all polls that were gathered.
+    /// Asks the council for a freshness proof for all collected polls.
     fn request_freshness(&mut self, now: f64) {
         self.gather_until = f64::INFINITY;
         let polls = std::mem::take(&mut self.polls);
@@ -417,7 +419,7 @@
         }
     }
 
-    /// Sends a subscriber what it lacks, as far as its share of bytes goes.
+    /// Sends a subscriber what it is missing, as far as its byte budget allows.
     fn serve(&mut self, now: f64, id: Id) {
         let Some(session) = self.sessions.get_mut(id) else { return };
         if session.byte_budget.available(now) <= 0.0 {
@@ -429,7 +431,7 @@
         let council = session.council_since;
         let mut response = Response::default();
         self.add_council_proofs(council, &mut response);
-        // It verifies seals of the newest council that it knows alone.
+        // It verifies only certificates of the newest council that it knows.
         let knows_council =
             self.replica.served().is_some_and(|(certificate, _)| certificate.statement.version == council);
         for scope in scopes.into_iter().filter(|_| knows_council) {
@@ -459,7 +461,7 @@
         }
     }
 
-    /// Proves the councils after one, until a poll names a newer one.
+    /// Adds proofs of the councils after a given one, to be repeated until a poll names a newer one.
     fn add_council_proofs(&self, council: Version, response: &mut Response) {
         let newer = self
             .council_proofs
@@ -469,7 +471,7 @@
         response.needs_repeat |= !response.messages.is_empty();
     }
 
-    /// Whether one has begun to read a scope that it has not acknowledged as in force.
+    /// Whether a subscriber has begun to read a scope that it has not acknowledged as in force.
     fn is_reading_snapshot(&self, id: Id) -> bool {
         let reading = |subscription: &ScopeSubscription| {
             let base = subscription.position.transfer.as_ref().map(|transfer| transfer.base);
@@ -479,7 +481,7 @@
         self.sessions.get(id).is_some_and(|session| session.scopes.values().any(reading))
     }
 
-    /// Whether one may read a scope from its beginning: so many do at once.
+    /// Whether a subscriber may read a scope from its beginning; the number of concurrent readers is limited.
     fn may_read_snapshot(&mut self, now: f64, id: Id) -> bool {
         if self.snapshots.len() < self.terms.snapshots_at_once {
             self.snapshots.entry(id).or_insert(now);
@@ -514,12 +516,12 @@
         }
     }
 
-    /// Whether bytes run short: what keeps ages low waits then for what has changed.
+    /// Whether bytes are short: refreshes of unchanged scopes then wait in favour of changes.
     fn is_busy(&self) -> bool {
         self.byte_budget.fraction_left() < BUSY_FRACTION
     }
 
-    /// Puts together what a plan comes to.
+    /// Adds the messages of a plan to the response.
     fn add_messages(&mut self, now: f64, id: Id, scope: Scope, plan: Plan, response: &mut Response) {
         let (Some(session), Some((certificate, state))) = (self.sessions.get_mut(id), self.replica.served())
         else {
@@ -578,19 +580,19 @@
         }
     }
 
-    /// When [`Control::turn`] is to be called at the latest.
+    /// Time of the next turn.
     pub fn due(&self) -> f64 {
         let serve = self.sessions.due().max(self.byte_budget.available_at(1.0));
         let serve = if self.replica.can_advance() { f64::NEG_INFINITY } else { serve };
         serve.min(self.gather_until).min(self.sweep_at)
     }
 
-    /// The next datagram to be sent.
+    /// The next datagram to send.
     pub fn outgoing(&mut self) -> Option<Outgoing> {
         self.outgoing.pop_front()
     }
 
-    /// How it stands.
+    /// Status for operators.
     pub fn status(&self) -> ControlStatus {
         ControlStatus {
             index: self.replica.index(),
@@ -600,19 +602,19 @@
         }
     }
 
-    /// How far the newest changes have come, the newest first, as subscribers say.
+    /// Progress of the newest changes, the newest first, as reported by subscribers.
     pub fn changes(&self, now: f64) -> Vec<ChangeProgress> {
         self.progress.changes(&self.sessions, now)
     }
 }
 
-/// A budget of so many bytes in any second.
+/// A token bucket that allows no more than this many bytes in any second.
 fn new_byte_budget(bytes_per_second: f64, now: f64) -> TokenBucket {
     TokenBucket::new((1.0 - BURST_FRACTION) * bytes_per_second, BURST_FRACTION * bytes_per_second, now)
 }
 
-/// What follows for a subscriber that has this much of a scope. A snapshot is read at the pace of the
-/// reader's polls; what has changed is sent of its own accord.
+/// Plans what to send a subscriber with this position in a scope. A snapshot proceeds at the pace of the
+/// reader's polls; changes are pushed.
 fn plan(subscription: &ScopeSubscription, index: Version, state: &ScopedState, scope: Scope) -> Plan {
     let position = &subscription.position;
     let in_force = position.in_force;
@@ -628,7 +630,7 @@
         return snapshot(from_start);
     }
     if transfer.after >= Cursor::end_of(state.summary(scope).version) {
-        // Its content is the newest: what is wanting is the proof.
+        // It has the newest content; only the proof is missing.
         return match position.transfer {
             _ if !subscription.wants_proof => Plan::Nothing,
             Some(_) => Plan::Proof,
@@ -642,7 +644,7 @@
     }
 }
 
-/// The changes of one message.
+/// Reads the changes of one message.
 fn read_changes(state: &ScopedState, scope: Scope, seen: Version, transfer: &Transfer) -> Option<Changes> {
     let (base, after) = (transfer.base, transfer.after.clone());
     let run = state.changes(scope, base, &after, MAX_CHANGES_BYTES).ok()?;
--- a/distribution/src/cursor.rs
+++ b/distribution/src/cursor.rs
@@ -1,4 +1,4 @@
-//! A place in the changes of a scope, ordered by version and, within a version, by key.
+//! A position in the changes of a scope, ordered by version and, within a version, by key.
 
 use std::ops::Bound;
 
@@ -7,37 +7,37 @@
 use crate::Version;
 use crate::entry::Key;
 
-/// Up to where the changes of a scope are known. A key that is changed again moves to its newer place, so
-/// that reading on from a cursor never misses a change, whatever was changed since.
+/// The position up to which the changes of a scope are known. A key that changes again moves to its newer
+/// position, so reading on from a cursor never misses a change, whatever changed in between.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Cursor {
     /// All changes of earlier versions are known.
     pub version: Version,
-    /// Of this version, those up to this key; all of them where there is none.
+    /// The last known key of this version; `None` if all of them are known.
     pub key: Option<Key>,
 }
 
 impl Cursor {
-    /// All changes up to a version, that one included.
+    /// The position after all changes of a version.
     pub fn end_of(version: Version) -> Self {
         Self { version, key: None }
     }
 
-    /// All changes up to one of them, that one included.
+    /// The position after one change.
     pub fn at(version: Version, key: Key) -> Self {
         Self { version, key: Some(key) }
     }
 
-    /// Where reading goes on.
+    /// The lower bound from which reading continues.
     pub(crate) fn bound(&self) -> Bound<(Version, Option<Key>)> {
         match &self.key {
             Some(key) => Bound::Excluded((self.version, Some(key.clone()))),
-            // No key sorts before every key.
+            // `None` sorts before every key.
             None => Bound::Included((self.version.saturating_add(1), None)),
         }
     }
 
-    /// Whether the change of a key at a version is known up to here.
+    /// Whether the change of a key at a version is known at this position.
     pub fn covers(&self, version: Version, key: &Key) -> bool {
         version < self.version
             || version == self.version && self.key.as_ref().is_none_or(|last_known| key <= last_known)
--- a/distribution/src/entry.rs
+++ b/distribution/src/entry.rs
@@ -8,22 +8,22 @@
 use crate::Version;
 use crate::scope::Scope;
 
-/// Bytes of the longest key.
+/// Maximum length of a key in bytes.
 pub const MAX_KEY_BYTES: usize = 128;
-/// Bytes of the longest value: as long as a command of the log can be.
+/// Maximum length of a value in bytes: as long as a command of the log can be.
 pub const MAX_VALUE_BYTES: usize = agree::log::MAX_COMMAND_BYTES;
 
-/// A key or a value that no state takes.
+/// A key or a value that no state accepts.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum InvalidEntry {
     /// The key is empty.
     #[error("the key is empty")]
     EmptyKey,
     /// The key has more than [`MAX_KEY_BYTES`] bytes.
-    #[error("the key has {0} bytes, {MAX_KEY_BYTES} at most are allowed")]
+    #[error("the key has {0} bytes, at most {MAX_KEY_BYTES} are allowed")]
     LongKey(usize),
     /// The value has more than [`MAX_VALUE_BYTES`] bytes.
-    #[error("the value has {0} bytes, {MAX_VALUE_BYTES} at most are allowed")]
+    #[error("the value has {0} bytes, at most {MAX_VALUE_BYTES} are allowed")]
     LongValue(usize),
 }
 
@@ -33,11 +33,11 @@
 pub struct Key(String);
 
 impl Key {
-    /// A key of these characters.
+    /// Checks and wraps a key.
     ///
     /// # Errors
     ///
-    /// [`InvalidEntry`] where it is empty or too long.
+    /// [`InvalidEntry`] if it is empty or too long.
     pub fn new(key: impl Into<String>) -> Result<Self, InvalidEntry> {
         let key = key.into();
         match key.len() {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Its characters.
+    /// The key as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -73,36 +73,36 @@
     }
 }
 
-/// What a scope holds under a key.
+/// A key of a scope with its value.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its name within the scope.
+    /// Name within the scope.
     pub key: Key,
-    /// The decision that gave it its value.
+    /// The decision that set the value.
     pub version: Version,
-    /// The value, whose meaning is up to whoever decides.
+    /// The value; its meaning is up to the application.
     pub value: Vec<u8>,
 }
 
 /// What a decision does to one key of one scope.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// Where the key belongs.
+    /// The scope of the key.
     pub scope: Scope,
-    /// Which entry.
+    /// The key that changes.
     pub key: Key,
     /// The decision that changes it.
     pub version: Version,
-    /// The new value; none where the entry is removed.
+    /// The new value; `None` if the entry is removed.
     pub value: Option<Vec<u8>>,
 }
 
 impl Change {
-    /// Whether a state can take it.
+    /// Checks that a state accepts the change.
     ///
     /// # Errors
     ///
-    /// [`InvalidEntry::LongValue`] where the value is longer than [`MAX_VALUE_BYTES`].
+    /// [`InvalidEntry::LongValue`] if the value is longer than [`MAX_VALUE_BYTES`].
     pub fn check(&self) -> Result<(), InvalidEntry> {
         let bytes = self.value.as_ref().map_or(0, Vec::len);
         if bytes > MAX_VALUE_BYTES { Err(InvalidEntry::LongValue(bytes)) } else { Ok(()) }
--- a/distribution/src/faults.rs
+++ b/distribution/src/faults.rs
@@ -1,12 +1,12 @@
-//! Faults that tests put in on purpose, so that the search over orders is seen to find them. Without the
-//! feature `fault-injection` there are none, and no code of them is built.
+//! Faults that tests inject to verify that the exhaustive search in tests/search.rs finds them. Without the
+//! feature `fault-injection` none of this code is built.
 
 /// A fault of a subscriber or a control machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A subscriber puts in force what is staged without comparing its digest with the proved one.
+    /// A subscriber puts staged content in force without comparing its digest with the proved one.
     SkipDigestCheck,
-    /// A subscriber takes a proof though its seal is older than the one in force.
+    /// A subscriber accepts a proof whose certificate is older than the one in force.
     AcceptOlderCertificate,
     /// A control machine leaves out what has changed since a snapshot began.
     OmitDeltas,
@@ -22,7 +22,7 @@
         static INJECTED: Cell<Option<Fault>> = const { Cell::new(None) };
     }
 
-    /// Plants a fault in this thread, or takes it away.
+    /// Injects a fault into this thread, or removes it.
     pub fn inject_fault(fault: Option<Fault>) {
         INJECTED.set(fault);
     }
--- a/distribution/src/lib.rs
+++ b/distribution/src/lib.rs
@@ -4,18 +4,21 @@
 //! service. [`state::ScopedState`] holds the entries of all scopes, with a Merkle root over them and a proof
 //! for each scope. docs/distribution.md explains how the parts work together.
 //!
-//! A [`Control`] is driven so: [`Control::restore`] gives it the machine's state while
-//! [`Control::needs_state`]; [`Control::add_decided_changes`] each decision carried out, with what it changed;
-//! [`Control::update_certificate`] the newest seal and links of the agreement; [`Control::receive`] each datagram. Then
-//! [`Control::turn`], also when [`Control::due`] has come. Then [`Control::outgoing`] is emptied into
-//! packets, and [`Control::next_freshness_request`] into `Agreement::request_freshness`, whose answers go to [`Control::receive_freshness_proof`].
+//! To run a [`Control`]: call [`Control::restore`] with the machine's state while [`Control::needs_state`];
+//! [`Control::add_decided_changes`] for each applied decision, with what it changed;
+//! [`Control::update_certificate`] with the newest certificate and council proofs of the agreement; and
+//! [`Control::receive`] for each datagram. Then call [`Control::turn`], also when [`Control::due`] is
+//! reached. Then send all datagrams of [`Control::outgoing`], and pass all nonces of
+//! [`Control::next_freshness_request`] to `Agreement::request_freshness`, whose proofs go to
+//! [`Control::receive_freshness_proof`].
 //!
-//! A [`Subscriber`] so: [`Subscriber::subscribe`] for each scope, [`Subscriber::restore`] with the file if
-//! there is one; [`Subscriber::receive`] for each datagram, [`Subscriber::turn`] when [`Subscriber::due`] has
-//! come; after either, [`Subscriber::outgoing`] is emptied into packets, [`Subscriber::next_changed_scope`] tells which
-//! scopes' [`Subscriber::content`] to carry out, and [`Subscriber::state_to_save`] what to write.
+//! To run a [`Subscriber`]: call [`Subscriber::subscribe`] for each scope, and [`Subscriber::restore`] with
+//! the saved file if there is one; [`Subscriber::receive`] for each datagram, and [`Subscriber::turn`] when
+//! [`Subscriber::due`] is reached. After either, send all datagrams of [`Subscriber::outgoing`], apply the
+//! [`Subscriber::content`] of the scopes that [`Subscriber::next_changed_scope`] returns, and write what
+//! [`Subscriber::state_to_save`] returns.
 //!
-//! Times are milliseconds on the clock of whoever is given them; it only goes forward.
+//! Times are milliseconds on the caller's clock, which only goes forward.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -41,13 +44,13 @@
 pub mod trust;
 pub mod wire;
 
-/// The index of a decision in the log of [`agree`]: what it changed has this version.
+/// The index of a decision in the log of [`agree`], which is the version of what it changed.
 pub type Version = agree::Index;
 
-/// A datagram to a member, to be put into a packet that proves its sender.
+/// A datagram to a member, to be sent in a packet that authenticates its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Outgoing {
-    /// To whom.
+    /// The recipient.
     pub to: agree::Id,
     /// At most [`wire::MAX_DATAGRAM_BYTES`].
     pub bytes: Vec<u8>,
--- a/distribution/src/merkle.rs
+++ b/distribution/src/merkle.rs
@@ -1,6 +1,6 @@
-//! A Merkle trie over the scopes: a leaf a scope, at a place given by the hash of its name. The trie is as
-//! deep as the places of two leaves agree, so that a path has about log2 of the number of scopes hashes. A
-//! path proves what a scope holds, and also that a scope was never written to.
+//! A Merkle trie over the scopes, with one leaf for each scope at a position given by the hash of its name.
+//! The trie is as deep as the common prefix of two positions, so a path has about log2 of the number of
+//! scopes hashes. A path proves what a scope holds, and also that a scope was never written to.
 
 use agree::Hash;
 use serde::{Deserialize, Serialize};
@@ -10,18 +10,18 @@
 use crate::content;
 use crate::scope::Scope;
 
-/// The hash of a subtree without any leaf; also the root without any scope.
+/// The hash of a subtree without leaves; also the root without scopes.
 pub const EMPTY_HASH: Hash = [0; 32];
-/// Hashes of the longest path: places of as many scopes as there are pool numbers agree on fewer bits, but
-/// for a chance of one in 2^30.
+/// Maximum number of hashes in a path. The positions of as many scopes as there are pool numbers have shorter
+/// common prefixes, except with a probability of one in 2^30.
 pub const MAX_PATH_LEN: usize = 64;
 
-/// What the root says of a scope.
+/// What the root proves about a scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ScopeSummary {
     /// The digest of its live entries ([`crate::content::Content::digest`]).
     pub digest: Hash,
-    /// The decision that changed it last; 0 where none ever did.
+    /// The decision that changed it last; 0 if none ever did.
     pub version: Version,
 }
 
@@ -31,32 +31,32 @@
     }
 }
 
-/// The way from a scope's leaf to the root.
+/// The path from a scope's leaf to the root.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MerklePath {
-    /// The hashes of the subtrees beside the way, from the root down; none for an empty one.
+    /// Sibling hashes from the root down; `None` for an empty subtree.
     siblings: Vec<Option<Hash>>,
-    /// The leaf that stands where the scope's would, where the scope was never written to: its place and its
-    /// hash.
+    /// For a scope that was never written to: the position and summary hash of the leaf found at the end of
+    /// its path, if there is one.
     other_leaf: Option<(Hash, Hash)>,
 }
 
-/// A path that proves nothing.
+/// Why a path was rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum PathError {
-    /// It is longer than any.
-    #[error("the path is longer than any")]
+    /// It has more than [`MAX_PATH_LEN`] hashes.
+    #[error("the path has more than {MAX_PATH_LEN} hashes")]
     TooLong,
-    /// The leaf that it names instead of the scope's does not stand in the scope's way.
-    #[error("the leaf named in place of the scope's is elsewhere")]
+    /// The leaf that it names instead of the scope's is not on the scope's path.
+    #[error("the leaf named instead of the scope's is not on its path")]
     WrongLeaf,
     /// It leads to another root.
-    #[error("the path leads to another root")]
+    #[error("the path does not lead to the expected root")]
     RootMismatch,
 }
 
 impl MerklePath {
-    /// Hashes beside the way, empty ones too.
+    /// Number of sibling hashes, including those of empty subtrees.
     pub fn len(&self) -> usize {
         self.siblings.len()
     }
@@ -66,11 +66,11 @@
         self.siblings.is_empty()
     }
 
-    /// Whether the root says this of the scope.
+    /// Verifies that the root contains this summary of the scope.
     ///
     /// # Errors
     ///
-    /// [`PathError`] tells why not.
+    /// [`PathError`] if the path does not prove it.
     pub fn verify(&self, root: &Hash, scope: Scope, summary: &ScopeSummary) -> Result<(), PathError> {
         if self.siblings.len() > MAX_PATH_LEN {
             return Err(PathError::TooLong);
@@ -103,7 +103,7 @@
     }
 }
 
-/// The trie of all scopes. Setting one touches only the hashes between its leaf and the root.
+/// The trie of all scopes. Setting one scope rehashes only the nodes between its leaf and the root.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Trie {
     root: Node,
@@ -157,18 +157,18 @@
 }
 
 impl Trie {
-    /// Sets what a scope comes to.
+    /// Sets the summary of a scope.
     pub fn set(&mut self, scope: Scope, summary: &ScopeSummary) {
         let new = (scope_position(scope), summary_hash(summary));
         self.root = std::mem::take(&mut self.root).insert(0, new);
     }
 
-    /// The hash over all of it.
+    /// The root hash.
     pub fn root(&self) -> Hash {
         self.root.hash()
     }
 
-    /// The way from the scope's leaf, or from where it would be, to the root.
+    /// The path from the scope's leaf, or from where it would be, to the root.
     pub fn path(&self, scope: Scope) -> MerklePath {
         let target = scope_position(scope);
         let (mut node, mut siblings) = (&self.root, Vec::new());
@@ -195,7 +195,7 @@
 }
 
 fn scope_position(scope: Scope) -> Hash {
-    let name = postcard::to_stdvec(&scope).expect("plain data");
+    let name = postcard::to_stdvec(&scope).expect("plain data always serializes");
     hash_parts("frostthread distribution 1 place", &[&name])
 }
 
@@ -215,7 +215,7 @@
     hash_parts("frostthread distribution 1 branch", &[left, right])
 }
 
-/// The bit of a place that says on which side of the branch at this depth it is.
+/// The bit of a position that selects the side of the branch at a depth.
 fn bit(position: &Hash, depth: usize) -> bool {
     position[depth / 8] >> (7 - depth % 8) & 1 == 1
 }
--- a/distribution/src/nonces.rs
+++ b/distribution/src/nonces.rs
@@ -1,7 +1,7 @@
-//! Nonces that nobody can foretell: a control machine that could would ask the council beforehand, and pass
-//! old answers off as new.
+//! Unpredictable nonces. A control machine that could predict a nonce could ask the council in advance and
+//! present old answers as new.
 
-/// Draws nonces from a seed that is kept secret.
+/// Generates nonces from a secret seed.
 #[derive(Clone, Debug)]
 pub struct NonceGenerator {
     seed: u64,
@@ -9,12 +9,12 @@
 }
 
 impl NonceGenerator {
-    /// The same seed gives the same nonces.
+    /// Creates a generator; the same seed gives the same nonces.
     pub fn new(seed: u64) -> Self {
         Self { seed, count: 0 }
     }
 
-    /// The next one.
+    /// The next nonce.
     pub fn next_nonce(&mut self) -> u64 {
         self.count += 1;
         let mut hasher = blake3::Hasher::new_derive_key("frostthread distribution 1 nonce");
--- a/distribution/src/placement.rs
+++ b/distribution/src/placement.rs
@@ -1,9 +1,9 @@
-//! Which control machine a subscriber hears from.
+//! Selects the control machine that a subscriber polls.
 //!
-//! Rendezvous hashing orders the control machines of the region, then those of other regions: each subscriber
-//! has an order of its own, so that the subscribers of one that is gone spread evenly over the others. The
-//! first that is not suspected serves. One that was suspected is tried again at a pace, and returned to when
-//! it answers.
+//! Rendezvous hashing orders the control machines of the subscriber's region, then those of other regions.
+//! The order differs by subscriber, so the subscribers of a failed machine spread evenly over the others. The
+//! first machine that is not suspected serves. A suspected one is retried periodically, and the subscriber
+//! returns to it when it answers.
 
 use std::collections::BTreeMap;
 
@@ -13,42 +13,43 @@
 /// A control machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ControlMachine {
-    /// Its key's number.
+    /// Number of its key.
     pub id: Id,
     /// The region that it is in.
     pub region: u16,
 }
 
-/// One that answers no poll for so many heartbeats is suspected. Less leaves a machine for two lost packets;
-/// more delays changes by as much when a machine is gone.
+/// A machine that leaves a poll unanswered for this many heartbeats is suspected. A smaller value leaves a
+/// machine after two lost packets; a larger one delays changes by as much when a machine fails.
 const SILENT_HEARTBEATS: f64 = 2.0;
-/// A switch is put off by up to so many heartbeats, so that the subscribers of a machine that is gone do not
-/// come to the others all at once. It delays changes by as much then.
+/// Maximum delay of a switch in heartbeats, so that the subscribers of a failed machine do not all reach the
+/// others at once. It delays changes by as much in that case.
 const SWITCH_JITTER_HEARTBEATS: f64 = 0.5;
-/// A machine that would be preferred is tried again after so many heartbeats, half as many to one and a half
-/// times as many: its subscribers return over that time. It hurts where a region's other machines are full
-/// for as long.
+/// Mean interval between retries of a preferred machine in heartbeats, drawn from half to one and a half
+/// times this value, so that its subscribers return over that time. It hurts if the region's other machines
+/// are full for as long.
 const RETRY_HEARTBEATS: f64 = 30.0;
 
-/// Whom to poll.
+/// Which control machine to poll, and when to switch.
 #[derive(Clone, Debug)]
 pub struct Placement {
     order: Vec<Id>,
-    /// Since when each is suspected.
+    /// When each suspected machine was last suspected or retried.
     suspected_since: BTreeMap<Id, f64>,
     current: Id,
     current_since: f64,
-    /// The first poll that the current one has not answered.
+    /// When the first poll was sent that the current machine has not answered.
     unanswered_since: Option<f64>,
-    /// When the next one is taken, and which.
+    /// When to switch, and to which machine.
     pending_switch: Option<(f64, Id)>,
-    /// When a preferred one is tried again.
+    /// When a preferred machine is retried.
     retry_at: f64,
     heartbeat: f64,
 }
 
 impl Placement {
-    /// The order for a subscriber in a region; 0 stands for nobody where there is no control machine.
+    /// Creates the placement of a subscriber in a region. The current machine is 0 if there are no control
+    /// machines.
     pub fn new(
         subscriber: Id,
         region: u16,
@@ -77,27 +78,28 @@
         self.retry_at = now + RETRY_HEARTBEATS * self.heartbeat * rng.random_range(0.5..1.5);
     }
 
-    /// The one that serves, and since when.
+    /// The machine that serves, and since when.
     pub fn current(&self) -> (Id, f64) {
         (self.current, self.current_since)
     }
 
-    /// All of them, the preferred first.
+    /// All machines, the most preferred first.
     pub fn order(&self) -> &[Id] {
         &self.order
     }
 
-    /// A poll went to the current one.
+    /// Records that a poll was sent to the current machine.
     pub fn poll_sent(&mut self, now: f64) {
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// Whether the current one has a poll to answer.
+    /// Whether the current machine has a poll to answer.
     pub fn is_poll_pending(&self) -> bool {
         self.unanswered_since.is_some()
     }
 
-    /// One answered a poll. Gives the one that served before, where this one is returned to.
+    /// Records an answered poll. Returns the machine that served before if the subscriber returns to this
+    /// one.
     pub fn poll_answered(&mut self, from: Id, now: f64) -> Option<Id> {
         let was_suspected = self.suspected_since.remove(&from).is_some();
         if from == self.current {
@@ -118,14 +120,14 @@
         (self.unanswered_since, self.pending_switch) = (None, None);
     }
 
-    /// The current one is not to be relied on: another one is taken before long.
+    /// Suspects the current machine and schedules a switch to another.
     pub fn suspect(&mut self, now: f64, rng: &mut impl Rng) {
         self.suspected_since.insert(self.current, now);
         if self.pending_switch.is_some() {
             return;
         }
         let unsuspected = self.order.iter().find(|id| !self.suspected_since.contains_key(id));
-        // All are suspected: the one that has been for longest.
+        // If all are suspected: the one that has been for longest.
         let longest_suspected =
             || self.order.iter().min_by(|a, b| self.suspected_since[a].total_cmp(&self.suspected_since[b]));
         let Some(&next) = unsuspected.or_else(longest_suspected) else { return };
@@ -134,7 +136,7 @@
         self.schedule_retry(now, rng);
     }
 
-    /// Suspects one that is silent, and switches when it is time; whether it has.
+    /// Suspects a silent machine, and switches when that is due. Returns whether it switched.
     pub fn turn(&mut self, now: f64, rng: &mut impl Rng) -> bool {
         let silent = SILENT_HEARTBEATS * self.heartbeat;
         if self.pending_switch.is_none() && self.unanswered_since.is_some_and(|since| now - since >= silent) {
@@ -147,14 +149,14 @@
         due.is_some()
     }
 
-    /// One that would be preferred and is to be tried again now.
+    /// The preferred machine to retry now, if one is due.
     pub fn next_retry(&mut self, now: f64, rng: &mut impl Rng) -> Option<Id> {
         if now < self.retry_at {
             return None;
         }
         self.schedule_retry(now, rng);
         let preferred = self.order.iter().take_while(|&&id| id != self.current).copied();
-        // The one that was not tried for longest; trying it counts as suspecting it anew.
+        // The least recently tried machine; the retry counts as a new suspicion.
         let next = preferred.min_by(|a, b| self.last_tried_at(*a).total_cmp(&self.last_tried_at(*b)))?;
         self.suspected_since.insert(next, now);
         Some(next)
--- a/distribution/src/progress.rs
+++ b/distribution/src/progress.rs
@@ -1,5 +1,5 @@
-//! How far changes have come, for operators. What is told is what subscribers say: that a change is in force
-//! at them. Whether they obey it nobody but their central servers sees.
+//! Progress of changes, for operators. It shows what subscribers report: that a change is in force at them.
+//! Only their central servers see whether they actually apply it.
 
 use std::collections::VecDeque;
 
@@ -10,40 +10,41 @@
 use crate::scope::Scope;
 use crate::sessions::Sessions;
 
-/// Changes that are shown; older ones are forgotten.
+/// Maximum number of tracked changes; older ones are forgotten.
 const MAX_TRACKED_CHANGES: usize = 256;
-/// Subscribers that are named as lacking a change.
+/// Maximum number of subscribers named as missing a change.
 const MAX_NAMED_SUBSCRIBERS: usize = 8;
 
-/// A subscriber that lacks a change.
+/// A subscriber that is missing a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MissingSubscriber {
-    /// Who.
+    /// The subscriber.
     pub id: Id,
-    /// Milliseconds since it polled last: one that is gone is told from one that is slow.
+    /// Milliseconds since its last poll, which distinguishes a subscriber that is gone from a slow one.
     pub silent_ms: f64,
-    /// Milliseconds for which it has lacked the change: since the change, or since it came if that was later.
+    /// Milliseconds for which it has been missing the change: since the change, or since the subscriber
+    /// connected if that was later.
     pub since_ms: f64,
 }
 
-/// How far a change has come among the subscribers of one control machine.
+/// Progress of a change among the subscribers of one control machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChangeProgress {
-    /// Where the key belongs.
+    /// The scope of the key.
     pub scope: Scope,
-    /// Which entry.
+    /// The key that changed.
     pub key: Key,
     /// The decision that changed it.
     pub version: Version,
-    /// Whether it was removed.
+    /// Whether the entry was removed.
     pub removed: bool,
-    /// Milliseconds since the change was served here first.
+    /// Milliseconds since the change was first served here.
     pub since_ms: f64,
-    /// Subscribers of the scope that say they have it in force: no more than that is known.
+    /// Subscribers of the scope that report it in force; nothing more is known of them.
     pub acknowledged: usize,
-    /// Subscribers of the scope that do not say so.
+    /// Subscribers of the scope that do not report it.
     pub missing: usize,
-    /// Some of these, those that have lacked it for longest first.
+    /// Some of those, longest missing first.
     pub longest_missing: Vec<MissingSubscriber>,
 }
 
@@ -63,7 +64,7 @@
 }
 
 impl ChangeTracker {
-    /// A change is served from now on.
+    /// Tracks a change that is served from now on.
     pub fn record(&mut self, change: &Change, now: f64) {
         let Change { scope, key, version, value } = change;
         let (scope, key, version) = (*scope, key.clone(), *version);
@@ -79,7 +80,7 @@
         }
     }
 
-    /// How far each has come, the newest first.
+    /// Progress of each tracked change, the newest first.
     pub fn changes(&self, sessions: &Sessions, now: f64) -> Vec<ChangeProgress> {
         self.tracked.iter().rev().map(|tracked| tracked.progress(sessions, now)).collect()
     }
--- a/distribution/src/replica.rs
+++ b/distribution/src/replica.rs
@@ -1,5 +1,5 @@
-//! A control machine's copy of the state, as it was at the newest sealed index: proofs of scopes hold against
-//! that index alone. Decisions after it wait.
+//! A control machine's copy of the state as of the newest certified index. Proofs of scopes hold only against
+//! that index, so later decisions wait.
 
 use std::collections::VecDeque;
 
@@ -10,47 +10,48 @@
 use crate::state::ScopedState;
 use crate::trust::SharedCertificate;
 
-/// Changes that wait for a seal at most; past that the state is to be given anew. Seals follow decisions
-/// within a few probe intervals of the council, so that this many mean that no majority signs.
+/// Maximum number of changes that wait for a certificate; past that the state has to be restored.
+/// Certificates follow decisions within a few heartbeats of the council, so this many mean that no majority
+/// signs.
 const MAX_WAITING_CHANGES: usize = 65_536;
 
-/// The state at the newest sealed index.
+/// The state at the newest certified index.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     state: ScopedState,
-    /// The state holds all decisions up to here; none where it is to be given first.
+    /// The state holds all decisions up to this index; `None` if it has to be restored first.
     applied_to: Option<Version>,
-    /// What was decided later, and up to where.
+    /// Changes decided later, and the index of the last decision.
     waiting: VecDeque<Change>,
     decided: Version,
-    /// The seal of the state as it is served.
+    /// The certificate of the state that is served.
     certificate: Option<SharedCertificate>,
-    /// A seal of more than is decided here.
+    /// A certificate of an index that is not decided here yet.
     pending_certificate: Option<SharedCertificate>,
-    /// States that came to another root than the one that a majority signed.
+    /// States whose root differed from the one that a majority signed.
     diverged: u64,
 }
 
 impl Replica {
-    /// Whether a state is to be given by [`Replica::restore`].
+    /// Whether to call [`Replica::restore`].
     pub fn needs_state(&self) -> bool {
         self.applied_to.is_none()
     }
 
-    /// States that came to another root than the one that a majority signed.
+    /// States whose root differed from the one that a majority signed.
     pub fn diverged(&self) -> u64 {
         self.diverged
     }
 
-    /// Takes a state that holds all decisions up to an index. It is served from the first seal on that is not
-    /// older.
+    /// Replaces the state with one that holds all decisions up to an index. It is served from the first
+    /// certificate that is not older.
     pub fn restore(&mut self, index: Version, state: ScopedState) {
         (self.state, self.applied_to, self.decided) = (state, Some(index), index);
         self.waiting.clear();
         self.certificate = None;
     }
 
-    /// Decisions up to an index changed this.
+    /// Adds the changes of the decisions up to an index.
     pub fn add_decided_changes(&mut self, index: Version, changes: impl IntoIterator<Item = Change>) {
         if self.applied_to.is_none() || index <= self.decided {
             return;
@@ -67,7 +68,8 @@
         self.waiting = VecDeque::new();
     }
 
-    /// A majority signed the state at an index. It is kept until as much is decided here.
+    /// Records that a majority signed the state at an index. The certificate waits until that index is
+    /// decided here.
     pub fn update_certificate(&mut self, certificate: &Certificate) {
         let newest = self.pending_certificate.as_ref().map_or(self.index(), SharedCertificate::index);
         if certificate.statement.index > newest {
@@ -81,8 +83,8 @@
         self.applied_to.is_some() && self.pending_certificate.as_ref().is_some_and(reached)
     }
 
-    /// Goes on to the newest seal, as far as it is decided here. Gives what has changed with it; none where
-    /// it stays.
+    /// Advances to the newest certificate whose index is decided here. Returns the changes, or `None` if the
+    /// state stays as it is.
     pub fn advance(&mut self) -> Option<Vec<Change>> {
         let applied_to = self.applied_to?;
         let certificate =
@@ -105,12 +107,12 @@
         Some(changes)
     }
 
-    /// The sealed index that is served; 0 before the first.
+    /// The certified index that is served; 0 before the first.
     pub fn index(&self) -> Version {
         self.certificate.as_ref().map_or(0, SharedCertificate::index)
     }
 
-    /// The seal, and the state that it is of.
+    /// The certificate and the state that it covers.
     pub fn served(&self) -> Option<(&SharedCertificate, &ScopedState)> {
         Some((self.certificate.as_ref()?, &self.state))
     }
--- a/distribution/src/saved.rs
+++ b/distribution/src/saved.rs
@@ -1,5 +1,5 @@
-//! What a subscriber keeps on its disk: councils, seals, scopes. It is verified on reading as if it came from
-//! the network, so that a damaged or an older file does no harm: its reader starts with less.
+//! The file that a subscriber keeps on disk: council proofs, certificates, scopes. It is verified on reading
+//! as if it came from the network, so a damaged or older file does no harm: the subscriber starts with less.
 
 use std::collections::BTreeMap;
 
@@ -14,39 +14,39 @@
 use crate::state::ScopeProof;
 use crate::trust::{MAX_COUNCIL_PROOFS, SharedCertificate};
 
-/// The first byte of a file.
+/// First byte of the file.
 const VERSION: u8 = 1;
 
-/// A scope in a file.
+/// A scope in the file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SavedScope {
     scope: Scope,
-    /// Which of the seals.
+    /// Index of its certificate.
     index: Version,
     proof: ScopeProof,
     entries: Vec<Entry>,
 }
 
-/// All that is kept.
+/// The contents of the file.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SavedState {
-    /// The proofs of all councils since the founders'.
+    /// Proofs of all councils since the bootstrap members.
     pub council_proofs: Vec<CouncilProof>,
     certificates: Vec<Certificate>,
     scopes: Vec<SavedScope>,
 }
 
-/// What a file came to.
+/// What was restored from a file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Restored {
-    /// Scopes that are in force from it.
+    /// Scopes that are in force from the file.
     pub scopes: usize,
-    /// Scopes in it that are not proved: their parts are damaged, or by councils that are not known.
+    /// Scopes of the file that could not be verified: damaged, or signed by unknown councils.
     pub unverified: usize,
 }
 
 impl SavedState {
-    /// Puts together what is kept.
+    /// Collects what to save.
     pub fn new<'a>(
         council_proofs: &[CouncilProof],
         verified: impl Iterator<Item = (Scope, &'a VerifiedScope)>,
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Its bytes.
+    /// Encodes the file.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_extend(self, vec![VERSION]).expect("plain data")
+        postcard::to_extend(self, vec![VERSION]).expect("plain data always serializes")
     }
 
-    /// What bytes hold; none where they are of no form that is known.
+    /// Decodes a file; `None` if it is malformed or of an unknown version.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (&version, body) = bytes.split_first()?;
         let (saved, remaining) = postcard::take_from_bytes::<Self>(body).ok()?;
@@ -78,8 +78,8 @@
             .then_some(saved)
     }
 
-    /// The scopes whose seals a majority of a council signed that the founders' and the links prove; none for
-    /// each that is not proved.
+    /// The scopes whose certificates were signed by a majority of a council that the bootstrap council and
+    /// the council proofs prove; `None` for each scope that is not proved.
     pub fn verify(
         self,
         bootstrap_council: &Council,
@@ -107,7 +107,7 @@
     }
 }
 
-/// All councils from the founders on, by the decision since which each votes.
+/// All councils since the bootstrap members, by the decision since which each votes.
 fn councils(
     bootstrap_council: &Council,
     council_proofs: &[CouncilProof],
@@ -115,7 +115,7 @@
 ) -> BTreeMap<Version, Council> {
     let mut councils = BTreeMap::from([(0, bootstrap_council.clone())]);
     for council_proof in council_proofs {
-        let (newest, previous) = councils.last_key_value().expect("the founders'");
+        let (newest, previous) = councils.last_key_value().expect("the bootstrap council");
         let version = council_proof.certificate.statement.version;
         if version <= *newest || !council_proof.is_valid(previous, keys) {
             break;
--- a/distribution/src/scope_store.rs
+++ b/distribution/src/scope_store.rs
@@ -1,7 +1,7 @@
-//! What a subscriber has of one scope: the content in force, and newer content on its way. Content comes in
-//! force only when its digest is the one that a seal proves for the scope, and that seal is newer than the
-//! one of the content in force. So no scope ever goes back a version, and none is skipped, whoever the
-//! content came from.
+//! A subscriber's copy of one scope: the content in force, and newer content that is being transferred.
+//! Content comes in force only if its digest is the one that a certificate proves for the scope, and if that
+//! certificate is newer than the one of the content in force. So no scope ever goes back a version, and none
+//! is skipped, regardless of who sent the content.
 
 use agree::Id;
 
@@ -15,77 +15,79 @@
 use crate::trust::SharedCertificate;
 use crate::wire::{Changes, KeyChange, Position, Transfer};
 
-/// Content that is proved.
+/// Content with its proof.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VerifiedScope {
-    /// The seal of the state that it is part of.
+    /// The certificate of the state that it is part of.
     pub certificate: SharedCertificate,
-    /// The way from the scope to that state's root.
+    /// The path from the scope to that state's root.
     pub proof: ScopeProof,
     /// The entries.
     pub content: Content,
 }
 
 impl VerifiedScope {
-    /// The index of the seal.
+    /// The index of the certificate.
     pub fn index(&self) -> Version {
         self.certificate.index()
     }
 }
 
-/// Newer content, until it is complete and proved.
+/// Newer content that is not complete or not proved yet.
 #[derive(Clone, Debug)]
 struct Staged {
     transfer: Transfer,
     content: Content,
-    /// Bytes that came.
+    /// Bytes received.
     bytes: usize,
-    /// Who sent all of it; none where several did.
+    /// The sender of all of it; `None` if there were several.
     source: Option<Id>,
 }
 
-/// What came of some changes, or of a proof.
+/// The result of handling changes or a proof.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateOutcome {
-    /// They are of no use here, or not yet.
+    /// They are of no use, or not yet.
     NoEffect,
-    /// They are staged.
+    /// The changes are staged.
     Staged,
-    /// The scope is in force by a newer seal, with the same content.
+    /// The scope is in force by a newer certificate, with the same content.
     Confirmed,
     /// Newer content is in force.
     Changed,
-    /// They are not in the order that they say, or too much.
+    /// The changes are out of order, or too large.
     Malformed,
-    /// What was staged is not what is proved; the scope is fetched anew. Names who sent it, where one did.
+    /// The staged content does not match the proof, and the scope is fetched again. Names the sender, if
+    /// there was only one.
     Mismatch(Option<Id>),
 }
 
-/// One scope.
+/// One scope of a subscriber.
 #[derive(Clone, Debug, Default)]
 pub struct ScopeStore {
     verified: Option<VerifiedScope>,
     staged: Option<Staged>,
-    /// The newest proof that holds, while its content is not in force.
+    /// The newest valid proof whose content is not in force yet.
     pending_proof: Option<(SharedCertificate, ScopeProof)>,
-    /// A proof whose seal has not come.
+    /// A proof whose certificate has not arrived.
     deferred_proof: Option<(Version, ScopeProof)>,
-    /// When the poll was sent since which nothing newer was decided than what is in force.
+    /// When the poll was sent for which a voter confirmed that nothing newer was decided than what is in
+    /// force.
     fresh_since: Option<f64>,
 }
 
 impl ScopeStore {
-    /// What is in force.
+    /// The content in force, with its proof.
     pub fn verified(&self) -> Option<&VerifiedScope> {
         self.verified.as_ref()
     }
 
-    /// The index of the seal by which the scope is in force; 0 where it is not.
+    /// The index of the certificate by which the scope is in force; 0 if it is not.
     pub fn index(&self) -> Version {
         self.verified.as_ref().map_or(0, VerifiedScope::index)
     }
 
-    /// Takes what was kept, once it is verified as below.
+    /// Puts saved content in force if its digest matches its proof, which the caller has verified.
     pub fn restore(&mut self, verified: VerifiedScope) -> bool {
         let matches = verified.content.digest() == verified.proof.summary.digest;
         if matches {
@@ -94,37 +96,37 @@
         matches
     }
 
-    /// What the control machine is told.
+    /// The position to report to the control machine.
     pub fn position(&self) -> Position {
         let transfer = self.staged.as_ref().map(|staged| staged.transfer.clone());
         Position { in_force: self.index(), transfer }
     }
 
-    /// Whether a transfer is under way, or waits for its proof.
+    /// Whether a transfer is in progress, or waits for its proof.
     pub fn is_in_progress(&self) -> bool {
         self.staged.is_some() || self.verified.is_none()
     }
 
-    /// All decided before that time is in force.
+    /// All that was decided before this time is in force.
     pub fn fresh_since(&self) -> Option<f64> {
         self.fresh_since
     }
 
-    /// Nothing was decided after an index before that time.
+    /// Records that nothing was decided after an index before a time.
     pub fn record_freshness(&mut self, index: Version, at: f64) {
         if self.verified.is_some() && index <= self.index() {
             self.fresh_since = Some(self.fresh_since.map_or(at, |previous| previous.max(at)));
         }
     }
 
-    /// Up to where the content is known that newer changes are put on.
+    /// Position from which newer changes continue.
     fn transfer_start(&self) -> Transfer {
         let in_force = self.index();
         let transfer = Transfer { base: in_force, source_version: in_force, after: Cursor::end_of(in_force) };
         self.staged.as_ref().map_or(transfer, |staged| staged.transfer.clone())
     }
 
-    /// Stages changes that go on from what is there, or begin the scope anew.
+    /// Stages changes that continue from what is there, or that restart the scope.
     pub fn stage(&mut self, from: Id, message: Changes, max_bytes: usize) -> UpdateOutcome {
         if !is_ordered(&message) {
             return UpdateOutcome::Malformed;
@@ -166,19 +168,19 @@
         UpdateOutcome::Staged
     }
 
-    /// A proof came whose seal is not known yet: the latest waits for it.
+    /// Keeps the latest proof whose certificate is not known yet.
     pub fn defer_proof(&mut self, index: Version, proof: ScopeProof) {
         if index > self.index() || is_injected(Fault::AcceptOlderCertificate) {
             self.deferred_proof = Some((index, proof));
         }
     }
 
-    /// The proof that waits for the seal of an index.
+    /// Takes the proof that waits for the certificate of an index.
     pub fn take_deferred_proof(&mut self, index: Version) -> Option<ScopeProof> {
         self.deferred_proof.take_if(|(of, _)| *of == index).map(|(_, proof)| proof)
     }
 
-    /// A proof that holds by a seal.
+    /// Keeps a proof that was verified with a certificate.
     pub fn add_proof(&mut self, certificate: SharedCertificate, proof: ScopeProof) {
         let newest = self.pending_proof.as_ref().map_or(self.index(), |(certificate, _)| certificate.index());
         if certificate.index() > newest || is_injected(Fault::AcceptOlderCertificate) {
@@ -195,7 +197,7 @@
         }
         if let Some(verified) = self.verified.as_ref().filter(|verified| summary.version <= verified.index())
         {
-            // Not changed since.
+            // The content has not changed since.
             return if verified.proof.summary.digest == summary.digest
                 || is_injected(Fault::AcceptOlderCertificate)
             {
@@ -228,7 +230,7 @@
     }
 
     /// Drops what is staged; what is in force stays. The next transfer starts from what is in force, or from
-    /// nothing where this one did.
+    /// nothing if this one started from what is in force.
     fn restart_transfer(&mut self) {
         let from_in_force = self.staged.take().is_some_and(|staged| staged.transfer.base == self.index());
         if from_in_force && self.verified.is_some() {
@@ -237,8 +239,8 @@
         }
     }
 
-    /// Drops what is staged from a state that is newer than the one which the control machine serves, so that
-    /// it can go on from what is in force.
+    /// Drops what was staged from a newer state than the one that the control machine serves, so that it can
+    /// continue from what is in force.
     pub fn discard_newer_than(&mut self, index: Version) -> bool {
         let newer = |staged: &mut Staged| staged.transfer.source_version > index;
         index > self.index() && self.staged.take_if(newer).is_some()
@@ -251,7 +253,7 @@
         UpdateOutcome::Changed
     }
 
-    /// The content in force is the same by a newer seal.
+    /// Confirms the content in force by a newer certificate.
     fn confirm(&mut self) -> UpdateOutcome {
         let (Some((certificate, proof)), Some(verified)) = (self.pending_proof.take(), &mut self.verified)
         else {
@@ -271,8 +273,8 @@
     }
 }
 
-/// Whether the changes are in their order, after the place that they follow, and none newer than the state
-/// that they are of.
+/// Whether the changes are in order, after the cursor that they follow, and not newer than the state that
+/// they were read from.
 fn is_ordered(message: &Changes) -> bool {
     let cursor = |change: &KeyChange| Cursor::at(change.version, change.key.clone());
     let mut previous = message.after.clone();
--- a/distribution/src/sessions.rs
+++ b/distribution/src/sessions.rs
@@ -1,4 +1,4 @@
-//! The subscribers of a control machine: what each has, and when it is to be served next.
+//! The subscribers of a control machine: what each has, and when to serve it next.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,39 +9,40 @@
 use crate::token_bucket::TokenBucket;
 use crate::wire::Position;
 
-/// Scopes of one subscriber at most: a border proxy uses its service, its zone, its region, all, and some
-/// services that it routes to.
+/// Maximum number of scopes of one subscriber: a border proxy uses its service, its zone, its region, all,
+/// and some services that it routes to.
 pub const MAX_SESSION_SCOPES: usize = 256;
-/// Polls of one subscriber that are answered in a heartbeat; more are left unread. An honest one sends a few
-/// datagrams at [`crate::subscriber`]'s hasty pace, and one for each datagram of a transfer.
+/// Polls of one subscriber that are answered per heartbeat; more are ignored. An honest subscriber sends a
+/// few datagrams at [`crate::subscriber`]'s fast polling rate, and one for each datagram of a transfer.
 const POLLS_PER_HEARTBEAT: f64 = 32.0;
 
-/// What was last sent of a scope, so that it is not repeated while its acknowledgement is on its way.
+/// What was last sent of a scope, so that it is not repeated while its acknowledgement is in flight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sent {
-    /// What the subscriber had.
+    /// The subscriber's position at the time.
     pub position: Position,
     /// The index that was served.
     pub index: Version,
-    /// When.
+    /// When it was sent.
     pub sent_at: f64,
-    /// It is a change, to be sent again until it is acknowledged.
+    /// Whether it is a change, to be retransmitted until acknowledged.
     pub repeats: bool,
 }
 
 /// A scope of a session.
 #[derive(Clone, Debug)]
 pub struct ScopeSubscription {
-    /// What the subscriber says that it has.
+    /// The position that the subscriber reports.
     pub position: Position,
-    /// Up to where it has acknowledged what was served here by then. A position of what is not sealed yet
-    /// acknowledges no change to come.
+    /// The index up to which it has acknowledged what was served here at the time. A position that is not
+    /// certified yet does not acknowledge changes to come.
     pub acknowledged: Version,
-    /// When it said so last.
+    /// Time of the last report.
     pub polled_at: f64,
-    /// It has polled since it was last served: a newer seal is of use to it also where nothing changed.
+    /// Whether it has polled since it was last served: a newer certificate is then of use to it even if
+    /// nothing changed.
     pub wants_proof: bool,
-    /// When it was last proved to.
+    /// When a proof was last sent.
     pub proved_at: f64,
     /// What was last sent.
     pub sent: Option<Sent>,
@@ -52,34 +53,34 @@
 pub struct Session {
     /// Its scopes.
     pub scopes: BTreeMap<Scope, ScopeSubscription>,
-    /// Since when it is one.
+    /// When it connected.
     pub started_at: f64,
-    /// When it polled last.
+    /// When it last polled.
     pub polled_at: f64,
-    /// Since when the newest council votes that it knows.
+    /// The decision since which the newest council votes that it knows.
     pub council_since: Version,
-    /// When it was served last.
+    /// When changes were last pushed to it.
     pub pushed_at: f64,
     /// Bytes that it may be sent.
     pub byte_budget: TokenBucket,
     /// Polls that are answered.
     pub poll_budget: TokenBucket,
-    /// When it is to be served, in microseconds.
+    /// When to serve it next, in microseconds.
     due: Option<u64>,
 }
 
 impl Session {
-    /// Whether it has this version of a scope, as it says; none where it has not subscribed.
+    /// Whether it reports this version of a scope as in force; `None` if it has not subscribed to the scope.
     pub fn has(&self, scope: Scope, version: Version) -> Option<bool> {
         self.scopes.get(&scope).map(|subscription| subscription.acknowledged >= version)
     }
 }
 
-/// All of them.
+/// All subscribers.
 #[derive(Clone, Debug, Default)]
 pub struct Sessions {
     sessions: BTreeMap<Id, Session>,
-    /// Who is served next: microseconds, and who.
+    /// Time to serve in microseconds, and subscriber.
     queue: BTreeSet<(u64, Id)>,
 }
 
@@ -88,38 +89,38 @@
 }
 
 impl Sessions {
-    /// How many there are.
+    /// Number of subscribers.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no subscribers.
     pub fn is_empty(&self) -> bool {
         self.sessions.is_empty()
     }
 
-    /// One of them.
+    /// The session of a subscriber.
     pub fn get(&self, id: Id) -> Option<&Session> {
         self.sessions.get(&id)
     }
 
-    /// One of them, to be changed.
+    /// The session of a subscriber, mutably.
     pub fn get_mut(&mut self, id: Id) -> Option<&mut Session> {
         self.sessions.get_mut(&id)
     }
 
-    /// All of them.
+    /// Iterates over all sessions.
     pub fn iter(&self) -> impl Iterator<Item = (Id, &Session)> {
         self.sessions.iter().map(|(id, session)| (*id, session))
     }
 
-    /// Who wants a scope and lacks a version of it.
+    /// The subscribers of a scope that are missing a version of it.
     pub fn missing(&self, scope: Scope, version: Version) -> Vec<Id> {
         let is_missing = |(_, session): &(Id, &Session)| session.has(scope, version) == Some(false);
         self.iter().filter(is_missing).map(|(id, _)| id).collect()
     }
 
-    /// A new one, or the one that there is.
+    /// Opens a session, or returns the existing one.
     pub fn open(&mut self, id: Id, bytes: TokenBucket, heartbeat: f64, now: f64) -> &mut Session {
         self.sessions.entry(id).or_insert_with(|| Session {
             scopes: BTreeMap::new(),
@@ -133,14 +134,15 @@
         })
     }
 
-    /// Ends one.
+    /// Closes a session.
     pub fn close(&mut self, id: Id) {
         if let Some(due) = self.sessions.remove(&id).and_then(|session| session.due) {
             self.queue.remove(&(due, id));
         }
     }
 
-    /// Ends those, and drops scopes, that have not been polled for since a time. Gives who has ended.
+    /// Closes sessions, and drops scopes, that have not been polled for since a time. Returns the closed
+    /// ones.
     pub fn expire(&mut self, before: f64) -> Vec<Id> {
         for session in self.sessions.values_mut() {
             session.scopes.retain(|_, subscription| subscription.polled_at >= before);
@@ -151,7 +153,7 @@
         ended
     }
 
-    /// One is to be served by then, or earlier where that was said before.
+    /// Schedules a subscriber to be served by a time, unless it is already scheduled earlier.
     pub fn serve_by(&mut self, id: Id, at: f64) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let at = to_micros(at);
@@ -165,7 +167,7 @@
         self.queue.insert((at, id));
     }
 
-    /// The next one that is to be served by now.
+    /// Removes and returns the next subscriber that is due.
     pub fn next(&mut self, now: f64) -> Option<Id> {
         let &(at, id) = self.queue.first()?;
         if at > to_micros(now) {
@@ -178,7 +180,7 @@
         Some(id)
     }
 
-    /// When the next one is to be served; infinity where none is.
+    /// When the next subscriber is due; infinity if none is.
     pub fn due(&self) -> f64 {
         // Rounded up, so that it is due by then.
         self.queue.first().map_or(f64::INFINITY, |(at, _)| *at as f64 / 1000.0)
--- a/distribution/src/state.rs
+++ b/distribution/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of all scopes, as the log decided it.
+//! The state of all scopes, as decided by the log.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -15,28 +15,28 @@
 use crate::merkle::{MerklePath, PathError, ScopeSummary, Trie};
 use crate::scope::Scope;
 
-/// Removals that a scope remembers at least. Above that it remembers as many as it has live entries: a reader
-/// that missed more of them has less to fetch by reading the scope anew. What is forgotten makes readers that
-/// are so far behind start over; what is remembered costs memory on control machines.
+/// Number of removals that a scope remembers at least. Above that it remembers as many as it has live
+/// entries: a reader that missed more of them has less to fetch by reading the whole scope. Forgotten
+/// removals make readers that are so far behind start over; remembered ones cost memory on control machines.
 pub const MIN_REMEMBERED_REMOVALS: usize = 64;
 
 /// Why a change was not applied.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ApplyError {
-    /// The scope has been changed by a later decision already.
-    #[error("version {given} comes after {newest} in this scope")]
+    /// A later decision has already changed the scope.
+    #[error("version {given} is older than {newest}, the newest in this scope")]
     Older {
         /// The version of the change.
         given: Version,
-        /// The scope's newest.
+        /// The scope's newest version.
         newest: Version,
     },
-    /// Its key or its value is of a size that no state takes.
+    /// The key or the value has an invalid length.
     #[error(transparent)]
     InvalidEntry(#[from] InvalidEntry),
 }
 
-/// A reader is so far behind that removals it needs are forgotten: it is to read the scope anew.
+/// A reader is so far behind that removals it needs are forgotten: it has to read the whole scope.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("removals up to version {floor} are forgotten")]
 pub struct SnapshotNeeded {
@@ -44,21 +44,21 @@
     pub floor: Version,
 }
 
-/// What the root says of a scope, with the way to the root.
+/// A scope's summary, with its path to the root.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ScopeProof {
     /// The scope's digest and the version of its last change.
     pub summary: ScopeSummary,
-    /// The way to the root.
+    /// The path to the root.
     pub path: MerklePath,
 }
 
 impl ScopeProof {
-    /// Whether the root says this of the scope.
+    /// Verifies that the root contains this summary of the scope.
     ///
     /// # Errors
     ///
-    /// [`PathError`] tells why not.
+    /// [`PathError`] if the path does not prove it.
     pub fn verify(&self, root: &Hash, scope: Scope) -> Result<(), PathError> {
         self.path.verify(root, scope, &self.summary)
     }
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ScopeState {
     content: Content,
-    /// The newest change of each key that is known, live or removed. The key is always there.
+    /// The newest known change of each key, live or removed. The key is always `Some`.
     order: BTreeSet<(Version, Option<Key>)>,
     removed: BTreeMap<Key, Version>,
     /// Removals up to this version may be forgotten.
@@ -84,8 +84,9 @@
     summary: ScopeSummary,
 }
 
-/// The entries of all scopes, with a root over them. The same changes in the same order give the same state,
-/// byte by byte. An empty scope keeps the version of its last change. Printed short: by what begins the root.
+/// The entries of all scopes, with a Merkle root over them. The same changes in the same order give the same
+/// state, byte for byte. An empty scope keeps the version of its last change. `Debug` prints only the number
+/// of scopes, the version and the start of the root.
 #[derive(Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "SerializedState", into = "SerializedState")]
 pub struct ScopedState {
@@ -101,12 +102,12 @@
 }
 
 impl ScopedState {
-    /// Applies what a decision changed. Several changes may have the same version.
+    /// Applies a change of a decision. Several changes may have the same version.
     ///
     /// # Errors
     ///
-    /// [`ApplyError`] where the scope is at a later version already, or the change is of no fit size; nothing is
-    /// changed then.
+    /// [`ApplyError`] if the scope is already at a later version, or the change has an invalid length;
+    /// nothing is changed then.
     pub fn apply(&mut self, change: Change) -> Result<(), ApplyError> {
         change.check()?;
         let scope = self.scopes.entry(change.scope).or_default();
@@ -124,7 +125,7 @@
         self.trie.root()
     }
 
-    /// What the root says of a scope, also of one that was never written to.
+    /// The summary of a scope with its path, also of a scope that was never written to.
     pub fn proof(&self, scope: Scope) -> ScopeProof {
         ScopeProof { summary: self.summary(scope), path: self.trie.path(scope) }
     }
@@ -134,12 +135,12 @@
         self.scopes.get(&scope).map(|state| state.summary).unwrap_or_default()
     }
 
-    /// The live entries of a scope; none where it was never written to.
+    /// The live entries of a scope; `None` if it was never written to.
     pub fn content(&self, scope: Scope) -> Option<&Content> {
         self.scopes.get(&scope).map(|state| &state.content)
     }
 
-    /// The value of a key, and the decision that gave it.
+    /// The value of a key, and the decision that set it.
     pub fn get(&self, scope: Scope, key: &Key) -> Option<(Version, &[u8])> {
         self.content(scope)?.get(key)
     }
@@ -154,13 +155,13 @@
         self.scopes.values().map(|state| state.summary.version).max().unwrap_or(0)
     }
 
-    /// What follows a cursor, as many changes as fit into so many bytes, one at least. Removals up to `base`
-    /// are left out: the reader never held what they removed, as it began to read the scope at `base`, or
-    /// held all of `base`.
+    /// The changes after a cursor that fit into `max_bytes`, at least one. Removals up to `base` are left
+    /// out: the reader never held what they removed, since it began to read the scope at `base`, or held all
+    /// of `base`.
     ///
     /// # Errors
     ///
-    /// [`SnapshotNeeded`] where removals after `base` may be forgotten.
+    /// [`SnapshotNeeded`] if removals after `base` may be forgotten.
     pub fn changes(
         &self,
         scope: Scope,
@@ -192,12 +193,13 @@
         self.summary = ScopeSummary { digest: self.content.digest(), version };
     }
 
-    /// Forgets the oldest removals past the bound.
+    /// Forgets the oldest removals past the limit.
     fn forget_removals(&mut self) {
         while self.removed.len() > MIN_REMEMBERED_REMOVALS.max(self.content.len()) {
             let oldest = self.removed.iter().min_by_key(|(key, version)| (**version, *key));
-            let (key, version) =
-                oldest.map(|(key, version)| (key.clone(), *version)).expect("over the bound");
+            let (key, version) = oldest
+                .map(|(key, version)| (key.clone(), *version))
+                .expect("there are more removals than the limit");
             self.removed.remove(&key);
             self.order.remove(&(version, Some(key)));
             self.floor = self.floor.max(version);
@@ -210,7 +212,7 @@
         }
         let (mut changes, mut remaining_bytes) = (Vec::new(), max_bytes);
         for (version, key) in self.order.range((after.bound(), Bound::Unbounded)) {
-            let key = key.as_ref().expect("always there");
+            let key = key.as_ref().expect("the key is always set");
             let value = self.content.get(key).map(|(_, value)| value);
             if value.is_none() && *version <= base {
                 continue;
@@ -226,14 +228,14 @@
     }
 }
 
-/// Bytes that a change takes in a message at most.
+/// Maximum bytes that a change takes in a message.
 pub fn change_size(key: &Key, value: Option<&[u8]>) -> usize {
     /// A version, two lengths and whether there is a value.
     const OVERHEAD_BYTES: usize = 10 + 2 + 2 + 1;
     OVERHEAD_BYTES + key.as_str().len() + value.map_or(0, <[u8]>::len)
 }
 
-/// A state as it is kept: what follows from the rest is left out.
+/// The serialized form of a state, without what can be computed from the rest.
 #[derive(Serialize, Deserialize)]
 struct SerializedState {
     scopes: Vec<SerializedScope>,
@@ -248,14 +250,14 @@
     removed: Vec<(Key, Version)>,
 }
 
-/// A kept state that no changes come to.
+/// A serialized state that no changes lead to.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum InvalidState {
-    /// A value is longer than any.
+    /// A value is too long.
     #[error(transparent)]
     InvalidEntry(#[from] InvalidEntry),
-    /// A scope, a key or a version stands where it cannot.
-    #[error("scopes, keys or versions do not fit together")]
+    /// A key is repeated, a scope is repeated, or a version is out of range.
+    #[error("a scope or a key is repeated, or a version is out of range")]
     Inconsistent,
 }
 
--- a/distribution/src/subscriber.rs
+++ b/distribution/src/subscriber.rs
@@ -1,4 +1,4 @@
-//! A border proxy's part: it holds the scopes that it uses, as one control machine at a time passes them on.
+//! The border proxy's part: it holds the scopes that it uses, received from one control machine at a time.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -22,93 +22,95 @@
 use crate::wire::{self, Changes, MAX_DATAGRAM_BYTES, MAX_MESSAGE_SCOPES, Message, Poll, Position};
 use crate::{Outgoing, Version};
 
-/// While a poll is unanswered or a transfer is under way, polls go out so many times a heartbeat. More costs
-/// bytes; less makes a lost packet cost more time.
+/// Polls per heartbeat while a poll is unanswered or a transfer is in progress. A larger value costs bytes; a
+/// smaller one makes a lost packet cost more time.
 const FAST_POLLS_PER_HEARTBEAT: f64 = 4.0;
-/// What came is acknowledged after up to this part of a heartbeat, so that the subscribers of a scope do not
-/// all do so at once.
+/// Maximum delay of an acknowledgement in heartbeats, drawn at random so that the subscribers of a scope do
+/// not all acknowledge at once.
 const ACKNOWLEDGE_HEARTBEATS: f64 = 1.0 / 8.0;
-/// The part by which a heartbeat is drawn shorter or longer, so that those of many do not fall together.
+/// Fraction by which a poll interval is drawn shorter or longer, so that the polls of many subscribers do not
+/// coincide.
 const POLL_JITTER_FRACTION: f64 = 0.1;
-/// Polls that are remembered until their answers come. A council that answers later than so many polls gives
-/// no age.
+/// Number of polls remembered until they are answered. A council that answers later than this many polls
+/// gives no age.
 const MAX_PENDING_POLLS: usize = 32;
-/// Answers on how far decisions were that wait for the scopes to get there.
+/// Number of freshness proofs kept until the scopes reach their index.
 const MAX_PENDING_FRESHNESS: usize = 16;
-/// Seals, councils and freshness proofs that are verified in a heartbeat: each costs up to four signature
-/// checks, and a control machine that lies must not keep a processor busy. A burst of changes needs one seal
-/// a change.
+/// Certificates, council proofs and freshness proofs verified per heartbeat: each costs up to four signature
+/// checks, and a faulty control machine must not keep a processor busy. A burst of changes needs one
+/// certificate per change.
 const VERIFICATIONS_PER_HEARTBEAT: f64 = 64.0;
-/// Datagrams that wait to be sent; past that the oldest are lost, as on the network.
+/// Maximum number of datagrams waiting to be sent; past that the oldest are dropped, as on the network.
 const MAX_OUTGOING: usize = 64;
-/// Bytes of a poll beside its scopes.
+/// Bytes of a poll without its scopes.
 const POLL_HEADER_BYTES: usize = 32;
 
-/// A control machine that answers but brings nothing new for so many heartbeats, while what is held grows older
-/// than that, is usually taken for gone. Less leaves one whose council elects a new leader; more costs age where
-/// a control machine lies.
+/// Usual lease in heartbeats: a control machine that answers but sends nothing new for this long, while the
+/// state held grows older than that, is taken for failed. A smaller value leaves a machine whose council
+/// elects a new leader; a larger one costs age with a faulty control machine.
 pub const LEASE_HEARTBEATS: f64 = 10.0;
-/// Bytes of the largest scope that is usually taken: 10,000 servers of a service, all of them drained, take a
-/// quarter of it. It bounds memory where a control machine sends without end.
+/// Usual limit for the size of a scope in bytes: 10,000 servers of a service, all of them drained, take a
+/// quarter of it. It bounds memory if a control machine sends without end.
 pub const MAX_SCOPE_BYTES: usize = 16 << 20;
 
-/// What is agreed for a subscriber.
+/// Configuration of a subscriber.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SubscriberTerms {
-    /// Its key's number.
+    /// Number of its key.
     pub id: Id,
     /// The region that it is in.
     pub region: u16,
     /// All control machines.
     pub controls: Vec<ControlMachine>,
-    /// The council's first members, by the settings.
+    /// The council's first members, from the settings.
     pub bootstrap_members: Vec<Id>,
-    /// How often it polls when nothing happens: milliseconds.
+    /// Interval between polls when nothing happens, in milliseconds.
     pub heartbeat: f64,
-    /// A control machine that brings nothing new for so long while the state is older than this is taken for
-    /// gone: milliseconds.
+    /// A control machine that sends nothing new for this long, while the state is older than this, is taken
+    /// for failed: milliseconds.
     pub lease: f64,
-    /// Bytes of the largest scope that is taken.
+    /// Maximum size of a scope in bytes.
     pub max_scope_bytes: usize,
 }
 
-/// What has happened so far.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SubscriberCounts {
-    /// Datagrams sent, and their bytes without what carries them.
+    /// Datagrams sent.
     pub sent: u64,
-    /// Bytes sent.
+    /// Bytes sent, without the packets around them.
     pub sent_bytes: u64,
     /// Datagrams from control machines.
     pub received: u64,
     /// Bytes received.
     pub received_bytes: u64,
-    /// Datagrams of no form, or of a version that is not known; changes that are not in order or too many.
+    /// Datagrams that could not be decoded, or of an unknown version; changes that are out of order or too
+    /// large.
     pub malformed: u64,
     /// Datagrams from others than control machines, and messages that only subscribers send.
     pub unexpected: u64,
-    /// Seals, councils, proofs and freshness whose signatures or paths do not fit.
+    /// Certificates, council proofs, scope proofs and freshness proofs with invalid signatures or paths.
     pub unverified: u64,
-    /// Messages left unread as too many signatures were to be verified.
+    /// Messages ignored because too many signatures were to be verified.
     pub rate_limited: u64,
-    /// Transfers that came to other content than the proved one.
+    /// Transfers whose content did not match the proof.
     pub mismatched: u64,
-    /// Times that another control machine was taken.
+    /// Switches to another control machine.
     pub switched: u64,
-    /// Times that a control machine said to come later.
+    /// Times that a control machine asked to poll again later.
     pub deferred: u64,
 }
 
-/// How a subscriber stands.
+/// Status of a subscriber.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SubscriberStatus {
-    /// The control machine that serves, and since when in milliseconds.
+    /// The control machine that serves, and for how long in milliseconds.
     pub control: (Id, f64),
-    /// Each scope: the index by which it is in force (0: it is not), and its age in milliseconds.
+    /// For each scope: the index by which it is in force (0 if it is not), and its age in milliseconds.
     pub scopes: BTreeMap<Scope, (Version, f64)>,
-    /// Since when the newest proved council votes.
+    /// The decision since which the newest proved council votes.
     pub council_since: Version,
-    /// What has happened so far.
+    /// Counters since the start.
     pub counts: SubscriberCounts,
 }
 
@@ -129,16 +131,17 @@
     nonces: NonceGenerator,
     rng: Pcg64Mcg,
     sent_polls: VecDeque<SentPoll>,
-    /// How far decisions were, and when the poll was sent that asked: newer than some scope.
+    /// Decided indexes from freshness proofs that some scope has not reached, with the time of the poll that
+    /// each proof answers.
     freshness: VecDeque<(Version, f64)>,
     verification_budget: TokenBucket,
     polled_at: f64,
     poll_at: f64,
-    /// When what came is to be acknowledged, if that is before the next poll.
+    /// When to acknowledge what arrived, if that is before the next poll.
     acknowledge_at: f64,
-    /// It was told to come later: no polls until then.
+    /// No polls until then, as a control machine requested.
     held_off_until: f64,
-    /// When something was last got from a control machine.
+    /// When something useful last arrived from a control machine.
     progress_at: f64,
     changed_scopes: BTreeSet<Scope>,
     unsaved: bool,
@@ -147,15 +150,15 @@
 }
 
 impl<K: Signer> Subscriber<K> {
-    /// A subscriber without any scope. `seed` must not be known to others: what a control machine can
-    /// foretell it could answer beforehand.
+    /// Creates a subscriber without scopes. `seed` must be secret: a control machine could answer in advance
+    /// what it can predict.
     pub fn new(terms: SubscriberTerms, keys: K, seed: u64, now: f64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let bootstrap_council = Council::bootstrap(terms.bootstrap_members.iter().copied());
         let (region, heartbeat) = (terms.region, terms.heartbeat);
         let placement = Placement::new(terms.id, region, &terms.controls, heartbeat, now, &mut rng);
         let verifications_per_second = VERIFICATIONS_PER_HEARTBEAT / heartbeat * 1000.0;
-        // Those that start together do not all come at once.
+        // Random, so that subscribers that start together do not all poll at once.
         let poll_at = now + 0.5 * heartbeat * rng.random::<f64>();
         Self {
             terms,
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Wants a scope from now on.
+    /// Subscribes to a scope.
     pub fn subscribe(&mut self, scope: Scope, now: f64) {
         if let Entry::Vacant(vacant) = self.scopes.entry(scope) {
             vacant.insert(ScopeStore::default());
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Wants a scope no more: nothing of it is held.
+    /// Unsubscribes from a scope and drops its content.
     pub fn unsubscribe(&mut self, scope: Scope) {
         if self.scopes.remove(&scope).is_some() {
             self.changed_scopes.remove(&scope);
@@ -196,34 +199,34 @@
         }
     }
 
-    /// Takes other keys: the roster has changed.
+    /// Replaces the keys after a change of the roster.
     pub fn rekey(&mut self, keys: K) {
         self.trust.rekey(keys);
     }
 
-    /// The scopes that it wants.
+    /// The subscribed scopes.
     pub fn scopes(&self) -> impl Iterator<Item = Scope> {
         self.scopes.keys().copied()
     }
 
-    /// What is in force of a scope; none before anything was proved.
+    /// The content in force of a scope; `None` before any was proved.
     pub fn content(&self, scope: Scope) -> Option<&Content> {
         self.scopes.get(&scope)?.verified().map(|verified| &verified.content)
     }
 
-    /// The index of the seal by which a scope is in force; 0 where nothing is. All decisions up to it are
-    /// obeyed here.
+    /// The index of the certificate by which a scope is in force; 0 if nothing is. All decisions up to it are
+    /// applied here.
     pub fn index(&self, scope: Scope) -> Version {
         self.scopes.get(&scope).map_or(0, ScopeStore::index)
     }
 
-    /// What it has of a scope, as its polls say.
+    /// The subscriber's position in a scope, as its polls report it.
     pub fn position(&self, scope: Scope) -> Option<Position> {
         self.scopes.get(&scope).map(ScopeStore::position)
     }
 
-    /// How old what is in force of a scope can be, in milliseconds; infinity before a voter's word came since
-    /// the start.
+    /// Upper bound for the age of a scope's content in milliseconds; infinity until the first freshness proof
+    /// since the start.
     pub fn age(&self, scope: Scope, now: f64) -> f64 {
         let since = self.scopes.get(&scope).and_then(ScopeStore::fresh_since);
         since.map_or(f64::INFINITY, |since| now - since)
@@ -234,7 +237,7 @@
         self.changed_scopes.pop_first()
     }
 
-    /// What is to be kept on the disk, where that has changed since it was last asked for.
+    /// The file to save, if it has changed since the last call.
     pub fn state_to_save(&mut self) -> Option<Vec<u8>> {
         std::mem::take(&mut self.unsaved).then(|| {
             let verified = self.scopes.iter().filter_map(|(scope, store)| Some((*scope, store.verified()?)));
@@ -242,7 +245,7 @@
         })
     }
 
-    /// Puts in force what was kept of the scopes that it wants, as far as it is proved. Its age is not known.
+    /// Puts in force what a saved file proves of the subscribed scopes. Its age is not known.
     pub fn restore(&mut self, bytes: &[u8]) -> Restored {
         let mut restored = Restored::default();
         let Some(saved) = SavedState::decode(bytes) else { return restored };
@@ -272,7 +275,7 @@
         restored
     }
 
-    /// A datagram came from a member, as its packet proves.
+    /// Handles a datagram from a member authenticated by its packet.
     pub fn receive(&mut self, now: f64, from: Id, bytes: &[u8]) {
         if !self.placement.order().contains(&from) {
             self.counts.unexpected += 1;
@@ -318,7 +321,7 @@
         }
     }
 
-    /// Tells one that it is no longer needed.
+    /// Tells a control machine that it is no longer needed.
     fn unsubscribe_from(&mut self, control: Id) {
         let scopes: Vec<Scope> = self.scopes.keys().copied().collect();
         for scopes in scopes.chunks(MAX_MESSAGE_SCOPES) {
@@ -346,7 +349,7 @@
         self.update_ages();
     }
 
-    /// What was decided by the time of a poll is known once it is in force.
+    /// Applies freshness proofs to the scopes that have reached their index.
     fn update_ages(&mut self) {
         for store in self.scopes.values_mut() {
             self.freshness.iter().for_each(|&(index, at)| store.record_freshness(index, at));
@@ -449,14 +452,14 @@
         self.progress_at = now;
     }
 
-    /// Says before long what it has.
+    /// Schedules a poll shortly, to acknowledge what arrived.
     fn schedule_acknowledgement(&mut self, now: f64) {
         let soon = ACKNOWLEDGE_HEARTBEATS * self.terms.heartbeat;
         let at = (now + soon * self.rng.random::<f64>()).max(self.polled_at + soon);
         self.acknowledge_at = self.acknowledge_at.min(at).max(self.held_off_until);
     }
 
-    /// Polls at the pace of what is unanswered.
+    /// Schedules the next poll at the fast rate.
     fn schedule_fast_poll(&mut self, now: f64) {
         let at = self.polled_at + self.terms.heartbeat / FAST_POLLS_PER_HEARTBEAT;
         self.poll_at = self.poll_at.min(at.max(now)).max(self.held_off_until);
@@ -472,7 +475,7 @@
         self.poll_at = self.poll_at.max(self.held_off_until);
     }
 
-    /// Time has passed.
+    /// One turn of the event loop.
     pub fn turn(&mut self, now: f64) {
         if now >= self.lease_expires_at() {
             self.progress_at = now;
@@ -492,7 +495,7 @@
         }
     }
 
-    /// When the control machine that serves is taken for gone, as it answers but brings nothing.
+    /// When the serving control machine is taken for failed because it answers but sends nothing new.
     fn lease_expires_at(&self) -> f64 {
         let oldest = |at: f64, of: &ScopeStore| at.min(of.fresh_since().unwrap_or(f64::NEG_INFINITY));
         let fresh = self.scopes.values().fold(f64::INFINITY, oldest);
@@ -511,7 +514,7 @@
         self.schedule_poll(true);
     }
 
-    /// Sets when the next poll is due, unless something is to be acknowledged before.
+    /// Schedules the next poll, unless an acknowledgement is due before.
     fn schedule_poll(&mut self, unanswered: bool) {
         let jitter = self.rng.random_range(1.0 - POLL_JITTER_FRACTION..1.0 + POLL_JITTER_FRACTION);
         let in_progress = unanswered || self.scopes.values().any(ScopeStore::is_in_progress);
@@ -541,17 +544,17 @@
         }
     }
 
-    /// When [`Subscriber::turn`] is to be called at the latest.
+    /// Time of the next turn.
     pub fn due(&self) -> f64 {
         self.poll_at.min(self.acknowledge_at).min(self.placement.due()).min(self.lease_expires_at())
     }
 
-    /// The next datagram to be sent.
+    /// The next datagram to send.
     pub fn outgoing(&mut self) -> Option<Outgoing> {
         self.outgoing.pop_front()
     }
 
-    /// How it stands.
+    /// Status for operators.
     pub fn status(&self, now: f64) -> SubscriberStatus {
         let (control, since) = self.placement.current();
         let scope = |(scope, store): (&Scope, &ScopeStore)| (*scope, (store.index(), self.age(*scope, now)));
@@ -564,11 +567,11 @@
     }
 }
 
-/// Positions in runs that each fit a datagram; one empty run where there are none.
+/// Splits positions into chunks that each fit a datagram; one empty chunk if there are none.
 fn split_into_datagrams(positions: Vec<(Scope, Position)>) -> Vec<Vec<(Scope, Position)>> {
     let (mut chunks, mut remaining_bytes) = (vec![Vec::new()], MAX_DATAGRAM_BYTES - POLL_HEADER_BYTES);
     for position in positions {
-        let size = postcard::experimental::serialized_size(&position).expect("plain data");
+        let size = postcard::experimental::serialized_size(&position).expect("plain data always serializes");
         let last = chunks.last_mut().expect("never empty");
         if size > remaining_bytes || last.len() == MAX_MESSAGE_SCOPES {
             remaining_bytes = MAX_DATAGRAM_BYTES - POLL_HEADER_BYTES;
--- a/distribution/src/token_bucket.rs
+++ b/distribution/src/token_bucket.rs
@@ -1,6 +1,6 @@
-//! A budget that fills up with time: a token bucket.
+//! A token bucket.
 
-/// So much a second may be used, and what was not used is kept for a while.
+/// A token bucket: tokens are added at a constant rate, up to a capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TokenBucket {
     tokens_per_second: f64,
@@ -10,7 +10,8 @@
 }
 
 impl TokenBucket {
-    /// A full one: `tokens_per_second` units come each second, up to `capacity`.
+    /// Creates a full bucket to which `tokens_per_second` are added, up to `capacity`. Times are in
+    /// milliseconds.
     pub fn new(tokens_per_second: f64, capacity: f64, now: f64) -> Self {
         Self { tokens_per_second, capacity, tokens: capacity, updated_at: now }
     }
@@ -21,24 +22,24 @@
             ((self.tokens + refill).min(self.capacity), self.updated_at.max(now));
     }
 
-    /// What may be used now; less than nothing where more was used than there was.
+    /// Tokens available now; negative if more were spent than there were.
     pub fn available(&mut self, now: f64) -> f64 {
         self.fill(now);
         self.tokens
     }
 
-    /// The part of the capacity that was left when it was last looked at.
+    /// The fraction of the capacity that was available at the last update.
     pub fn fraction_left(&self) -> f64 {
         self.tokens / self.capacity
     }
 
-    /// Uses so much, also where there is less: the rest comes off what is to come.
+    /// Spends tokens even if there are fewer; the debt is paid from later ones.
     pub fn spend(&mut self, now: f64, units: f64) {
         self.fill(now);
         self.tokens -= units;
     }
 
-    /// Uses so much if there is as much.
+    /// Spends tokens if there are enough; returns whether there were.
     pub fn try_spend(&mut self, now: f64, units: f64) -> bool {
         let enough = self.available(now) >= units;
         if enough {
@@ -47,7 +48,7 @@
         enough
     }
 
-    /// When there will be as much, as things stand.
+    /// When that many tokens will be available if none are spent, in milliseconds.
     pub fn available_at(&self, units: f64) -> f64 {
         let shortfall = units.min(self.capacity) - self.tokens;
         self.updated_at + shortfall.max(0.0) / self.tokens_per_second * 1000.0
--- a/distribution/src/trust.rs
+++ b/distribution/src/trust.rs
@@ -1,5 +1,5 @@
-//! What a subscriber believes, and why: councils from the founders on, each proved by the one before it, and
-//! the states that a majority of such a council signed.
+//! What a subscriber has verified: councils since the bootstrap members, each proved by the one before it,
+//! and the states that a majority of such a council signed.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,18 +14,19 @@
 use crate::scope::Scope;
 use crate::state::ScopeProof;
 
-/// Seals that are kept: proofs of scopes that come out of order still find theirs. More would cost memory
-/// only.
+/// Number of certificates kept, so that proofs of scopes that arrive out of order still find theirs. A larger
+/// value would only cost memory.
 const MAX_CERTIFICATES: usize = 8;
-/// Proofs of councils that are kept, at subscribers and at control machines: as many as [`agree`] keeps.
+/// Number of council proofs kept, at subscribers and at control machines: as many as [`agree`] keeps.
 pub const MAX_COUNCIL_PROOFS: usize = 64;
 
-/// A seal that several hold. Printed short: by its index and what begins the state's root.
+/// A certificate shared by several scopes. `Debug` prints only its index, its council and the start of the
+/// state root.
 #[derive(Clone, PartialEq, Eq)]
 pub struct SharedCertificate(Arc<Certificate>);
 
 impl SharedCertificate {
-    /// The index that it is of.
+    /// The certified index.
     pub fn index(&self) -> Version {
         self.0.statement.index
     }
@@ -52,28 +53,28 @@
     }
 }
 
-/// Why something was not believed.
+/// Why a certificate or a council was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VerificationError {
-    /// A majority's signatures are wanting.
+    /// The signatures of a majority are missing.
     Unsigned,
-    /// It is by a council that is not known (yet), or no longer the newest.
+    /// It is by a council that is not known (yet), or is no longer the newest.
     UnknownCouncil,
 }
 
-/// The newest council that is proved, and seals by it.
+/// The newest proved council, and the certificates that it signed.
 #[derive(Clone, Debug)]
 pub struct Trust<K> {
     keys: K,
     council: Council,
-    /// Since when it votes.
+    /// The decision since which the council votes.
     council_since: Version,
     council_proofs: Vec<CouncilProof>,
     certificates: BTreeMap<Version, SharedCertificate>,
 }
 
 impl<K: Signer> Trust<K> {
-    /// Believes the founders.
+    /// Starts with the bootstrap council.
     pub fn new(bootstrap_council: Council, keys: K) -> Self {
         Self {
             keys,
@@ -84,37 +85,37 @@
         }
     }
 
-    /// Who signs, and how that is verified.
+    /// The keys that verify signatures.
     pub fn keys(&self) -> &K {
         &self.keys
     }
 
-    /// Takes other keys in their place; what was verified stays so.
+    /// Replaces the keys; what was already verified stays so.
     pub fn rekey(&mut self, keys: K) {
         self.keys = keys;
     }
 
-    /// Since when the newest council votes that is proved.
+    /// The decision since which the newest proved council votes.
     pub fn council_since(&self) -> Version {
         self.council_since
     }
 
-    /// The proofs of all councils since the founders'.
+    /// Proofs of all councils since the bootstrap members.
     pub fn council_proofs(&self) -> &[CouncilProof] {
         &self.council_proofs
     }
 
-    /// Whether a link could be the next one.
+    /// Whether a proof could be of the next council.
     pub fn is_next(&self, council_proof: &CouncilProof) -> bool {
         council_proof.certificate.statement.version > self.council_since
             && self.council_proofs.len() < MAX_COUNCIL_PROOFS
     }
 
-    /// Goes on to the next council.
+    /// Advances to the next council.
     ///
     /// # Errors
     ///
-    /// [`VerificationError`] where a majority of the council before it does not prove it.
+    /// [`VerificationError`] if a majority of the current council does not prove it.
     pub fn advance_council(&mut self, council_proof: CouncilProof) -> Result<(), VerificationError> {
         if !self.is_next(&council_proof) {
             return Err(VerificationError::UnknownCouncil);
@@ -128,21 +129,21 @@
         Ok(())
     }
 
-    /// The newest sealed index.
+    /// The newest certified index.
     pub fn newest_index(&self) -> Version {
         self.certificates.last_key_value().map_or(0, |(index, _)| *index)
     }
 
-    /// Whether a seal of that index is known.
+    /// Whether a certificate of that index is known.
     pub fn has_certificate(&self, index: Version) -> bool {
         self.certificates.contains_key(&index)
     }
 
-    /// Takes a seal; the oldest of those that are kept make room.
+    /// Verifies and keeps a certificate; the oldest one is dropped if there are too many.
     ///
     /// # Errors
     ///
-    /// [`VerificationError`] where a majority of the newest council did not sign it.
+    /// [`VerificationError`] if a majority of the newest council did not sign it.
     pub fn add_certificate(
         &mut self,
         certificate: Certificate,
@@ -167,7 +168,7 @@
         Ok(certificate)
     }
 
-    /// The seal by which a proof of a scope holds.
+    /// The certificate by which a proof of a scope is valid.
     pub fn certificate_for(
         &self,
         scope: Scope,
@@ -178,7 +179,7 @@
         proof.verify(&certificate.statement.state_root, scope).is_ok().then(|| certificate.clone())
     }
 
-    /// Whether a voter of the newest council signed how far decisions were.
+    /// Whether a voter of the newest council signed the freshness proof.
     pub fn is_valid_freshness_proof(&self, proof: &FreshnessProof) -> bool {
         proof.is_valid(&self.council, &self.keys)
     }
--- a/distribution/src/wire.rs
+++ b/distribution/src/wire.rs
@@ -1,8 +1,8 @@
-//! The form of what subscribers and control machines say to each other, in postcard's compact encoding. Who
-//! says it is proved by the packet that carries it.
+//! The messages between subscribers and control machines, in postcard's compact encoding. The packet that
+//! carries a datagram authenticates its sender.
 //!
-//! A datagram holds a version byte and one message or more. [`encode`] and [`decode`] are the two ways; what is
-//! read has bounded keys, values and lists, and nothing else of it is checked.
+//! A datagram holds a version byte and one or more messages. [`encode`] and [`decode`] convert both ways;
+//! decoding checks the bounds of keys, values and lists, and nothing else.
 
 use agree::certificate::{Certificate, CouncilProof};
 use agree::council::MAX_VOTERS;
@@ -18,45 +18,45 @@
 use crate::scope::Scope;
 use crate::state::ScopeProof;
 
-/// The first byte of a datagram.
+/// First byte of a datagram.
 pub const VERSION: u8 = 1;
-/// Bytes of the longest datagram: with what the packet around it takes it is cut up on no path.
+/// Maximum length of a datagram in bytes: with the packet around it, it is not fragmented on any path.
 pub const MAX_DATAGRAM_BYTES: usize = 1000;
-/// Bytes of changes in one message: the longest change fits, and what stands beside them in the message
-/// (two places with keys of full length) still leaves it within a datagram.
+/// Maximum bytes of changes in one message: the longest change fits, and the other fields of the message (two
+/// cursors with keys of full length) still leave it within a datagram.
 pub const MAX_CHANGES_BYTES: usize = 640;
-/// Scopes in one message at most.
+/// Maximum number of scopes in one message.
 pub const MAX_MESSAGE_SCOPES: usize = 64;
 
-/// Where a transfer of a scope stands, for whoever goes on with it.
+/// Progress of a transfer of a scope, from which any control machine can continue.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Transfer {
     /// The version that it started from: removals after it must not be left out.
     pub base: Version,
-    /// The newest state that a part of it came from: an older control machine cannot go on with it.
+    /// The newest state that a part of it came from: an older control machine cannot continue it.
     pub source_version: Version,
-    /// Up to where the changes are there.
+    /// The position up to which changes have arrived.
     pub after: Cursor,
 }
 
 /// What a subscriber has of a scope.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Position {
-    /// The index of the seal by which what is in force was proved; 0 where nothing is.
+    /// The index of the certificate that proved what is in force; 0 if nothing is.
     pub in_force: Version,
-    /// What has come of newer content that is not in force yet.
+    /// What has arrived of newer content that is not in force yet.
     pub transfer: Option<Transfer>,
 }
 
-/// From a subscriber: it is there, acknowledges what it has and asks for what follows. Scopes that do not fit
-/// go in further polls.
+/// A subscriber's poll: it is present, acknowledges what it has and requests what follows. Scopes that do not
+/// fit go in further polls.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Poll {
-    /// Drawn anew for each poll.
+    /// Unique to each poll.
     pub nonce: u64,
-    /// Since when the newest council votes whose proof the subscriber has.
+    /// The decision since which the newest council votes whose proof the subscriber has.
     pub council_since: Version,
-    /// Some of its scopes, with what it has of each.
+    /// Some of its scopes, with its position in each.
     pub scopes: Vec<(Scope, Position)>,
 }
 
@@ -65,32 +65,32 @@
 pub struct KeyChange {
     /// The decision that changed it.
     pub version: Version,
-    /// Which entry.
+    /// The key that changed.
     pub key: Key,
-    /// Its value; none where it was removed.
+    /// The value; `None` if the entry was removed.
     pub value: Option<Vec<u8>>,
 }
 
 /// A run of changes of a scope, in the order of version and key. A snapshot is such a run from the beginning,
-/// so what changes while it is read follows by itself.
+/// so what changes while it is read follows later in the run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Changes {
     /// The scope.
     pub scope: Scope,
     /// Removals up to this version are left out.
     pub base: Version,
-    /// The state that they are read from.
+    /// The state that the changes were read from.
     pub source_version: Version,
-    /// They follow this place without a gap.
+    /// The cursor that the changes follow without a gap.
     pub after: Cursor,
     /// The changes.
     pub changes: Vec<KeyChange>,
-    /// Whether nothing follows in the state that they are read from.
+    /// Whether nothing follows in the state that the changes were read from.
     pub complete: bool,
 }
 
 impl Changes {
-    /// Up to where the scope's changes are known with them.
+    /// The position after these changes.
     pub fn end(&self) -> Cursor {
         let last = self.changes.last();
         match last {
@@ -101,7 +101,7 @@
     }
 }
 
-/// A message either way.
+/// A message in either direction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// From a subscriber: see [`Poll`].
@@ -113,38 +113,38 @@
     },
     /// From a control machine: the answer to a poll.
     Alive {
-        /// The poll's.
+        /// The poll's nonce.
         nonce: u64,
-        /// The sealed index that the control machine serves.
+        /// The certified index that the control machine serves.
         index: Version,
     },
-    /// From a control machine: a voter's word on how far decisions were after a poll was sent.
+    /// From a control machine: a voter's statement of how far decisions were after a poll was sent.
     Freshness {
         /// The poll's nonce.
         nonce: u64,
-        /// The way from the poll's nonce to the one that the voter was asked with.
+        /// The path from the poll's nonce to the one that was sent to the voter.
         path: BatchPath,
-        /// What the voter signed.
+        /// The statement that the voter signed.
         proof: FreshnessProof,
     },
     /// From a control machine: changes of a scope.
     Changes(Changes),
-    /// From a control machine: what the sealed state at an index says of a scope.
+    /// From a control machine: proof of a scope in the certified state at an index.
     Proof {
         /// The scope.
         scope: Scope,
-        /// The index of the seal.
+        /// The index of the certificate.
         index: Version,
-        /// The way to the state's root.
+        /// The path to the state's root.
         proof: ScopeProof,
     },
     /// From a control machine: a majority's signatures on the state at an index.
     Certificate(Certificate),
     /// From a control machine: the proof of the council that follows the one that the subscriber knows.
     CouncilProof(CouncilProof),
-    /// From a control machine that is full: poll again after so many milliseconds.
+    /// From a control machine that is full: poll again after a delay.
     RetryLater {
-        /// Milliseconds.
+        /// Delay in milliseconds.
         after_ms: u32,
     },
 }
@@ -153,24 +153,25 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
     /// It is longer than [`MAX_DATAGRAM_BYTES`].
-    #[error("longer than any datagram")]
+    #[error("the datagram has more than {MAX_DATAGRAM_BYTES} bytes")]
     Oversized,
     /// Its version is not known.
-    #[error("field version: not known")]
+    #[error("the version is unknown, wanted is {VERSION}")]
     Version,
-    /// It cannot be read, or nothing is in it.
-    #[error("not of its form")]
+    /// It cannot be decoded, or holds no message.
+    #[error("the datagram cannot be decoded or is empty")]
     Form,
-    /// A list or a value in it is longer than any.
-    #[error("a list or a value is longer than any")]
+    /// A list or a value in it is longer than allowed.
+    #[error("a list or a value is too long")]
     Bounds,
 }
 
-/// Puts messages into datagrams in their order, as many into each as fit. One that fits none is left out.
+/// Encodes messages into datagrams in their order, as many into each as fit. A message that fits none is left
+/// out.
 pub fn encode(messages: &[Message]) -> Vec<Vec<u8>> {
     let mut datagrams: Vec<Vec<u8>> = Vec::new();
     for message in messages {
-        let bytes = postcard::to_stdvec(message).expect("plain data");
+        let bytes = postcard::to_stdvec(message).expect("plain data always serializes");
         if bytes.len() + 1 > MAX_DATAGRAM_BYTES {
             continue;
         }
@@ -182,11 +183,11 @@
     datagrams
 }
 
-/// The messages of a datagram.
+/// Decodes the messages of a datagram.
 ///
 /// # Errors
 ///
-/// [`DecodeError`] where any part of it is not as it must be; nothing of it is used then.
+/// [`DecodeError`] if any part of it is invalid; nothing of it is used then.
 pub fn decode(bytes: &[u8]) -> Result<Vec<Message>, DecodeError> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DecodeError::Oversized);
--- a/distribution/tests/cluster/council.rs
+++ b/distribution/tests/cluster/council.rs
@@ -1,4 +1,4 @@
-//! What stands in for the council: it decides at once, and a majority of it signs every index.
+//! A test council that decides at once, and whose majority signs every index.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -8,10 +8,10 @@
 use agree::{Id, Voter};
 use distribution::{Change, Key, Scope, ScopedState, Version};
 
-/// Voters have numbers from here on.
+/// The first voter's id.
 const VOTERS: Id = 50;
 
-/// Signatures that cost little: nobody here forges any.
+/// Keys with cheap signatures, which are not secure: no test forges them.
 #[derive(Clone, Debug)]
 pub struct Keys(pub Id);
 
@@ -86,7 +86,7 @@
         let version = self.index() + 1;
         let mut state = self.newest().state.clone();
         let change = |&(scope, key, value): &(Scope, &str, Option<&[u8]>)| {
-            let (key, value) = (Key::new(key).expect("fit"), value.map(<[u8]>::to_vec));
+            let (key, value) = (Key::new(key).expect("a valid key"), value.map(<[u8]>::to_vec));
             Change { scope, key, version, value }
         };
         let changes: Vec<Change> = changes.iter().map(change).collect();
@@ -97,7 +97,7 @@
         version
     }
 
-    /// Another voter comes in.
+    /// Adds another voter to the council.
     pub fn elect(&mut self, now: f64) -> Version {
         let previous = self.voters.clone();
         self.voters = previous.with(Voter { id: 90 + self.index(), disk_id: 0 });
@@ -147,7 +147,7 @@
         self.newest().state.summary(scope).version
     }
 
-    /// How far decisions were before a time.
+    /// The newest index decided before a time.
     pub fn decided_by(&self, time: f64) -> Version {
         self.decisions
             .iter()
@@ -155,7 +155,7 @@
             .map_or(0, |index| index as Version)
     }
 
-    /// A voter's answer, given now.
+    /// A voter's freshness proof for the current index.
     pub fn freshness_proof(&self, nonce: Nonce) -> FreshnessProof {
         let signer = self.voters.ids().next().expect("a voter");
         FreshnessProof::sign(signer, nonce, self.index(), &Keys(signer))
--- a/distribution/tests/cluster/mod.rs
+++ b/distribution/tests/cluster/mod.rs
@@ -1,6 +1,6 @@
-//! A council, control machines and subscribers on one virtual clock, and what is checked of each subscriber
-//! at every step: no scope goes back a version within a process, what is in force is what was decided at the
-//! index that it is in force by, and nothing that its age covers is missing.
+//! A council, control machines and subscribers on one virtual clock. At every step each subscriber is
+//! checked: no scope goes back a version within a process, what is in force is what was decided at its index,
+//! and nothing that its age covers is missing.
 
 #![allow(dead_code)]
 
@@ -18,14 +18,14 @@
 pub const HEARTBEAT: f64 = 1000.0;
 pub const LEASE: f64 = 10_000.0;
 pub const STEP: f64 = 5.0;
-/// Within which a change is to be in force everywhere.
+/// Time within which a change has to be in force everywhere, in milliseconds.
 pub const IN_FORCE_WITHIN: f64 = 4_000.0;
-/// Bytes of the packet around each datagram, as the bounds count them.
+/// Bytes of the packet around each datagram, which count against the limits.
 const PACKET_OVERHEAD_BYTES: usize = 120;
-/// Until the council has answered how far decisions are.
+/// Time that the council takes to answer with a freshness proof, in milliseconds.
 const FRESHNESS_DELAY: f64 = 30.0;
 pub const COUNCIL: NodeIndex = 0;
-/// The places of subscribers begin here.
+/// First node index of the subscribers.
 pub const SUBSCRIBERS: NodeIndex = 100;
 pub const REGION: u16 = 1;
 
@@ -51,30 +51,30 @@
     }
 }
 
-/// A control machine, and what it follows.
+/// A control machine, and how it follows the council.
 pub struct Machine {
     pub control: Option<Control>,
-    /// How far it has followed the council.
+    /// The index up to which it has followed the council.
     pub followed: Version,
-    /// It follows no further than this.
+    /// It follows no further than this index.
     pub follows_until: Version,
     pub region: u16,
-    /// Bytes sent, and the most of a second.
+    /// The current second and the bytes sent in it.
     pub current_second: (u64, u64),
     pub max_bytes_per_second: u64,
     pub max_snapshots: usize,
 }
 
-/// A border proxy's part.
+/// A border proxy's subscriber.
 pub struct Proxy {
     pub subscriber: Option<Subscriber<Keys>>,
     pub scopes: BTreeSet<Scope>,
     pub disk: Vec<u8>,
-    /// What is in force is written to the disk as soon as it is.
+    /// Whether what is in force is written to the disk at once.
     pub persists: bool,
     pub region: u16,
     in_force: BTreeMap<Scope, Version>,
-    /// When each version came in force first.
+    /// When each version first came in force.
     pub reached: BTreeMap<(Scope, Version), f64>,
     pub current_second: (u64, u64),
     pub max_bytes_per_second: u64,
@@ -88,16 +88,16 @@
     pub proxies: Vec<Proxy>,
     pub links: Links<Vec<u8>>,
     pub terms: ControlTerms,
-    /// No voter leads: nobody is told how far decisions are.
+    /// No voter leads: no freshness proofs are given.
     pub leaderless: bool,
-    /// All control machines are honest: no transfer comes to other content than the proved one.
+    /// All control machines are honest: the content of every transfer matches its proof.
     pub honest: bool,
     freshness_proofs: VecDeque<(f64, NodeIndex, FreshnessProof)>,
     next_seed: u64,
 }
 
 impl Cluster {
-    /// So many control machines in one region.
+    /// A cluster with control machines in one region and no subscribers.
     pub fn new(machines: usize, seed: u64) -> Self {
         let council = Council::new(3);
         let mut cluster = Self {
@@ -136,13 +136,13 @@
         self.start_machine(self.machines.len() - 1);
     }
 
-    /// Starts a control machine from what the council has decided by now.
+    /// Starts a control machine from the newest decided state.
     pub fn start_machine(&mut self, number: usize) {
         let newest = self.council.index();
         self.start_machine_from(number, newest);
     }
 
-    /// Starts a control machine from the state of an earlier index, as an old disk gives it.
+    /// Starts a control machine from the state of an earlier index, as after a restart from an old disk.
     pub fn start_machine_from(&mut self, number: usize, index: Version) {
         let (seed, now) = (self.seed(), self.now);
         let mut control = Control::new(self.terms.clone(), seed, now);
@@ -159,7 +159,7 @@
         machines.map(|(n, of)| ControlMachine { id: control_id(n), region: of.region }).collect()
     }
 
-    /// A subscriber of some scopes, with an empty disk.
+    /// Adds a subscriber of some scopes, with an empty disk.
     pub fn add_proxy(&mut self, scopes: &[Scope]) -> usize {
         self.proxies.push(Proxy {
             subscriber: None,
@@ -205,25 +205,25 @@
     pub fn subscribe(&mut self, number: usize, scope: Scope) {
         let proxy = &mut self.proxies[number];
         proxy.scopes.insert(scope);
-        proxy.subscriber.as_mut().expect("runs").subscribe(scope, self.now);
+        proxy.subscriber.as_mut().expect("running").subscribe(scope, self.now);
     }
 
     pub fn unsubscribe(&mut self, number: usize, scope: Scope) {
         let proxy = &mut self.proxies[number];
         proxy.scopes.remove(&scope);
         proxy.in_force.remove(&scope);
-        proxy.subscriber.as_mut().expect("runs").unsubscribe(scope);
+        proxy.subscriber.as_mut().expect("running").unsubscribe(scope);
     }
 
     pub fn subscriber(&self, number: usize) -> &Subscriber<Keys> {
-        self.proxies[number].subscriber.as_ref().expect("runs")
+        self.proxies[number].subscriber.as_ref().expect("running")
     }
 
     pub fn control(&self, number: usize) -> &Control {
-        self.machines[number].control.as_ref().expect("runs")
+        self.machines[number].control.as_ref().expect("running")
     }
 
-    /// Decides; gives the index.
+    /// Decides changes and returns their index.
     pub fn decide(&mut self, changes: &[(Scope, &str, Option<&[u8]>)]) -> Version {
         self.council.decide(self.now, changes)
     }
@@ -232,7 +232,7 @@
         self.decide(&[(scope, key, Some(value))])
     }
 
-    /// Lets so many milliseconds pass.
+    /// Runs for a time in milliseconds.
     pub fn run(&mut self, time: f64) {
         let until = self.now + time;
         while self.now < until {
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Until all subscribers that run have all of their scopes in force as they were decided; gives how long
+    /// Runs until all running subscribers have the newest version of their scopes in force; returns how long
     /// it took.
     pub fn run_until_converged(&mut self, max_time: f64) -> f64 {
         let started_at = self.now;
@@ -252,7 +252,7 @@
         self.now - started_at
     }
 
-    /// Who lacks the newest version of a scope: the subscriber, the scope, and what it has.
+    /// Subscribers that are missing the newest version of a scope: subscriber, scope, and index in force.
     pub fn missing(&self) -> Vec<(usize, Scope, Version)> {
         let running =
             self.proxies.iter().enumerate().filter_map(|(n, of)| Some((n, of.subscriber.as_ref()?)));
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Control machines hear of what is decided, unless they are cut off.
+    /// Control machines follow the council unless they are cut off.
     fn follow(&mut self) {
         for (number, machine) in self.machines.iter_mut().enumerate() {
             let cut = self.links.is_cut(COUNCIL, node_index(control_id(number)));
@@ -353,7 +353,7 @@
 
     fn handle_updates(&mut self, number: usize) {
         let (now, proxy) = (self.now, &mut self.proxies[number]);
-        let subscriber = proxy.subscriber.as_mut().expect("runs");
+        let subscriber = proxy.subscriber.as_mut().expect("running");
         let mut sent = 0;
         while let Some(out) = subscriber.outgoing() {
             sent += out.bytes.len() + PACKET_OVERHEAD_BYTES;
@@ -371,7 +371,7 @@
 
     fn check_invariants(&mut self, number: usize) {
         let (now, proxy) = (self.now, &mut self.proxies[number]);
-        let subscriber = proxy.subscriber.as_ref().expect("runs");
+        let subscriber = proxy.subscriber.as_ref().expect("running");
         for scope in subscriber.scopes() {
             let index = subscriber.index(scope);
             let before = proxy.in_force.insert(scope, index).unwrap_or(0);
@@ -390,7 +390,7 @@
                 "{counts:?}"
             );
             let covered = self.council.decided_by(now - subscriber.age(scope, now));
-            assert!(covered <= index, "proxy {number}: {scope} at {index} claims to know {covered}");
+            assert!(covered <= index, "proxy {number}: {scope} at {index} claims to cover {covered}");
         }
     }
 }
@@ -402,7 +402,7 @@
     }
 }
 
-/// Counts bytes by the second.
+/// Adds bytes to the current second, and updates the maximum of any second.
 fn record_bytes(current_second: &mut (u64, u64), max: &mut u64, now: f64, bytes: u64) {
     let current = (now / 1000.0) as u64;
     if current_second.0 != current {
--- a/distribution/tests/many_subscribers.rs
+++ b/distribution/tests/many_subscribers.rs
@@ -1,4 +1,4 @@
-//! Many subscribers at once: admission, budgets, and a control machine that is full.
+//! Many subscribers at once: admission, byte budgets, and a control machine that is full.
 
 mod cluster;
 
@@ -11,7 +11,7 @@
     Scope::Service((number / 25) as u32)
 }
 
-/// One control machine with a zone's subscribers, none of which has started; each service has some entries.
+/// One control machine with a zone's subscribers, all of them stopped; each service has some entries.
 fn zone_cluster(subscribers: usize) -> Cluster {
     let mut cluster = Cluster::new(1, 1);
     let services: Vec<Scope> = (0..subscribers).step_by(25).map(service).collect();
@@ -59,7 +59,7 @@
         (0..2100).for_each(|number| cluster.kill_proxy(number));
         cluster.set(Scope::All, "limit", &[2; 20]);
         cluster.run(12.0 * HEARTBEAT);
-        assert_eq!(cluster.control(0).status().subscribers, 0, "those that are gone are forgotten");
+        assert_eq!(cluster.control(0).status().subscribers, 0, "stopped subscribers are removed");
     }
     let before = cluster.control(0).status().counts;
     (0..2100).for_each(|number| cluster.start_proxy(number));
@@ -67,10 +67,10 @@
     let status = cluster.control(0).status();
     let sent = status.counts.sent_bytes - before.sent_bytes;
     let deferred = status.counts.deferred - before.deferred;
-    println!("{took} ms, {sent} bytes sent, {deferred} told to come later");
+    println!("{took} ms, {sent} bytes sent, {deferred} deferred");
     assert_bounds(&cluster);
     assert_eq!(status.subscribers, 2100);
-    assert_eq!(deferred > 0, !disks, "snapshots are admitted, what is on disks needs none");
+    assert_eq!(deferred > 0, !disks, "snapshots need a slot, saved state needs none");
 }
 
 #[test]
@@ -121,7 +121,7 @@
         let newest = cluster.council.scope_version(Scope::All);
         let slow = (0..20).filter(|&number| cluster.subscriber(number).index(Scope::All) < newest).count();
         assert_eq!(slow, 0, "round {round}");
-        assert_eq!(cluster.subscriber(15).index(Scope::Service(1)), 0, "still reading");
+        assert_eq!(cluster.subscriber(15).index(Scope::Service(1)), 0, "it is still reading");
     }
     cluster.run_until_converged(30.0 * HEARTBEAT);
     assert_bounds(&cluster);
--- a/distribution/tests/operators.rs
+++ b/distribution/tests/operators.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of changes: what subscribers say, and no more.
+//! What operators are shown of changes: what subscribers report, and nothing more.
 
 mod cluster;
 
@@ -44,7 +44,7 @@
         expected.contains(&shown.longest_missing[0].since_ms) && expected.contains(&shown.since_ms),
         "{shown:?}"
     );
-    assert!(shown.longest_missing[0].silent_ms > 2.0 * HEARTBEAT, "and that it is gone: {shown:?}");
+    assert!(shown.longest_missing[0].silent_ms > 2.0 * HEARTBEAT, "it is shown as silent: {shown:?}");
     assert!(changes[0].removed, "the newest first");
     cluster.links.heal();
     cluster.run(IN_FORCE_WITHIN);
@@ -57,20 +57,24 @@
     let faulty_subscriber = subscriber_id(70);
     let send_poll = |cluster: &mut Cluster, in_force| {
         let now = cluster.now;
-        let control: &mut Control = cluster.machines[0].control.as_mut().expect("runs");
+        let control: &mut Control = cluster.machines[0].control.as_mut().expect("running");
         control.receive(now, faulty_subscriber, &poll(in_force));
     };
-    // It says that it has all there will ever be.
+    // It claims to have everything that will ever be decided.
     send_poll(&mut cluster, Version::MAX);
     let version = cluster.set(SERVICE, "b", b"2");
     cluster.run_until_converged(IN_FORCE_WITHIN);
     cluster.run(HEARTBEAT);
     let shown = cluster.control(0).changes(cluster.now).remove(0);
     assert_eq!(shown.version, version);
-    assert_eq!((shown.acknowledged, shown.missing), (5, 1), "nobody acknowledges what was not sealed yet");
+    assert_eq!(
+        (shown.acknowledged, shown.missing),
+        (5, 1),
+        "a position that is not certified yet acknowledges nothing"
+    );
     assert_eq!(shown.longest_missing[0].id, faulty_subscriber);
     assert!(cluster.control(0).status().counts.ahead > 0);
     send_poll(&mut cluster, version);
     let shown = cluster.control(0).changes(cluster.now).remove(0);
-    assert_eq!((shown.acknowledged, shown.missing), (6, 0), "it is believed to say so, and no more is shown");
+    assert_eq!((shown.acknowledged, shown.missing), (6, 0), "its report is shown, and nothing more");
 }
--- a/distribution/tests/scenarios.rs
+++ b/distribution/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Stories of control machines and subscribers: the ordinary way, losses, deaths, cuts, and the hard cases.
+//! Scenarios of control machines and subscribers: normal operation, loss, failures, partitions, restarts.
 
 mod cluster;
 
@@ -9,7 +9,7 @@
 const SERVICE: Scope = Scope::Service(7);
 const OTHER: Scope = Scope::Service(8);
 
-/// Subscribers of a service and of everything, with some entries in force.
+/// A cluster whose subscribers of a service and of everything have some entries in force.
 fn converged(machines: usize, proxies: usize, seed: u64) -> Cluster {
     let mut cluster = Cluster::new(machines, seed);
     cluster.set(SERVICE, "a", b"1");
@@ -43,7 +43,7 @@
     println!("{took} ms");
 }
 
-/// A change a key, in the time given.
+/// Changes one key after the other, spread evenly over the time.
 fn burst(cluster: &mut Cluster, changes: std::ops::Range<usize>, time: f64) {
     let pause = time / changes.len() as f64;
     for change in changes {
@@ -99,7 +99,7 @@
     cluster.run(HEARTBEAT);
     cluster.links.loss = loss;
     cluster.start_proxy(0);
-    assert!(cluster.subscriber(0).index(SERVICE) > 0, "it goes on by what its disk holds");
+    assert!(cluster.subscriber(0).index(SERVICE) > 0, "it starts from its saved state");
     let mut snapshots = 0;
     for round in 0..60 {
         cluster.run(100.0);
@@ -107,7 +107,7 @@
         cluster.set(SERVICE, &format!("n{round}"), &[3; 20]);
         snapshots = snapshots.max(cluster.control(0).status().snapshots);
     }
-    assert_eq!(snapshots, 1, "one reads from the beginning, the other goes on");
+    assert_eq!(snapshots, 1, "only the restarted one reads a snapshot");
     cluster.run_until_converged(5.0 * IN_FORCE_WITHIN);
     assert_eq!(cluster.subscriber(0).content(SERVICE), cluster.subscriber(1).content(SERVICE));
 }
@@ -119,18 +119,18 @@
     cluster.machines[1].follows_until = cluster.council.index();
     burst(&mut cluster, 0..10, 1000.0);
     cluster.run(HEARTBEAT);
-    // Those of the older one have not heard, the others have.
+    // Subscribers of the older machine have not got the changes, the others have.
     let before: Vec<u64> = (0..40).map(|n| cluster.subscriber(n).index(SERVICE)).collect();
     assert!(before.iter().any(|&index| index == cluster.council.index()), "{before:?}");
     assert!(before.iter().any(|&index| index < cluster.council.index()), "{before:?}");
     cluster.kill_machine(0);
-    // World::check sees every version at every step.
+    // Cluster::check_invariants checks every version at every step.
     cluster.run(10.0 * HEARTBEAT);
     let after: Vec<u64> = (0..40).map(|n| cluster.subscriber(n).index(SERVICE)).collect();
-    assert_eq!(after, before, "the older one has nothing for them");
+    assert_eq!(after, before, "the older control machine has nothing newer");
     let aged = ages(&cluster, SERVICE).into_iter().zip(&after);
     let mut behind = aged.filter(|(_, index)| **index < cluster.council.index());
-    assert!(behind.all(|(age, _)| age >= 10.0 * HEARTBEAT), "what is withheld shows as age");
+    assert!(behind.all(|(age, _)| age >= 10.0 * HEARTBEAT), "missing changes show as age");
     cluster.machines[1].follows_until = u64::MAX;
     cluster.run_until_converged(IN_FORCE_WITHIN);
 }
@@ -165,7 +165,7 @@
     cluster.unsubscribe(3, OTHER);
     cluster.links.heal();
     cluster.run(12.0 * HEARTBEAT);
-    assert_eq!(cluster.subscriber(3).content(OTHER), None, "nothing of it is kept");
+    assert_eq!(cluster.subscriber(3).content(OTHER), None, "its content is dropped");
     let sessions = (0..2).map(|n| cluster.control(n).status().subscribers).sum::<usize>();
     assert_eq!(sessions, 10);
 }
@@ -183,7 +183,7 @@
     cluster.run(5.0 * HEARTBEAT);
     let newest = cluster.council.index();
     assert!((0..20).all(|n| cluster.subscriber(n).index(SERVICE) == newest));
-    assert!(cluster.control(0).status().counts.ahead > 0, "it sees that others know more");
+    assert!(cluster.control(0).status().counts.ahead > 0, "it detects that its subscribers are ahead");
     cluster.machines[0].follows_until = u64::MAX;
     cluster.set(SERVICE, "new", b"1");
     cluster.run_until_converged(IN_FORCE_WITHIN);
@@ -211,14 +211,14 @@
         cluster.set(SERVICE, &format!("k{}", round % 20), &[round; 30]);
         cluster.run(20.0);
     }
-    // The hour, shortened: some leases.
+    // A long partition, shortened to several leases.
     cluster.run(60.0 * HEARTBEAT);
     let newest = cluster.council.index();
     assert!((0..20).all(|n| cluster.subscriber(n).index(SERVICE) == newest));
-    assert!((20..40).all(|n| cluster.subscriber(n).index(SERVICE) == 1), "it goes on by its last state");
+    assert!((20..40).all(|n| cluster.subscriber(n).index(SERVICE) == 1), "it keeps its last state");
     let aged = &ages(&cluster, SERVICE)[20..];
     assert!(aged.iter().all(|&age| age >= cluster.now - cut_at - HEARTBEAT), "{aged:?}");
-    // Restarts from the disk, without any control machine that knows more.
+    // Restarts from the disk, with no control machine reachable that has anything newer.
     cluster.kill_proxy(25);
     cluster.start_proxy(25);
     assert_eq!(cluster.subscriber(25).index(SERVICE), 1);
@@ -248,7 +248,7 @@
     }
     assert_eq!(cluster.subscriber(never).content(OTHER).map(|content| content.len()), Some(0));
     let age = cluster.subscriber(never).age(OTHER, cluster.now);
-    assert!(age <= 2.0 * HEARTBEAT, "that there is nothing is known to be new: {age}");
+    assert!(age <= 2.0 * HEARTBEAT, "the emptiness of the scope is fresh: {age}");
     cluster.set(SERVICE, "back", b"4");
     cluster.run_until_converged(IN_FORCE_WITHIN);
 }
@@ -303,7 +303,7 @@
         }
         cluster.proxies[0].disk = newest[..at].to_vec();
         cluster.start_proxy(0);
-        assert_eq!(cluster.subscriber(0).index(SERVICE), 0, "cut at {at}");
+        assert_eq!(cluster.subscriber(0).index(SERVICE), 0, "truncated at {at}");
     }
 }
 
@@ -316,7 +316,7 @@
         (0..150).filter(at).count()
     };
     let before: Vec<usize> = (0..3).map(|n| served(&cluster, n)).collect();
-    assert!(before.iter().all(|&n| n >= 30), "spread over all: {before:?}");
+    assert!(before.iter().all(|&n| n >= 30), "spread over all machines: {before:?}");
     cluster.kill_machine(0);
     cluster.run(4.0 * HEARTBEAT);
     let shared: Vec<usize> = (0..3).map(|n| served(&cluster, n)).collect();
@@ -328,7 +328,11 @@
         cluster.run(HEARTBEAT);
         max = max.max(served(&cluster, 0) - then);
     }
-    assert_eq!((0..3).map(|n| served(&cluster, n)).collect::<Vec<_>>(), before, "rendezvous hashing");
+    assert_eq!(
+        (0..3).map(|n| served(&cluster, n)).collect::<Vec<_>>(),
+        before,
+        "rendezvous hashing restores the distribution"
+    );
     println!("{max} of {} in a heartbeat at the most", before[0]);
     assert!(max * 5 <= before[0], "{max}");
 }
--- a/distribution/tests/search.rs
+++ b/distribution/tests/search.rs
@@ -1,7 +1,7 @@
-//! All orders of a few steps of one control machine and two subscribers of one scope with two keys: something
-//! is decided, followed, delivered, overtaken, lost, delivered twice; time passes; any of them starts again,
-//! from its disk or an older copy of it. Whatever the order, no subscriber goes back a version or skips one,
-//! none claims to know more than it does, and once links are whole all reach the newest.
+//! Exhaustive search over the orders of a few steps of one control machine and two subscribers of one scope
+//! with two keys: decisions, following them, delivery, reordering, loss, duplication, passing time, and
+//! restarts from the disk or from an older copy of it. In every order no subscriber goes back a version or
+//! skips one, none reports a lower age than it has, and once links work all reach the newest version.
 
 #[path = "cluster/council.rs"]
 #[allow(dead_code)]
@@ -21,36 +21,36 @@
 
 const SCOPE: Scope = Scope::Service(7);
 const HEARTBEAT: f64 = 1000.0;
-/// What one step of time lets pass: polls are repeated as often.
+/// Time that passes in one step, in milliseconds; polls are repeated at this interval.
 const TIME_STEP: f64 = HEARTBEAT / 4.0;
-/// Steps of time within which all reach the newest once links are whole.
+/// Steps of time within which all reach the newest version once links work.
 const MAX_CONVERGE_STEPS: usize = 24;
 const CONTROL: usize = 0;
 const SUBSCRIBERS: [usize; 2] = [1, 2];
 /// Datagrams that wait on a link; older ones are lost.
 const MAX_WAITING: usize = 3;
-/// A value that fills most of a datagram, so that a transfer takes several.
+/// Length of a value, which fills most of a datagram so that a transfer takes several.
 const VALUE_BYTES: usize = 390;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// The next of [`SCRIPT`] is decided and signed.
+    /// Decides and signs the next change of [`SCRIPT`].
     Decide,
-    /// The control machine hears of all that is decided.
+    /// The control machine follows all decisions.
     Follow,
     Deliver(usize, usize),
-    /// The second on a link comes before the first.
+    /// Delivers the second datagram on a link before the first.
     Reorder(usize, usize),
     Lose(usize, usize),
     Duplicate(usize, usize),
-    /// A quarter of a heartbeat passes, and everybody does what is due.
+    /// A quarter of a heartbeat passes, and every node takes its turn if it is due.
     Time,
     Restart(usize),
     /// From a copy of the disk that is one write older; the control machine from the first state.
     RestartOld(usize),
 }
 
-/// What is decided one after the other: a key, and whether it gets a value or is removed.
+/// Changes decided one after the other: a key, and whether it is set or removed.
 const SCRIPT: [(&str, bool); 5] = [("b", true), ("a", true), ("b", false), ("a", false), ("b", true)];
 
 #[derive(Clone)]
@@ -58,10 +58,10 @@
     now: f64,
     council: Council,
     control: Control,
-    /// How far the control machine has followed.
+    /// The index up to which the control machine has followed the council.
     followed: Version,
     subscribers: Vec<Subscriber<Keys>>,
-    /// What each subscriber's disk holds, and held before the last write.
+    /// What each subscriber's disk holds, and what it held before the last write.
     disks: Vec<(Vec<u8>, Vec<u8>)>,
     in_force: Vec<Version>,
     links: BTreeMap<(usize, usize), VecDeque<Vec<u8>>>,
@@ -101,7 +101,7 @@
 }
 
 impl SmallCluster {
-    /// One entry is decided; nobody has heard of it.
+    /// One entry is decided, and no subscriber has it yet.
     fn new() -> Self {
         let council = Council::new(3);
         let bootstrap_members = council.bootstrap_members();
@@ -125,15 +125,15 @@
         cluster
     }
 
-    /// Both have what there is.
+    /// Both subscribers have the newest version.
     fn converged() -> Self {
         let mut cluster = Self::new();
-        cluster.converge().expect("settles");
+        cluster.converge().expect("converges");
         cluster.acknowledge();
         cluster
     }
 
-    /// Two changes are on their way to both.
+    /// Two changes are in transit to both subscribers.
     fn in_transit() -> Self {
         let mut cluster = Self::converged();
         for step in [Step::Decide, Step::Follow, Step::Decide, Step::Time, Step::Follow, Step::Time] {
@@ -142,17 +142,17 @@
         cluster
     }
 
-    /// Both have what there is, and copies of what carried an earlier change are still on their way.
+    /// Both have the newest version, and copies of the datagrams of an earlier change are still in transit.
     fn delayed() -> Self {
         let mut cluster = Self::converged();
         for step in [Step::Decide, Step::Follow] {
             cluster.apply(step);
         }
         let delayed = cluster.links.clone();
-        cluster.converge().expect("settles");
+        cluster.converge().expect("converges");
         cluster.acknowledge();
         cluster.apply(Step::Decide);
-        cluster.converge().expect("settles");
+        cluster.converge().expect("converges");
         cluster.acknowledge();
         cluster.links = delayed;
         cluster
@@ -172,10 +172,10 @@
         cluster
     }
 
-    /// All that waits comes, for a heartbeat and a half, so that the control machine knows who has what.
+    /// Delivers everything for a heartbeat and a half, so that the control machine knows what each has.
     fn acknowledge(&mut self) {
         for _ in 0..6 {
-            self.deliver_all().expect("sound");
+            self.deliver_all().expect("no invariant is violated");
             self.time();
         }
         self.links.values_mut().for_each(VecDeque::clear);
@@ -209,7 +209,7 @@
         }
     }
 
-    /// What comes of a step at one of them.
+    /// Sends and saves what a step produced at a node.
     fn flush(&mut self, node: usize) {
         if node == CONTROL {
             while let Some(nonce) = self.control.next_freshness_request() {
@@ -234,7 +234,7 @@
     fn deliver(&mut self, from: usize, to: usize, bytes: &[u8]) {
         if to == CONTROL {
             self.control.receive(self.now, from as Id, bytes);
-            // What is to be answered is due at once.
+            // Answers to a message are due at once.
             self.control.turn(self.now);
         } else {
             self.subscribers[to - 1].receive(self.now, from as Id, bytes);
@@ -307,22 +307,24 @@
             }
             Step::Follow => self.follow(),
             Step::Deliver(from, to) | Step::Reorder(from, to) | Step::Duplicate(from, to) => {
-                let link = self.links.get_mut(&(from, to)).expect("waits");
+                let link = self.links.get_mut(&(from, to)).expect("a datagram is waiting");
                 let position = usize::from(matches!(step, Step::Reorder(..)));
-                let bytes = link.remove(position).expect("waits");
+                let bytes = link.remove(position).expect("a datagram is waiting");
                 if matches!(step, Step::Duplicate(..)) {
                     link.push_back(bytes.clone());
                 }
                 self.deliver(from, to, &bytes);
             }
-            Step::Lose(from, to) => drop(self.links.get_mut(&(from, to)).expect("waits").pop_front()),
+            Step::Lose(from, to) => {
+                drop(self.links.get_mut(&(from, to)).expect("a datagram is waiting").pop_front())
+            }
             Step::Time => self.time(),
             Step::Restart(node) => self.restart(node, false),
             Step::RestartOld(node) => self.restart(node, true),
         }
     }
 
-    /// What must never be.
+    /// A violated invariant, if any.
     fn violation(&mut self) -> Option<String> {
         for (number, subscriber) in self.subscribers.iter().enumerate() {
             let (index, before) = (subscriber.index(SCOPE), self.in_force[number]);
@@ -332,15 +334,17 @@
             self.in_force[number] = index;
             let digest = subscriber.content(SCOPE).map(|content| content.digest());
             if index > 0 && digest != Some(self.council.state(index).summary(SCOPE).digest) {
-                return Some(format!("subscriber {number} has not what was decided at {index}"));
+                return Some(format!("subscriber {number} does not have what was decided at {index}"));
             }
             let covered = self.council.decided_by(self.now - subscriber.age(SCOPE, self.now));
             if covered > index {
-                return Some(format!("subscriber {number} at {index} claims to know {covered}"));
+                return Some(format!("subscriber {number} at {index} claims to cover {covered}"));
             }
             let counts = subscriber.status(self.now).counts;
             if counts.mismatched + counts.malformed + counts.unverified > 0 {
-                return Some(format!("subscriber {number} found fault with an honest machine: {counts:?}"));
+                return Some(format!(
+                    "subscriber {number} rejected messages of an honest control machine: {counts:?}"
+                ));
             }
         }
         None
@@ -351,7 +355,7 @@
         self.subscribers.iter().all(|subscriber| subscriber.index(SCOPE) >= newest)
     }
 
-    /// Links are whole from now on: all that waits comes, and so does all that follows.
+    /// From now on everything is delivered, until both have the newest version.
     fn converge(&mut self) -> Result<usize, String> {
         self.follow();
         for steps in 0..MAX_CONVERGE_STEPS {
@@ -361,27 +365,29 @@
             }
             self.time();
         }
-        Err(format!("not all reach {} once links are whole", self.council.scope_version(SCOPE)))
+        Err(format!("not all reach {} once links work", self.council.scope_version(SCOPE)))
     }
 
-    /// All that there is, in 128 bits.
+    /// A 128-bit hash of the whole state.
     fn state_hash(&self) -> [u8; 16] {
         let mut writer = HashWriter(blake3::Hasher::new());
-        write!(writer, "{:?} {:?} {:?}", self.control, self.subscribers, self.answers).expect("hashes all");
-        write!(writer, "{} {} {}", self.now, self.followed, self.decided).expect("hashes all");
+        write!(writer, "{:?} {:?} {:?}", self.control, self.subscribers, self.answers)
+            .expect("writing to a hash never fails");
+        write!(writer, "{} {} {}", self.now, self.followed, self.decided)
+            .expect("writing to a hash never fails");
         let disks = self.disks.iter().flat_map(|(newest, before)| [newest, before]);
         let waiting = self.links.values().flatten();
         for bytes in disks.chain(waiting) {
-            write!(writer, "|{}|", bytes.len()).expect("hashes all");
+            write!(writer, "|{}|", bytes.len()).expect("writing to a hash never fails");
             writer.0.update(bytes);
         }
         let waiting: Vec<_> = self.links.iter().map(|(link, waiting)| (link, waiting.len())).collect();
-        write!(writer, "{waiting:?}").expect("hashes all");
-        writer.0.finalize().as_bytes()[..16].try_into().expect("as many bytes")
+        write!(writer, "{waiting:?}").expect("writing to a hash never fails");
+        writer.0.finalize().as_bytes()[..16].try_into().expect("16 bytes")
     }
 }
 
-/// Takes text in without keeping it.
+/// Hashes formatted text without storing it.
 struct HashWriter(blake3::Hasher);
 
 impl fmt::Write for HashWriter {
@@ -394,13 +400,13 @@
 struct SearchResult {
     states: usize,
     converged_states: usize,
-    /// Steps of time that the slowest took to settle.
+    /// Steps of time that the slowest state took to converge.
     slowest: usize,
     violation: Option<String>,
 }
 
-/// Goes through all orders of so many steps; from one state in so many it is tried whether all reach the
-/// newest once links are whole.
+/// Searches all orders of `depth` steps. One state in `one_in` is also checked for convergence once links
+/// work.
 fn search(start: SmallCluster, depth: usize, one_in: usize) -> SearchResult {
     let mut visited = HashSet::from([start.state_hash()]);
     let mut result = SearchResult { states: 1, converged_states: 0, slowest: 0, violation: None };
@@ -438,7 +444,7 @@
     result
 }
 
-/// Steps of the search; more with DISTRIBUTION_DEPTH.
+/// Number of steps of the search; the environment variable DISTRIBUTION_DEPTH overrides it.
 fn depth(default_depth: usize) -> usize {
     std::env::var("DISTRIBUTION_DEPTH").ok().and_then(|depth| depth.parse().ok()).unwrap_or(default_depth)
 }
@@ -458,7 +464,7 @@
     let result = search(start, depth, 10);
     let (states, converged_states, slowest) = (result.states, result.converged_states, result.slowest);
     println!(
-        "{depth} steps: {states} states; {converged_states} on whole links, {slowest} steps of time at most; {:?}",
+        "{depth} steps: {states} states; {converged_states} checked for convergence, {slowest} steps of time at most; {:?}",
         began.elapsed()
     );
     assert_eq!(result.violation, None);
@@ -468,14 +474,18 @@
 #[case::staged_content_is_not_verified(
     Fault::SkipDigestCheck,
     SmallCluster::converged(),
-    "has not what was decided"
+    "does not have what was decided"
 )]
 #[case::an_older_certificate_is_accepted(Fault::AcceptOlderCertificate, SmallCluster::delayed(), "went back")]
-#[case::a_snapshot_goes_on_without_deltas(Fault::OmitDeltas, SmallCluster::behind(), "found fault")]
+#[case::a_snapshot_goes_on_without_deltas(
+    Fault::OmitDeltas,
+    SmallCluster::behind(),
+    "rejected messages of an honest"
+)]
 fn an_injected_fault_is_found(#[case] fault: Fault, #[case] start: SmallCluster, #[case] how: &str) {
     inject_fault(Some(fault));
     let result = search(start, 4, 1);
     println!("{fault:?}: {} states, {:?}", result.states, result.violation);
-    let violation = result.violation.expect("found");
+    let violation = result.violation.expect("the fault violates an invariant");
     assert!(violation.contains(how), "{violation}");
 }
--- a/distribution/tests/state.rs
+++ b/distribution/tests/state.rs
@@ -1,4 +1,4 @@
-//! The state of all scopes: versions, digests, proofs, and reading on from any place while it changes.
+//! The state of all scopes: versions, digests, proofs, and reading on from any cursor while it changes.
 
 use distribution::content::{Content, EMPTY_DIGEST};
 use distribution::cursor::Cursor;
@@ -13,7 +13,7 @@
 const SERVICE: Scope = Scope::Service(7);
 
 fn key(name: &str) -> Key {
-    Key::new(name).expect("a fit key")
+    Key::new(name).expect("a valid key")
 }
 
 fn set(scope: Scope, name: &str, version: u64, value: &[u8]) -> Change {
@@ -63,7 +63,7 @@
         [set(Scope::Zone(7), "a", 1, b"1"), base[1].clone()],
     ];
     let root = state(base.clone()).root();
-    assert_eq!(state(base.iter().rev().cloned()).root(), root, "the order of scopes is of no account");
+    assert_eq!(state(base.iter().rev().cloned()).root(), root, "the order of scopes does not matter");
     for other in others {
         assert_ne!(state(other.clone()).root(), root, "{other:?}");
     }
@@ -79,12 +79,12 @@
         let proof = state.proof(scope);
         assert_eq!(proof.verify(&root, scope), Ok(()));
         assert_eq!(proof.verify(&[1; 32], scope), Err(PathError::RootMismatch));
-        assert!(proof.verify(&root, Scope::Service(1000)).is_err(), "of another scope");
+        assert!(proof.verify(&root, Scope::Service(1000)).is_err(), "it is for another scope");
         let mut forged = proof.clone();
         forged.summary.version = 4;
         assert_eq!(forged.verify(&root, scope), Err(PathError::RootMismatch));
         forged.summary = ScopeSummary::default();
-        assert!(forged.verify(&root, scope).is_err(), "a scope that is there was denied");
+        assert!(forged.verify(&root, scope).is_err(), "an existing scope is not absent");
     }
 }
 
@@ -97,7 +97,7 @@
         assert_eq!(proof.summary, ScopeSummary { digest: EMPTY_DIGEST, version: 0 });
         assert_eq!(proof.verify(&root, scope), Ok(()), "{scope}");
         let denied = (0..50).map(Scope::Service).find(|&there| proof.verify(&root, there).is_ok());
-        assert_eq!(denied, None, "the proof that {scope} is not there denies another");
+        assert_eq!(denied, None, "the proof that {scope} is absent proves another absent");
     }
     assert_eq!(ScopedState::default().proof(SERVICE).verify(&ScopedState::default().root(), SERVICE), Ok(()));
 }
@@ -125,11 +125,11 @@
     let changes = [set(SERVICE, "a", 1, b"1"), set(Scope::All, "b", 1, b"2")];
     let state = state(changes.into_iter().chain(removals));
     let bytes = postcard::to_stdvec(&state).unwrap();
-    let back: ScopedState = postcard::from_bytes(&bytes).expect("its own bytes");
+    let back: ScopedState = postcard::from_bytes(&bytes).expect("its own encoding");
     assert_eq!((back.root(), &back), (state.root(), &state));
     let twice = vec![(SERVICE, 1u64, 0u64, vec![("a", 1u64, b"1".to_vec()); 2], Vec::<(Key, u64)>::new())];
     let damaged: Result<ScopedState, _> = postcard::from_bytes(&postcard::to_stdvec(&twice).unwrap());
-    assert!(damaged.is_err(), "a key twice");
+    assert!(damaged.is_err(), "a key is repeated");
 }
 
 #[test]
@@ -144,7 +144,7 @@
     assert_eq!(read(floor).expect("not forgotten").changes.len(), MIN_REMEMBERED_REMOVALS);
 }
 
-/// Reads a scope in small pieces from a base on, after a cursor, while the state goes on changing in between.
+/// Reads a scope in small pieces from a base, after a cursor, while the state changes in between.
 fn read_to_end(
     mut content: Content,
     base: u64,
--- a/distribution/tests/untrusted.rs
+++ b/distribution/tests/untrusted.rs
@@ -1,5 +1,5 @@
-//! Messages that nobody honest sends: floods, forgeries, unknown versions, old and doubled ones. Nothing
-//! panics, memory stays bounded, and what is in force stays proved.
+//! Messages that no honest member sends: floods, forgeries, unknown versions, old and duplicated ones.
+//! Nothing panics, memory stays bounded, and what is in force stays proved.
 
 mod cluster;
 
@@ -32,17 +32,17 @@
 }
 
 fn change(version: u64, key: &str, value: &[u8]) -> KeyChange {
-    KeyChange { version, key: Key::new(key).expect("fit"), value: Some(value.to_vec()) }
+    KeyChange { version, key: Key::new(key).expect("a valid key"), value: Some(value.to_vec()) }
 }
 
 fn changes(base: u64, seen: u64, after: Cursor, changes: Vec<KeyChange>) -> Changes {
     Changes { scope: SERVICE, base, source_version: seen, after, changes, complete: true }
 }
 
-/// Says something to a subscriber in a control machine's name.
+/// Sends messages to a subscriber in a control machine's name.
 fn send_as_control(cluster: &mut Cluster, number: usize, messages: &[Message]) {
     let now = cluster.now;
-    let subscriber = cluster.proxies[number].subscriber.as_mut().expect("runs");
+    let subscriber = cluster.proxies[number].subscriber.as_mut().expect("running");
     for bytes in wire::encode(messages) {
         subscriber.receive(now, control_id(0), &bytes);
     }
@@ -67,7 +67,7 @@
 #[test]
 fn the_longest_change_certificate_and_council_proof_fit_a_datagram() {
     let key = "k".repeat(distribution::entry::MAX_KEY_BYTES);
-    let after = Cursor::at(u64::MAX, Key::new(key.clone()).expect("fit"));
+    let after = Cursor::at(u64::MAX, Key::new(key.clone()).expect("a valid key"));
     let longest = change(u64::MAX, &key, &[0; distribution::entry::MAX_VALUE_BYTES]);
     let longest = Message::Changes(changes(u64::MAX, u64::MAX, after, vec![longest]));
     let mut cluster = Cluster::new(1, 1);
@@ -76,7 +76,7 @@
     }
     let council_proof = cluster.council.council_proofs().last().expect("elected").clone();
     assert_eq!(council_proof.council.voters().len(), agree::council::MAX_VOTERS);
-    let certificate = cluster.council.certificate(4).expect("sealed").clone();
+    let certificate = cluster.council.certificate(4).expect("certified").clone();
     let sizes: Vec<usize> =
         [longest, Message::CouncilProof(council_proof), Message::Certificate(certificate)]
             .iter()
@@ -91,7 +91,7 @@
     let mut cluster = converged();
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let poll = Poll { nonce: 1, council_since: 0, scopes: vec![(SERVICE, Position::default())] };
-    let certificate = cluster.council.certificate(1).expect("sealed").clone();
+    let certificate = cluster.council.certificate(1).expect("certified").clone();
     let proof = cluster.council.state(1).proof(SERVICE);
     let messages = [
         Message::Poll(poll),
@@ -109,8 +109,8 @@
             bytes.insert(0, wire::VERSION);
         }
         let now = cluster.now;
-        cluster.machines[0].control.as_mut().expect("runs").receive(now, subscriber_id(60), &bytes);
-        let subscriber = cluster.proxies[0].subscriber.as_mut().expect("runs");
+        cluster.machines[0].control.as_mut().expect("running").receive(now, subscriber_id(60), &bytes);
+        let subscriber = cluster.proxies[0].subscriber.as_mut().expect("running");
         subscriber.receive(now, control_id(0), &bytes);
         subscriber.receive(now, subscriber_id(1), &bytes);
     }
@@ -128,7 +128,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(2);
     for round in 0..40_000u64 {
         let scope = |_| {
-            let key = Key::new("k".repeat(100)).expect("fit");
+            let key = Key::new("k".repeat(100)).expect("a valid key");
             let after = Cursor::at(rng.random(), key);
             let transfer = Transfer { base: rng.random(), source_version: rng.random_range(0..4), after };
             (Scope::Service(rng.random()), Position { in_force: rng.random(), transfer: Some(transfer) })
@@ -137,7 +137,7 @@
         let poll = Poll { nonce: rng.random(), council_since: 0, scopes };
         let bytes = wire::encode(&[Message::Poll(poll)]).remove(0);
         let now = cluster.now;
-        let control = cluster.machines[0].control.as_mut().expect("runs");
+        let control = cluster.machines[0].control.as_mut().expect("running");
         control.receive(now, subscriber_id(1000 + (round % 200) as usize), &bytes);
         if round % 100 == 0 {
             cluster.step();
@@ -162,7 +162,7 @@
         let forged = changes(index, newer, cursor.clone(), vec![change(newer, "a", b"x")]);
         let out_of_order =
             changes(0, newer, Cursor::end_of(0), vec![change(9, "a", b"x"), change(8, "b", b"x")]);
-        let mut certificate = cluster.council.certificate(index).expect("sealed").clone();
+        let mut certificate = cluster.council.certificate(index).expect("certified").clone();
         certificate.statement.index = newer;
         let mut council_proof =
             CouncilProof { council: agree::Council::bootstrap([9]), certificate: certificate.clone() };
@@ -187,13 +187,17 @@
     assert!(size < 200_000, "{size} bytes to print");
     cluster.set(SERVICE, "a", b"9");
     cluster.run_until_converged(20.0 * HEARTBEAT);
-    // What could follow, but for its content.
+    // A valid continuation except for its content.
     let (index, next) = (cluster.council.index(), cluster.council.index() + 1);
     let forged = changes(index, next, Cursor::end_of(index), vec![change(next, "a", b"x")]);
     send_as_control(&mut cluster, 0, &[Message::Changes(forged)]);
     cluster.set(SERVICE, "a", b"10");
     cluster.run_until_converged(20.0 * HEARTBEAT);
-    assert_eq!(cluster.subscriber(0).status(cluster.now).counts.mismatched, 1, "it was found out");
+    assert_eq!(
+        cluster.subscriber(0).status(cluster.now).counts.mismatched,
+        1,
+        "the forged content was detected"
+    );
 }
 
 #[test]
@@ -217,7 +221,7 @@
 fn old_duplicated_and_reordered_datagrams_do_not_block_convergence() {
     let mut cluster = Cluster::new(2, 3);
     cluster.links.duplication = 0.5;
-    // Longer on the way than anything waits for an answer: all that comes is old.
+    // Longer in transit than any answer is awaited: everything that arrives is old.
     cluster.links.max_delay = 3.0 * HEARTBEAT;
     cluster.links.loss = 0.2;
     cluster.set(SERVICE, "a", b"1");
@@ -242,13 +246,13 @@
     cluster.leaderless = true;
     cluster.run(4.0 * HEARTBEAT);
     let before = cluster.subscriber(0).age(SERVICE, cluster.now);
-    // It hears the poll's nonce, as the control machine that serves does.
+    // The poll's nonce, which the serving control machine also knows.
     let now = cluster.now;
-    let subscriber = cluster.proxies[0].subscriber.as_mut().expect("runs");
+    let subscriber = cluster.proxies[0].subscriber.as_mut().expect("running");
     let nonces = loop {
         subscriber.turn(subscriber.due().max(now));
         if let Some(out) = subscriber.outgoing() {
-            let messages = wire::decode(&out.bytes).expect("its own");
+            let messages = wire::decode(&out.bytes).expect("it decodes");
             break messages
                 .into_iter()
                 .filter_map(|of| match of {
@@ -264,7 +268,7 @@
     let mut proof = FreshnessProof::sign(signer, batch.nonce(), index, &Keys(signer));
     proof.index = index - more;
     let fresh = Message::Freshness { nonce: nonces.1, path: batch.path(0), proof };
-    let subscriber = cluster.proxies[0].subscriber.as_mut().expect("runs");
+    let subscriber = cluster.proxies[0].subscriber.as_mut().expect("running");
     wire::encode(&[fresh]).iter().for_each(|bytes| subscriber.receive(now, nonces.0, bytes));
     assert!(subscriber.age(SERVICE, now) >= before);
     assert_eq!(subscriber.status(now).counts.unverified, 1);
