--- a/distribution/src/entry.rs
+++ b/distribution/src/entry.rs
@@ -8,55 +8,55 @@
 use crate::Version;
 use crate::scope::Scope;
 
-/// Bytes of the longest key.
-pub const LONGEST_KEY: usize = 128;
-/// Bytes of the longest value: as long as a command of the log can be.
-pub const LONGEST_VALUE: usize = agree::log::MAX_COMMAND_BYTES;
+/// Maximum length of a key in bytes.
+pub const MAX_KEY_BYTES: usize = 128;
+/// Maximum length of a value in bytes: as long as a command of the log can be.
+pub const MAX_VALUE_BYTES: usize = agree::log::MAX_COMMAND_BYTES;
 
-/// A key or a value that no state takes.
+/// A key or a value that no state accepts.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Unfit {
+pub enum InvalidEntry {
     /// The key is empty.
     #[error("the key is empty")]
     EmptyKey,
-    /// The key has more than [`LONGEST_KEY`] bytes.
-    #[error("the key has {0} bytes, {LONGEST_KEY} at most are allowed")]
+    /// The key has more than [`MAX_KEY_BYTES`] bytes.
+    #[error("the key has {0} bytes, at most {MAX_KEY_BYTES} are allowed")]
     LongKey(usize),
-    /// The value has more than [`LONGEST_VALUE`] bytes.
-    #[error("the value has {0} bytes, {LONGEST_VALUE} at most are allowed")]
+    /// The value has more than [`MAX_VALUE_BYTES`] bytes.
+    #[error("the value has {0} bytes, at most {MAX_VALUE_BYTES} are allowed")]
     LongValue(usize),
 }
 
-/// The name of an entry within its scope: 1 to [`LONGEST_KEY`] bytes.
+/// The name of an entry within its scope: 1 to [`MAX_KEY_BYTES`] bytes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Key(String);
 
 impl Key {
-    /// A key of these characters.
+    /// Checks and wraps a key.
     ///
     /// # Errors
     ///
-    /// [`Unfit`] where it is empty or too long.
-    pub fn new(key: impl Into<String>) -> Result<Self, Unfit> {
+    /// [`InvalidEntry`] if it is empty or too long.
+    pub fn new(key: impl Into<String>) -> Result<Self, InvalidEntry> {
         let key = key.into();
         match key.len() {
-            0 => Err(Unfit::EmptyKey),
-            1..=LONGEST_KEY => Ok(Self(key)),
-            bytes => Err(Unfit::LongKey(bytes)),
+            0 => Err(InvalidEntry::EmptyKey),
+            1..=MAX_KEY_BYTES => Ok(Self(key)),
+            bytes => Err(InvalidEntry::LongKey(bytes)),
         }
     }
 
-    /// Its characters.
+    /// The key as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
 impl TryFrom<String> for Key {
-    type Error = Unfit;
+    type Error = InvalidEntry;
 
-    fn try_from(key: String) -> Result<Self, Unfit> {
+    fn try_from(key: String) -> Result<Self, InvalidEntry> {
         Self::new(key)
     }
 }
@@ -68,43 +68,43 @@
 }
 
 impl fmt::Display for Key {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.write_str(&self.0)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(&self.0)
     }
 }
 
-/// What a scope holds under a key.
+/// A key of a scope with its value.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its name within the scope.
+    /// Name within the scope.
     pub key: Key,
-    /// The decision that gave it its value.
+    /// The decision that set the value.
     pub version: Version,
-    /// The value, whose meaning is up to whoever decides.
+    /// The value; its meaning is up to the application.
     pub value: Vec<u8>,
 }
 
 /// What a decision does to one key of one scope.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// Where the key belongs.
+    /// The scope of the key.
     pub scope: Scope,
-    /// Which entry.
+    /// The key that changes.
     pub key: Key,
     /// The decision that changes it.
     pub version: Version,
-    /// The new value; none where the entry is removed.
+    /// The new value; `None` if the entry is removed.
     pub value: Option<Vec<u8>>,
 }
 
 impl Change {
-    /// Whether a state can take it.
+    /// Checks that a state accepts the change.
     ///
     /// # Errors
     ///
-    /// [`Unfit::LongValue`] where the value is longer than [`LONGEST_VALUE`].
-    pub fn check(&self) -> Result<(), Unfit> {
+    /// [`InvalidEntry::LongValue`] if the value is longer than [`MAX_VALUE_BYTES`].
+    pub fn check(&self) -> Result<(), InvalidEntry> {
         let bytes = self.value.as_ref().map_or(0, Vec::len);
-        if bytes > LONGEST_VALUE { Err(Unfit::LongValue(bytes)) } else { Ok(()) }
+        if bytes > MAX_VALUE_BYTES { Err(InvalidEntry::LongValue(bytes)) } else { Ok(()) }
     }
 }
--- a/distribution/src/merkle.rs
+++ b/distribution/src/merkle.rs
@@ -1,6 +1,6 @@
-//! A Merkle trie over the scopes: a leaf a scope, at a place given by the hash of its name. The trie is as
-//! deep as the places of two leaves agree, so that a path has about log2 of the number of scopes hashes. A
-//! path proves what a scope holds, and also that a scope was never written to.
+//! A Merkle trie over the scopes, with one leaf for each scope at a position given by the hash of its name.
+//! The trie is as deep as the common prefix of two positions, so a path has about log2 of the number of
+//! scopes hashes. A path proves what a scope holds, and also that a scope was never written to.
 
 use agree::Hash;
 use serde::{Deserialize, Serialize};
@@ -10,53 +10,53 @@
 use crate::content;
 use crate::scope::Scope;
 
-/// The hash of a subtree without any leaf; also the root without any scope.
-pub const EMPTY: Hash = [0; 32];
-/// Hashes of the longest path: places of as many scopes as there are pool numbers agree on fewer bits, but
-/// for a chance of one in 2^30.
-pub const LONGEST_PATH: usize = 64;
+/// The hash of a subtree without leaves; also the root without scopes.
+pub const EMPTY_HASH: Hash = [0; 32];
+/// Maximum number of hashes in a path. The positions of as many scopes as there are pool numbers have shorter
+/// common prefixes, except with a probability of one in 2^30.
+pub const MAX_PATH_LEN: usize = 64;
 
-/// What the root says of a scope.
+/// What the root proves about a scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Summary {
+pub struct ScopeSummary {
     /// The digest of its live entries ([`crate::content::Content::digest`]).
     pub digest: Hash,
-    /// The decision that changed it last; 0 where none ever did.
+    /// The decision that changed it last; 0 if none ever did.
     pub version: Version,
 }
 
-impl Default for Summary {
+impl Default for ScopeSummary {
     fn default() -> Self {
-        Self { digest: content::EMPTY, version: 0 }
+        Self { digest: content::EMPTY_DIGEST, version: 0 }
     }
 }
 
-/// The way from a scope's leaf to the root.
+/// The path from a scope's leaf to the root.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Path {
-    /// The hashes of the subtrees beside the way, from the root down; none for an empty one.
+pub struct MerklePath {
+    /// Sibling hashes from the root down; `None` for an empty subtree.
     siblings: Vec<Option<Hash>>,
-    /// The leaf that stands where the scope's would, where the scope was never written to: its place and its
-    /// hash.
-    other: Option<(Hash, Hash)>,
+    /// For a scope that was never written to: the position and summary hash of the leaf found at the end of
+    /// its path, if there is one.
+    other_leaf: Option<(Hash, Hash)>,
 }
 
-/// A path that proves nothing.
+/// Why a path was rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Unproved {
-    /// It is longer than any.
-    #[error("the path is longer than any")]
+pub enum PathError {
+    /// It has more than [`MAX_PATH_LEN`] hashes.
+    #[error("the path has more than {MAX_PATH_LEN} hashes")]
     TooLong,
-    /// The leaf that it names instead of the scope's does not stand in the scope's way.
-    #[error("the leaf named in place of the scope's is elsewhere")]
-    Elsewhere,
+    /// The leaf that it names instead of the scope's is not on the scope's path.
+    #[error("the leaf named instead of the scope's is not on its path")]
+    WrongLeaf,
     /// It leads to another root.
-    #[error("the path leads to another root")]
-    OtherRoot,
+    #[error("the path does not lead to the expected root")]
+    RootMismatch,
 }
 
-impl Path {
-    /// Hashes beside the way, empty ones too.
+impl MerklePath {
+    /// Number of sibling hashes, including those of empty subtrees.
     pub fn len(&self) -> usize {
         self.siblings.len()
     }
@@ -66,40 +66,44 @@
         self.siblings.is_empty()
     }
 
-    /// Whether the root says this of the scope.
+    /// Verifies that the root contains this summary of the scope.
     ///
     /// # Errors
     ///
-    /// [`Unproved`] tells why not.
-    pub fn check(&self, root: &Hash, scope: Scope, summary: &Summary) -> Result<(), Unproved> {
-        if self.siblings.len() > LONGEST_PATH {
-            return Err(Unproved::TooLong);
+    /// [`PathError`] if the path does not prove it.
+    pub fn verify(&self, root: &Hash, scope: Scope, summary: &ScopeSummary) -> Result<(), PathError> {
+        if self.siblings.len() > MAX_PATH_LEN {
+            return Err(PathError::TooLong);
         }
-        let place = place(scope);
-        let absent = *summary == Summary::default();
-        let lowest = match &self.other {
-            None if absent => EMPTY,
-            None => leaf(&place, summary),
-            Some((other, hash)) => {
-                let in_the_way =
-                    (0..self.siblings.len()).all(|depth| bit(other, depth) == bit(&place, depth));
-                if !absent || *other == place || !in_the_way {
-                    return Err(Unproved::Elsewhere);
+        let position = scope_position(scope);
+        let absent = *summary == ScopeSummary::default();
+        let leaf_hash = match &self.other_leaf {
+            None if absent => EMPTY_HASH,
+            None => hash_summary_leaf(&position, summary),
+            Some((other_leaf, hash)) => {
+                let shares_prefix =
+                    (0..self.siblings.len()).all(|depth| bit(other_leaf, depth) == bit(&position, depth));
+                if !absent || *other_leaf == position || !shares_prefix {
+                    return Err(PathError::WrongLeaf);
                 }
-                placed(other, hash)
+                hash_leaf(other_leaf, hash)
             }
         };
-        let (mut hash, mut depth) = (lowest, self.siblings.len());
+        let (mut hash, mut depth) = (leaf_hash, self.siblings.len());
         for sibling in self.siblings.iter().rev() {
             depth -= 1;
-            let sibling = sibling.unwrap_or(EMPTY);
-            hash = if bit(&place, depth) { branch(&sibling, &hash) } else { branch(&hash, &sibling) };
+            let sibling = sibling.unwrap_or(EMPTY_HASH);
+            hash = if bit(&position, depth) {
+                hash_branch(&sibling, &hash)
+            } else {
+                hash_branch(&hash, &sibling)
+            };
         }
-        if hash == *root { Ok(()) } else { Err(Unproved::OtherRoot) }
+        if hash == *root { Ok(()) } else { Err(PathError::RootMismatch) }
     }
 }
 
-/// The trie of all scopes. Setting one touches only the hashes between its leaf and the root.
+/// The trie of all scopes. Setting one scope rehashes only the nodes between its leaf and the root.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Trie {
     root: Node,
@@ -110,7 +114,7 @@
     #[default]
     Empty,
     Leaf {
-        place: Hash,
+        position: Hash,
         summary: Hash,
         hash: Hash,
     },
@@ -123,64 +127,66 @@
 impl Node {
     fn hash(&self) -> Hash {
         match self {
-            Self::Empty => EMPTY,
+            Self::Empty => EMPTY_HASH,
             Self::Leaf { hash, .. } | Self::Branch { hash, .. } => *hash,
         }
     }
 
-    fn of(children: Box<[Self; 2]>) -> Self {
-        Self::Branch { hash: branch(&children[0].hash(), &children[1].hash()), children }
+    fn branch_of(children: Box<[Self; 2]>) -> Self {
+        Self::Branch { hash: hash_branch(&children[0].hash(), &children[1].hash()), children }
     }
 
-    fn with(self, depth: usize, new: (Hash, Hash)) -> Self {
-        let (place, summary) = new;
+    fn insert(self, depth: usize, new: (Hash, Hash)) -> Self {
+        let (position, summary) = new;
         match self {
-            Self::Leaf { place: old, .. } if old != place => {
+            Self::Leaf { position: old, .. } if old != position => {
                 let mut children = Box::new([Self::Empty, Self::Empty]);
                 children[usize::from(bit(&old, depth))] = self;
-                Self::Branch { hash: EMPTY, children }.with(depth, new)
+                Self::Branch { hash: EMPTY_HASH, children }.insert(depth, new)
+            }
+            Self::Empty | Self::Leaf { .. } => {
+                Self::Leaf { position, summary, hash: hash_leaf(&position, &summary) }
             }
-            Self::Empty | Self::Leaf { .. } => Self::Leaf { place, summary, hash: placed(&place, &summary) },
             Self::Branch { mut children, .. } => {
-                let child = &mut children[usize::from(bit(&place, depth))];
-                *child = std::mem::take(child).with(depth + 1, new);
-                Self::of(children)
+                let child = &mut children[usize::from(bit(&position, depth))];
+                *child = std::mem::take(child).insert(depth + 1, new);
+                Self::branch_of(children)
             }
         }
     }
 }
 
 impl Trie {
-    /// Sets what a scope comes to.
-    pub fn set(&mut self, scope: Scope, summary: &Summary) {
-        let new = (place(scope), summary_hash(summary));
-        self.root = std::mem::take(&mut self.root).with(0, new);
+    /// Sets the summary of a scope.
+    pub fn set(&mut self, scope: Scope, summary: &ScopeSummary) {
+        let new = (scope_position(scope), summary_hash(summary));
+        self.root = std::mem::take(&mut self.root).insert(0, new);
     }
 
-    /// The hash over all of it.
+    /// The root hash.
     pub fn root(&self) -> Hash {
         self.root.hash()
     }
 
-    /// The way from the scope's leaf, or from where it would be, to the root.
-    pub fn path(&self, scope: Scope) -> Path {
-        let wanted = place(scope);
+    /// The path from the scope's leaf, or from where it would be, to the root.
+    pub fn path(&self, scope: Scope) -> MerklePath {
+        let target = scope_position(scope);
         let (mut node, mut siblings) = (&self.root, Vec::new());
         while let Node::Branch { children, .. } = node {
-            let side = usize::from(bit(&wanted, siblings.len()));
+            let side = usize::from(bit(&target, siblings.len()));
             let sibling = &children[1 - side];
             siblings.push(Some(sibling.hash()).filter(|_| *sibling != Node::Empty));
             node = &children[side];
         }
-        let other = match node {
-            Node::Leaf { place, summary, .. } if *place != wanted => Some((*place, *summary)),
+        let other_leaf = match node {
+            Node::Leaf { position, summary, .. } if *position != target => Some((*position, *summary)),
             _ => None,
         };
-        Path { siblings, other }
+        MerklePath { siblings, other_leaf }
     }
 }
 
-fn hashed(context: &str, parts: &[&[u8]]) -> Hash {
+fn hash_parts(context: &str, parts: &[&[u8]]) -> Hash {
     let mut hasher = blake3::Hasher::new_derive_key(context);
     for part in parts {
         hasher.update(part);
@@ -188,28 +194,28 @@
     *hasher.finalize().as_bytes()
 }
 
-fn place(scope: Scope) -> Hash {
-    let name = postcard::to_stdvec(&scope).expect("plain data");
-    hashed("frostthread distribution 1 place", &[&name])
+fn scope_position(scope: Scope) -> Hash {
+    let name = postcard::to_stdvec(&scope).expect("plain data always serializes");
+    hash_parts("frostthread distribution 1 place", &[&name])
 }
 
-fn summary_hash(summary: &Summary) -> Hash {
-    hashed("frostthread distribution 1 summary", &[&summary.digest, &summary.version.to_le_bytes()])
+fn summary_hash(summary: &ScopeSummary) -> Hash {
+    hash_parts("frostthread distribution 1 summary", &[&summary.digest, &summary.version.to_le_bytes()])
 }
 
-fn placed(place: &Hash, summary: &Hash) -> Hash {
-    hashed("frostthread distribution 1 leaf", &[place, summary])
+fn hash_leaf(position: &Hash, summary: &Hash) -> Hash {
+    hash_parts("frostthread distribution 1 leaf", &[position, summary])
 }
 
-fn leaf(place: &Hash, summary: &Summary) -> Hash {
-    placed(place, &summary_hash(summary))
+fn hash_summary_leaf(position: &Hash, summary: &ScopeSummary) -> Hash {
+    hash_leaf(position, &summary_hash(summary))
 }
 
-fn branch(left: &Hash, right: &Hash) -> Hash {
-    hashed("frostthread distribution 1 branch", &[left, right])
+fn hash_branch(left: &Hash, right: &Hash) -> Hash {
+    hash_parts("frostthread distribution 1 branch", &[left, right])
 }
 
-/// The bit of a place that says on which side of the branch at this depth it is.
-fn bit(place: &Hash, depth: usize) -> bool {
-    place[depth / 8] >> (7 - depth % 8) & 1 == 1
+/// The bit of a position that selects the side of the branch at a depth.
+fn bit(position: &Hash, depth: usize) -> bool {
+    position[depth / 8] >> (7 - depth % 8) & 1 == 1
 }
--- a/distribution/src/trust.rs
+++ b/distribution/src/trust.rs
@@ -1,5 +1,5 @@
-//! What a subscriber believes, and why: councils from the founders on, each proved by the one before it, and
-//! the states that a majority of such a council signed.
+//! What a subscriber has verified: councils since the bootstrap members, each proved by the one before it,
+//! and the states that a majority of such a council signed.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,30 +14,31 @@
 use crate::scope::Scope;
 use crate::state::ScopeProof;
 
-/// Seals that are kept: proofs of scopes that come out of order still find theirs. More would cost memory
-/// only.
-const MOST_SEALS: usize = 8;
-/// Proofs of councils that are kept, at subscribers and at control machines: as many as [`agree`] keeps.
-pub const MOST_LINKS: usize = 64;
+/// Number of certificates kept, so that proofs of scopes that arrive out of order still find theirs. A larger
+/// value would only cost memory.
+const MAX_CERTIFICATES: usize = 8;
+/// Number of council proofs kept, at subscribers and at control machines: as many as [`agree`] keeps.
+pub const MAX_COUNCIL_PROOFS: usize = 64;
 
-/// A seal that several hold. Printed short: by its index and what begins the state's root.
+/// A certificate shared by several scopes. `Debug` prints only its index, its council and the start of the
+/// state root.
 #[derive(Clone, PartialEq, Eq)]
-pub struct SharedSeal(Arc<Certificate>);
+pub struct SharedCertificate(Arc<Certificate>);
 
-impl SharedSeal {
-    /// The index that it is of.
+impl SharedCertificate {
+    /// The certified index.
     pub fn index(&self) -> Version {
         self.0.statement.index
     }
 }
 
-impl From<Certificate> for SharedSeal {
-    fn from(seal: Certificate) -> Self {
-        Self(Arc::new(seal))
+impl From<Certificate> for SharedCertificate {
+    fn from(certificate: Certificate) -> Self {
+        Self(Arc::new(certificate))
     }
 }
 
-impl Deref for SharedSeal {
+impl Deref for SharedCertificate {
     type Target = Certificate;
 
     fn deref(&self) -> &Certificate {
@@ -45,123 +46,141 @@
     }
 }
 
-impl fmt::Debug for SharedSeal {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+impl fmt::Debug for SharedCertificate {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Statement { index, version, state_root: state, .. } = &self.0.statement;
-        write!(to, "Seal({index} by council {version}, state {:02x?})", &state[..8])
+        write!(formatter, "Seal({index} by council {version}, state {:02x?})", &state[..8])
     }
 }
 
-/// Why something was not believed.
+/// Why a certificate or a council was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unbelieved {
-    /// A majority's signatures are wanting.
+pub enum VerificationError {
+    /// The signatures of a majority are missing.
     Unsigned,
-    /// It is by a council that is not known (yet), or no longer the newest.
-    OtherCouncil,
+    /// It is by a council that is not known (yet), or is no longer the newest.
+    UnknownCouncil,
 }
 
-/// The newest council that is proved, and seals by it.
+/// The newest proved council, and the certificates that it signed.
 #[derive(Clone, Debug)]
 pub struct Trust<K> {
     keys: K,
     council: Council,
-    /// Since when it votes.
-    version: Version,
-    links: Vec<CouncilProof>,
-    seals: BTreeMap<Version, SharedSeal>,
+    /// The decision since which the council votes.
+    council_since: Version,
+    council_proofs: Vec<CouncilProof>,
+    certificates: BTreeMap<Version, SharedCertificate>,
 }
 
 impl<K: Signer> Trust<K> {
-    /// Believes the founders.
-    pub fn new(founders: Council, keys: K) -> Self {
-        Self { keys, council: founders, version: 0, links: Vec::new(), seals: BTreeMap::new() }
+    /// Starts with the bootstrap council.
+    pub fn new(bootstrap_council: Council, keys: K) -> Self {
+        Self {
+            keys,
+            council: bootstrap_council,
+            council_since: 0,
+            council_proofs: Vec::new(),
+            certificates: BTreeMap::new(),
+        }
     }
 
-    /// Who signs, and how that is verified.
+    /// The keys that verify signatures.
     pub fn keys(&self) -> &K {
         &self.keys
     }
 
-    /// Takes other keys in their place; what was verified stays so.
+    /// Replaces the keys; what was already verified stays so.
     pub fn rekey(&mut self, keys: K) {
         self.keys = keys;
     }
 
-    /// Since when the newest council votes that is proved.
-    pub fn version(&self) -> Version {
-        self.version
+    /// The decision since which the newest proved council votes.
+    pub fn council_since(&self) -> Version {
+        self.council_since
     }
 
-    /// The proofs of all councils since the founders'.
-    pub fn links(&self) -> &[CouncilProof] {
-        &self.links
+    /// Proofs of all councils since the bootstrap members.
+    pub fn council_proofs(&self) -> &[CouncilProof] {
+        &self.council_proofs
     }
 
-    /// Whether a link could be the next one.
-    pub fn is_next(&self, link: &CouncilProof) -> bool {
-        link.certificate.statement.version > self.version && self.links.len() < MOST_LINKS
+    /// Whether a proof could be of the next council.
+    pub fn is_next(&self, council_proof: &CouncilProof) -> bool {
+        council_proof.certificate.statement.version > self.council_since
+            && self.council_proofs.len() < MAX_COUNCIL_PROOFS
     }
 
-    /// Goes on to the next council.
+    /// Advances to the next council.
     ///
     /// # Errors
     ///
-    /// [`Unbelieved`] where a majority of the council before it does not prove it.
-    pub fn follow(&mut self, link: CouncilProof) -> Result<(), Unbelieved> {
-        if !self.is_next(&link) {
-            return Err(Unbelieved::OtherCouncil);
+    /// [`VerificationError`] if a majority of the current council does not prove it.
+    pub fn advance_council(&mut self, council_proof: CouncilProof) -> Result<(), VerificationError> {
+        if !self.is_next(&council_proof) {
+            return Err(VerificationError::UnknownCouncil);
         }
-        if !link.is_valid(&self.council, &self.keys) {
-            return Err(Unbelieved::Unsigned);
+        if !council_proof.is_valid(&self.council, &self.keys) {
+            return Err(VerificationError::Unsigned);
         }
-        (self.version, self.council) = (link.certificate.statement.version, link.council.clone());
-        self.links.push(link);
+        (self.council_since, self.council) =
+            (council_proof.certificate.statement.version, council_proof.council.clone());
+        self.council_proofs.push(council_proof);
         Ok(())
     }
 
-    /// The newest sealed index.
-    pub fn newest(&self) -> Version {
-        self.seals.last_key_value().map_or(0, |(index, _)| *index)
+    /// The newest certified index.
+    pub fn newest_index(&self) -> Version {
+        self.certificates.last_key_value().map_or(0, |(index, _)| *index)
     }
 
-    /// Whether a seal of that index is known.
-    pub fn has_seal(&self, index: Version) -> bool {
-        self.seals.contains_key(&index)
+    /// Whether a certificate of that index is known.
+    pub fn has_certificate(&self, index: Version) -> bool {
+        self.certificates.contains_key(&index)
     }
 
-    /// Takes a seal; the oldest of those that are kept make room.
+    /// Verifies and keeps a certificate; the oldest one is dropped if there are too many.
     ///
     /// # Errors
     ///
-    /// [`Unbelieved`] where a majority of the newest council did not sign it.
-    pub fn seal(&mut self, seal: Certificate) -> Result<SharedSeal, Unbelieved> {
-        let of = &seal.statement;
-        if let Some(known) = self.seals.get(&of.index).filter(|known| known.statement == *of) {
+    /// [`VerificationError`] if a majority of the newest council did not sign it.
+    pub fn add_certificate(
+        &mut self,
+        certificate: Certificate,
+    ) -> Result<SharedCertificate, VerificationError> {
+        let statement = &certificate.statement;
+        if let Some(known) =
+            self.certificates.get(&statement.index).filter(|known| known.statement == *statement)
+        {
             return Ok(known.clone());
         }
-        if of.version != self.version || of.council_digest != self.council.digest() {
-            return Err(Unbelieved::OtherCouncil);
+        if statement.version != self.council_since || statement.council_digest != self.council.digest() {
+            return Err(VerificationError::UnknownCouncil);
         }
-        if !seal.is_valid(&self.council, &self.keys) {
-            return Err(Unbelieved::Unsigned);
+        if !certificate.is_valid(&self.council, &self.keys) {
+            return Err(VerificationError::Unsigned);
         }
-        let (index, seal) = (of.index, SharedSeal::from(seal));
-        self.seals.insert(index, seal.clone());
-        if self.seals.len() > MOST_SEALS {
-            self.seals.pop_first();
+        let (index, certificate) = (statement.index, SharedCertificate::from(certificate));
+        self.certificates.insert(index, certificate.clone());
+        if self.certificates.len() > MAX_CERTIFICATES {
+            self.certificates.pop_first();
         }
-        Ok(seal)
+        Ok(certificate)
     }
 
-    /// The seal by which a proof of a scope holds.
-    pub fn proved(&self, scope: Scope, index: Version, proof: &ScopeProof) -> Option<SharedSeal> {
-        let seal = self.seals.get(&index)?;
-        proof.check(&seal.statement.state_root, scope).is_ok().then(|| seal.clone())
+    /// The certificate by which a proof of a scope is valid.
+    pub fn certificate_for(
+        &self,
+        scope: Scope,
+        index: Version,
+        proof: &ScopeProof,
+    ) -> Option<SharedCertificate> {
+        let certificate = self.certificates.get(&index)?;
+        proof.verify(&certificate.statement.state_root, scope).is_ok().then(|| certificate.clone())
     }
 
-    /// Whether a voter of the newest council signed how far decisions were.
-    pub fn is_fresh(&self, proof: &FreshnessProof) -> bool {
+    /// Whether a voter of the newest council signed the freshness proof.
+    pub fn is_valid_freshness_proof(&self, proof: &FreshnessProof) -> bool {
         proof.is_valid(&self.council, &self.keys)
     }
 }
