--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -36,7 +36,7 @@
     /// None where this proxy serves no subscribers.
     Changes(oneshot::Sender<Option<Vec<ChangeStatus>>>),
     /// Have something decided, or see what it would come to.
-    Wish(Wished, oneshot::Sender<Result<CommandOutcome, String>>),
+    Wish(CommandRequest, oneshot::Sender<Result<CommandOutcome, String>>),
     /// Read the key files again; what is wrong with them, if anything.
     Rekey(oneshot::Sender<Result<(), String>>),
     Stop,
@@ -45,11 +45,12 @@
 /// What an operator wants decided.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Wished {
-    pub wish: OperatorCommand,
+pub struct CommandRequest {
+    #[serde(rename = "wish")]
+    pub command: OperatorCommand,
     /// Only what it would come to by what this proxy knows.
-    #[serde(default)]
-    pub dry: bool,
+    #[serde(rename = "dry", default)]
+    pub dry_run: bool,
 }
 
 /// Takes operators' connections until the proxy is gone.
@@ -150,7 +151,7 @@
 }
 
 /// Asks a running proxy something, by its word.
-pub async fn ask<T: DeserializeOwned>(socket: &Path, word: &str) -> Result<T> {
+pub async fn request<T: DeserializeOwned>(socket: &Path, word: &str) -> Result<T> {
     #[derive(serde::Deserialize)]
     struct Refusal {
         error: String,
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod backlog;
 pub mod backoff;
 mod clock;
+mod connections;
 pub mod control;
 pub mod council;
 mod distribution;
@@ -23,5 +24,4 @@
 mod sockets;
 mod stamp;
 mod watch_log;
-mod wires;
 mod wishes;
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -10,7 +10,7 @@
 use border::distributed::{ChangeStatus, DistributionStatus};
 use border::status::{GossipStatus, LimitsStatus, Status};
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use daemon::control::Wished;
+use daemon::control::CommandRequest;
 use daemon::records::{self, RecordsCommand};
 use daemon::release::{self, Start};
 use daemon::settings::{self, Plan};
@@ -429,7 +429,7 @@
 
 /// Has something decided, or tells what it would come to.
 fn wish(wish: OperatorCommand, order: &Order) -> Result<ExitCode> {
-    let wished = Wished { wish, dry: order.dry_run };
+    let wished = CommandRequest { command: wish, dry_run: order.dry_run };
     let Some(answer) = ask::<CommandOutcome>(&order.config, &serde_json::to_string(&wished)?)? else {
         return Ok(ExitCode::from(2));
     };
@@ -445,7 +445,7 @@
 /// Asks the proxy that runs by some settings; nothing where those are unfit.
 fn ask<T: DeserializeOwned>(config: &Path, word: &str) -> Result<Option<T>> {
     let Some(plan) = plan(config)? else { return Ok(None) };
-    runtime()?.block_on(control::ask(&plan.control, word)).map(Some)
+    runtime()?.block_on(control::request(&plan.control, word)).map(Some)
 }
 
 fn tell(json: bool, what: &impl Serialize, show: impl FnOnce()) -> Result<()> {
--- a/daemon/src/release.rs
+++ b/daemon/src/release.rs
@@ -58,7 +58,7 @@
 }
 
 /// Where a release's file is to be put, by its sum.
-pub fn staged(state: &Path, sum: &[u8; 32]) -> PathBuf {
+pub fn staged_path(state: &Path, sum: &[u8; 32]) -> PathBuf {
     state.join("staged").join(hex::encode(sum))
 }
 
@@ -124,7 +124,7 @@
         return Ok(Change { program, config, release });
     }
     let own = (std::env::current_exe()?, fs::canonicalize(config)?);
-    let file = staged(state, &replace.sum);
+    let file = staged_path(state, &replace.sum);
     let (program, config) = match replace.kind {
         Kind::Program => (fs::canonicalize(file)?, own.1.clone()),
         Kind::Settings => (own.0.clone(), fs::canonicalize(file.with_extension("toml"))?),
@@ -175,7 +175,7 @@
 
 /// Whether the staged file is here, is what was staged, and is fit for this proxy; none while it is not here.
 pub fn check(state: &Path, config: &Path, kind: Kind, sum: &[u8; 32]) -> Option<Result<(), String>> {
-    let path = staged(state, sum);
+    let path = staged_path(state, sum);
     let bytes = fs::read(&path).ok()?;
     if blake3::hash(&bytes) != *sum {
         return Some(Err("its sum is another".to_owned()));
@@ -225,7 +225,7 @@
 pub fn stage(state: &Path, path: &Path) -> Result<[u8; 32]> {
     let bytes = fs::read(path).with_context(|| path.display().to_string())?;
     let sum = *blake3::hash(&bytes).as_bytes();
-    let to = staged(state, &sum);
+    let to = staged_path(state, &sum);
     fs::create_dir_all(to.parent().context("a folder")?)?;
     let mut fresh = tempfile::NamedTempFile::new_in(state)?;
     fresh.write_all(&bytes)?;
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -110,11 +110,11 @@
 /// Runs the proxy until it is told to stop, or is to become another by a release.
 pub async fn run(plan: Plan) -> Result<Option<Replacement>> {
     let to_come = plan.to_come.clone();
-    run_deciding(plan, |terms, seed, now| Watched::new(Proxy::new(terms, seed, now), to_come)).await
+    run_with_decisions(plan, |terms, seed, now| Watched::new(Proxy::new(terms, seed, now), to_come)).await
 }
 
 /// The same with something else that decides, made from the terms, a seed and the time.
-pub async fn run_deciding<D: Decisions>(
+pub async fn run_with_decisions<D: Decisions>(
     plan: Plan,
     decide: impl FnOnce(Terms, u64, f64) -> D,
 ) -> Result<Option<Replacement>> {
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -16,8 +16,8 @@
 use tokio::task::LocalSet;
 
 use crate::clock::{Clock, unix};
+use crate::connections::{Arrival, Found, Wires};
 use crate::watch_log::{self, Had};
-use crate::wires::{Arrival, Found, Wires};
 
 /// Arrivals told between two decisions, and callers' connections taken on.
 const BATCH: usize = 128;
--- a/daemon/src/wishes.rs
+++ b/daemon/src/wishes.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot::Sender;
 
 use crate::clock::unix;
-use crate::control::Wished;
+use crate::control::CommandRequest;
 
 /// How long an operator waits, in milliseconds.
 const PATIENCE: f64 = 10_000.0;
@@ -22,10 +22,10 @@
         &mut self,
         now: f64,
         proxy: &mut BorderProxy<impl Decisions>,
-        wished: &Wished,
+        wished: &CommandRequest,
         to: Sender<Result<CommandOutcome, String>>,
     ) {
-        match proxy.submit_command(now, unix(), &wished.wish, wished.dry) {
+        match proxy.submit_command(now, unix(), &wished.command, wished.dry_run) {
             Ok(Ok(request)) => drop(self.waiting.insert(request, (to, now + PATIENCE))),
             Ok(Err(answer)) => drop(to.send(Ok(answer))),
             Err(why) => drop(to.send(Err(why))),
--- a/lab/src/commands/proxy.rs
+++ b/lab/src/commands/proxy.rs
@@ -24,6 +24,6 @@
     let source = std::fs::read_to_string(&arguments.config)?;
     let plan = daemon::settings::read(&source).map_err(|faults| anyhow::anyhow!("{faults:?}"))?;
     let decide = |terms, seed, now| Plain::new(routing, Broken::default(), terms, seed, now);
-    block_on(daemon::run::run_deciding(plan, decide))?;
+    block_on(daemon::run::run_with_decisions(plan, decide))?;
     Ok(ExitCode::SUCCESS)
 }
--- a/lab/src/drills/release.rs
+++ b/lab/src/drills/release.rs
@@ -13,7 +13,7 @@
 use anyhow::{Result, bail};
 use border::decided::{CommandOutcome, OperatorCommand};
 use bytes::Bytes;
-use daemon::control::{Wished, ask};
+use daemon::control::{CommandRequest, request};
 use iax2::{Endpoint, Event, Limits};
 use outs::Kind;
 use tokio::net::UdpSocket;
@@ -47,7 +47,7 @@
 pub async fn start(states: Vec<PathBuf>) -> Result<()> {
     let sum = *blake3::hash(CHANGE).as_bytes();
     for state in &states {
-        let to = daemon::release::staged(state, &sum);
+        let to = daemon::release::staged_path(state, &sum);
         fs::create_dir_all(to.parent().unwrap_or(state))?;
         fs::write(to, CHANGE)?;
     }
@@ -59,9 +59,9 @@
         loop {
             let control = states[tries % states.len()].join("control.sock");
             tries += 1;
-            let word = serde_json::to_string(&Wished { wish: wish.clone(), dry: false })?;
+            let word = serde_json::to_string(&CommandRequest { command: wish.clone(), dry_run: false })?;
             if let Ok(CommandOutcome::Done { .. } | CommandOutcome::Already) =
-                ask::<CommandOutcome>(&control, &word).await
+                request::<CommandOutcome>(&control, &word).await
             {
                 break;
             }
--- a/lab/src/drills/sockets/gossip.rs
+++ b/lab/src/drills/sockets/gossip.rs
@@ -122,7 +122,7 @@
     loop {
         for (proxy, control) in controls.iter().enumerate() {
             tokio::time::sleep(ASK_EVERY / controls.len() as u32).await;
-            let asked = daemon::control::ask::<Vec<SuspicionStatus>>(control, "suspicions");
+            let asked = daemon::control::request::<Vec<SuspicionStatus>>(control, "suspicions");
             // One that is down or stands still has nothing to say.
             let Ok(Ok(suspicions)) = tokio::time::timeout(ASK_EVERY, asked).await else { continue };
             let believed = suspicions.into_iter().filter(|s| s.believed).map(|s| s.server).collect();
