--- a/daemon/src/backlog.rs
+++ b/daemon/src/backlog.rs
@@ -8,34 +8,34 @@
 use border::{Outbound, Side};
 
 /// The socket that a datagram leaves by: servers have one each.
-pub type Way = (Side, Option<SocketAddr>);
+pub type SocketKey = (Side, Option<SocketAddr>);
 
-pub fn way(out: &Outbound) -> Way {
-    (out.side, (out.side == Side::Servers).then_some(out.peer))
+pub fn socket_key(datagram: &Outbound) -> SocketKey {
+    (datagram.side, (datagram.side == Side::Servers).then_some(datagram.peer))
 }
 
 pub struct Backlog {
-    waiting: BTreeMap<Way, VecDeque<Outbound>>,
+    waiting: BTreeMap<SocketKey, VecDeque<Outbound>>,
     length: usize,
-    most: usize,
+    max: usize,
     dropped: u64,
 }
 
 impl Backlog {
     /// Keeps at most so many datagrams, over all sockets; what comes on top is dropped and counted.
-    pub fn new(most: usize) -> Self {
-        Self { waiting: BTreeMap::new(), length: 0, most, dropped: 0 }
+    pub fn new(max: usize) -> Self {
+        Self { waiting: BTreeMap::new(), length: 0, max, dropped: 0 }
     }
 
     /// `try_send` gives false where there was no room.
-    pub fn send(&mut self, out: Outbound, try_send: impl FnOnce(&Outbound) -> bool) {
-        let way = way(&out);
-        if !self.waiting.contains_key(&way) && try_send(&out) {
+    pub fn send(&mut self, datagram: Outbound, try_send: impl FnOnce(&Outbound) -> bool) {
+        let key = socket_key(&datagram);
+        if !self.waiting.contains_key(&key) && try_send(&datagram) {
             return;
         }
-        if self.length < self.most {
+        if self.length < self.max {
             self.length += 1;
-            self.waiting.entry(way).or_default().push_back(out);
+            self.waiting.entry(key).or_default().push_back(datagram);
         } else {
             self.dropped += 1;
         }
@@ -54,7 +54,7 @@
     }
 
     /// A socket that something waits for.
-    pub fn first(&self) -> Option<Way> {
+    pub fn first(&self) -> Option<SocketKey> {
         self.waiting.keys().next().copied()
     }
 
--- a/daemon/src/watch_log.rs
+++ b/daemon/src/changelog_client.rs
@@ -1,5 +1,5 @@
 //! Follows the change log over HTTP for as long as the proxy lives: asked again whenever it breaks or says
-//! nothing. [`Had`] says what has been taken in, from which on each call asks: what a call has read and
+//! nothing. [`AppliedSeq`] says what has been taken in, from which on each call asks: what a call has read and
 //! nobody has taken in is told again by the next.
 
 use std::cell::Cell;
@@ -24,18 +24,18 @@
 use crate::backoff::Backoff;
 
 /// For the connection and for the head of the answer.
-const ANSWER_WAIT: Duration = Duration::from_millis(1500);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// A comment is due each second.
-const SILENCE: Duration = Duration::from_millis(2500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Gaps between two calls, in milliseconds.
-const FIRST_GAP: f64 = 50.0;
-const LONGEST_GAP: f64 = 500.0;
+const FIRST_BACKOFF_MS: f64 = 50.0;
+const MAX_BACKOFF_MS: f64 = 500.0;
 
 /// The number of the last event that was taken in.
 #[derive(Clone)]
-pub struct Had(Rc<(Cell<u64>, Notify)>);
+pub struct AppliedSeq(Rc<(Cell<u64>, Notify)>);
 
-impl Had {
+impl AppliedSeq {
     pub fn new(last: u64) -> Self {
         Self(Rc::new((Cell::new(last), Notify::new())))
     }
@@ -45,7 +45,7 @@
     }
 
     /// What came can't be taken in: the present call is of no more use.
-    pub fn ask_again(&self) {
+    pub fn request_again(&self) {
         self.0.1.notify_one();
     }
 
@@ -61,18 +61,18 @@
 /// `address` may change while the proxy runs; the events' numbers go on.
 pub async fn follow(
     mut address: watch::Receiver<SocketAddr>,
-    had: Had,
+    applied_seq: AppliedSeq,
     seed: u64,
-    news: mpsc::Sender<PoolUpdates>,
+    updates: mpsc::Sender<PoolUpdates>,
 ) {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let mut backoff = Backoff::new(FIRST_GAP, LONGEST_GAP);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
+    let mut backoff = Backoff::new(FIRST_BACKOFF_MS, MAX_BACKOFF_MS);
     loop {
-        let since = Instant::now();
-        let at = *address.borrow_and_update();
-        let broke = tokio::select! {
-            broke = answer(at, &had, &news) => broke,
-            () = had.refused() => Err(anyhow!("what it told can't be taken in")),
+        let started = Instant::now();
+        let current = *address.borrow_and_update();
+        let failure = tokio::select! {
+            failure = request_changes(current, &applied_seq, &updates) => failure,
+            () = applied_seq.refused() => Err(anyhow!("what it told can't be taken in")),
             changed = address.changed() => {
                 if changed.is_err() {
                     return;
@@ -81,44 +81,48 @@
                 continue;
             }
         };
-        if news.is_closed() {
+        if updates.is_closed() {
             return;
         }
-        backoff.lived(since.elapsed().as_secs_f64() * 1000.0);
-        let gap = backoff.gap(&mut chance);
-        let Err(error) = broke;
-        tracing::info!(gap_ms = gap as u64, "changelog.broke: {error:#}");
+        backoff.record_lifetime(started.elapsed().as_secs_f64() * 1000.0);
+        let wait = backoff.next_wait(&mut rng);
+        let Err(error) = failure;
+        tracing::info!(gap_ms = wait as u64, "changelog.broke: {error:#}");
         tokio::select! {
-            () = tokio::time::sleep(Duration::from_secs_f64(gap / 1000.0)) => {}
+            () = tokio::time::sleep(Duration::from_secs_f64(wait / 1000.0)) => {}
             _ = address.changed() => {}
         }
     }
 }
 
 /// One call, read until it ends.
-async fn answer(address: SocketAddr, had: &Had, news: &mpsc::Sender<PoolUpdates>) -> Result<Infallible> {
+async fn request_changes(
+    address: SocketAddr,
+    applied_seq: &AppliedSeq,
+    updates: &mpsc::Sender<PoolUpdates>,
+) -> Result<Infallible> {
     let stream =
-        tokio::time::timeout(ANSWER_WAIT, TcpStream::connect(address)).await.context("connecting")??;
+        tokio::time::timeout(RESPONSE_TIMEOUT, TcpStream::connect(address)).await.context("connecting")??;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let connection = tokio::spawn(connection);
     // Whatever ends this call ends the connection with it.
-    let _ended = AbortOnDrop(connection.abort_handle());
-    let mut follower = ChangelogReader::new(had.last());
+    let _abort_on_return = AbortOnDrop(connection.abort_handle());
+    let mut reader = ChangelogReader::new(applied_seq.last());
     let request = Request::get("/changes")
         .header(header::HOST, address.to_string())
         .header(header::ACCEPT, "text/event-stream")
-        .header("Last-Event-ID", follower.last_seq())
+        .header("Last-Event-ID", reader.last_seq())
         .body(Empty::<Bytes>::new())?;
-    let answer =
-        tokio::time::timeout(ANSWER_WAIT, sender.send_request(request)).await.context("asking")??;
-    ensure!(answer.status() == StatusCode::OK, "it answered {}", answer.status());
-    let mut body = answer.into_body();
+    let response =
+        tokio::time::timeout(RESPONSE_TIMEOUT, sender.send_request(request)).await.context("asking")??;
+    ensure!(response.status() == StatusCode::OK, "it answered {}", response.status());
+    let mut body = response.into_body();
     loop {
-        let frame = tokio::time::timeout(SILENCE, body.frame()).await.context("silent")?;
+        let frame = tokio::time::timeout(SILENCE_TIMEOUT, body.frame()).await.context("silent")?;
         let Some(frame) = frame else { bail!("the answer ended") };
         let Ok(data) = frame?.into_data() else { continue };
-        for change in follower.read(&data)? {
-            news.send(change).await?;
+        for update in reader.read(&data)? {
+            updates.send(update).await?;
         }
     }
 }
--- a/daemon/src/connections.rs
+++ b/daemon/src/connections.rs
@@ -1,8 +1,8 @@
 //! Connections of a running border proxy: what is read of them and when, what is still to be written, dials.
 //! Nothing is decided here.
 //!
-//! [`Wires::add`] takes a connection up. An [`Arrival`] says that one has something to be read;
-//! [`Wires::read`] then gives it, in the order in which it came, and [`Wires::look`] gives at any time what
+//! [`Connections::add`] takes a connection up. An [`ConnectionEvent`] says that one has something to be read;
+//! [`Connections::read`] then gives it, in the order in which it came, and [`Connections::read_now`] gives at any time what
 //! has come by now, whether its arrival was told or not.
 
 use std::cell::{Cell, RefCell};
@@ -20,27 +20,27 @@
 use tokio::task::AbortHandle;
 
 /// Bytes read from a connection at a time, so that each gets its turn.
-const READ: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 /// Bytes that wait for a connection which does not read; past that it is closed.
-const OUTBOX: usize = 256 * 1024;
+const MAX_OUTBOX_BYTES: usize = 256 * 1024;
 /// A connection that was dismissed reads on for so long, and no more than so many bytes, so that what it was
 /// told last is not lost with what it still sends.
-const DISMISSED: Duration = Duration::from_millis(2000);
-const DISCARDED: usize = 128 << 20;
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(2000);
+const MAX_DISCARDED_BYTES: usize = 128 << 20;
 
 /// What the tasks of connections tell; each has one untold arrival of a kind at most, so that they need no
 /// bound.
-pub enum Arrival {
-    Up(ConnectionId, TcpStream),
+pub enum ConnectionEvent {
+    Connected(ConnectionId, TcpStream),
     /// It has something to be read, or has ended.
     Readable(ConnectionId),
     /// All that was to be written is written.
-    Drained(ConnectionId),
-    Broke(ConnectionId, ConnectionError),
+    OutboxEmpty(ConnectionId),
+    Failed(ConnectionId, ConnectionError),
 }
 
 /// What a connection holds.
-pub enum Found {
+pub enum ReadResult {
     Bytes(Bytes),
     Nothing,
     /// Nothing more will come.
@@ -48,59 +48,75 @@
 }
 
 /// What is kept of one connection.
-struct Wire {
+struct Connection {
     stream: Rc<TcpStream>,
     outbox: Rc<RefCell<BytesMut>>,
     /// There is something in the outbox.
-    filled: Rc<Notify>,
+    outbox_filled: Rc<Notify>,
     /// What was told as readable has been read, or the connection is dismissed.
-    read_on: Rc<Notify>,
-    dismissed: Rc<Cell<bool>>,
+    resume_reading: Rc<Notify>,
+    flushing: Rc<Cell<bool>>,
     /// Attempts that wait until it takes what is written.
-    waiting: VecDeque<QueuedAttempt>,
+    queued_attempts: VecDeque<QueuedAttempt>,
     /// The attempt whose last bytes are in the outbox.
-    unfinished: Option<QueuedAttempt>,
+    partial_attempt: Option<QueuedAttempt>,
     tasks: [AbortHandle; 2],
 }
 
-impl Drop for Wire {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.tasks.iter().for_each(AbortHandle::abort);
     }
 }
 
-pub struct Wires {
-    wires: HashMap<ConnectionId, Wire>,
+pub struct Connections {
+    connections: HashMap<ConnectionId, Connection>,
     dials: HashMap<ConnectionId, AbortHandle>,
     /// Tasks that were told to end, and hold their descriptors until they have a turn.
-    ending: Vec<AbortHandle>,
-    arrivals: mpsc::UnboundedSender<Arrival>,
+    aborted_tasks: Vec<AbortHandle>,
+    events: mpsc::UnboundedSender<ConnectionEvent>,
 }
 
-impl Wires {
-    pub fn new(arrivals: mpsc::UnboundedSender<Arrival>) -> Self {
-        Self { wires: HashMap::new(), dials: HashMap::new(), ending: Vec::new(), arrivals }
+impl Connections {
+    pub fn new(events: mpsc::UnboundedSender<ConnectionEvent>) -> Self {
+        Self { connections: HashMap::new(), dials: HashMap::new(), aborted_tasks: Vec::new(), events }
     }
 
     pub fn add(&mut self, conn: ConnectionId, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let stream = Rc::new(stream);
         let outbox = Rc::new(RefCell::new(BytesMut::new()));
-        let (filled, read_on) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
-        let dismissed = Rc::new(Cell::new(false));
-        let reading = watch(conn, stream.clone(), read_on.clone(), dismissed.clone(), self.arrivals.clone());
-        let (out, arrivals) = (outbox.clone(), self.arrivals.clone());
-        let writing = write(conn, stream.clone(), out, filled.clone(), dismissed.clone(), arrivals);
+        let (outbox_filled, resume_reading) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
+        let flushing = Rc::new(Cell::new(false));
+        let reading = watch_readable(
+            conn,
+            stream.clone(),
+            resume_reading.clone(),
+            flushing.clone(),
+            self.events.clone(),
+        );
+        let (unwritten, events) = (outbox.clone(), self.events.clone());
+        let writing =
+            write_outbox(conn, stream.clone(), unwritten, outbox_filled.clone(), flushing.clone(), events);
         let reading = tokio::task::spawn_local(reading);
         let writing = tokio::task::spawn_local(writing);
         let tasks = [reading.abort_handle(), writing.abort_handle()];
-        let (waiting, unfinished) = (VecDeque::new(), None);
-        let wire = Wire { stream, outbox, filled, read_on, dismissed, waiting, unfinished, tasks };
-        self.wires.insert(conn, wire);
+        let (queued_attempts, partial_attempt) = (VecDeque::new(), None);
+        let connection = Connection {
+            stream,
+            outbox,
+            outbox_filled,
+            resume_reading,
+            flushing,
+            queued_attempts,
+            partial_attempt,
+            tasks,
+        };
+        self.connections.insert(conn, connection);
     }
 
     /// A dialled connection is up; false where nobody wants it any more.
-    pub fn up(&mut self, conn: ConnectionId, stream: TcpStream) -> bool {
+    pub fn connected(&mut self, conn: ConnectionId, stream: TcpStream) -> bool {
         let wanted = self.dials.remove(&conn).is_some();
         if wanted {
             self.add(conn, stream);
@@ -109,20 +125,20 @@
     }
 
     pub fn close(&mut self, conn: ConnectionId) {
-        if let Some(wire) = self.wires.remove(&conn) {
-            self.ending.extend(wire.tasks.clone());
+        if let Some(connection) = self.connections.remove(&conn) {
+            self.aborted_tasks.extend(connection.tasks.clone());
         }
         if let Some(dial) = self.dials.remove(&conn) {
             dial.abort();
-            self.ending.push(dial);
+            self.aborted_tasks.push(dial);
         }
     }
 
     /// Waits until what was closed holds no descriptor any more.
-    pub async fn closed(&mut self) {
+    pub async fn wait_closed(&mut self) {
         loop {
-            self.ending.retain(|task| !task.is_finished());
-            if self.ending.is_empty() {
+            self.aborted_tasks.retain(|task| !task.is_finished());
+            if self.aborted_tasks.is_empty() {
                 return;
             }
             tokio::task::yield_now().await;
@@ -130,44 +146,44 @@
     }
 
     /// What was told as readable; to be called once for each such arrival.
-    pub fn read(&mut self, conn: ConnectionId) -> Found {
-        let Some(wire) = self.wires.get(&conn) else { return Found::Nothing };
-        wire.read_on.notify_one();
-        if wire.dismissed.get() {
-            return Found::Nothing;
+    pub fn read(&mut self, conn: ConnectionId) -> ReadResult {
+        let Some(connection) = self.connections.get(&conn) else { return ReadResult::Nothing };
+        connection.resume_reading.notify_one();
+        if connection.flushing.get() {
+            return ReadResult::Nothing;
         }
-        let mut buffer = BytesMut::with_capacity(READ);
-        match wire.stream.try_read_buf(&mut buffer) {
-            Ok(0) => Found::End,
+        let mut buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
+        match connection.stream.try_read_buf(&mut buffer) {
+            Ok(0) => ReadResult::End,
             // Copied, so that no buffer is held while the connection is idle.
-            Ok(_) => Found::Bytes(Bytes::copy_from_slice(&buffer)),
-            Err(error) if error.kind() == ErrorKind::WouldBlock => Found::Nothing,
-            Err(_) => Found::End,
+            Ok(_) => ReadResult::Bytes(Bytes::copy_from_slice(&buffer)),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => ReadResult::Nothing,
+            Err(_) => ReadResult::End,
         }
     }
 
     /// What has come by now, asked of the system itself.
-    pub fn look(&self, conn: ConnectionId) -> Found {
-        let wire = self.wires.get(&conn).filter(|wire| !wire.dismissed.get());
-        let Some(wire) = wire else { return Found::Nothing };
-        let mut buffer = [0; READ];
-        match (&*SockRef::from(&*wire.stream)).read(&mut buffer) {
-            Ok(0) => Found::End,
-            Ok(n) => Found::Bytes(Bytes::copy_from_slice(&buffer[..n])),
+    pub fn read_now(&self, conn: ConnectionId) -> ReadResult {
+        let connection = self.connections.get(&conn).filter(|connection| !connection.flushing.get());
+        let Some(connection) = connection else { return ReadResult::Nothing };
+        let mut buffer = [0; READ_BUFFER_BYTES];
+        match (&*SockRef::from(&*connection.stream)).read(&mut buffer) {
+            Ok(0) => ReadResult::End,
+            Ok(n) => ReadResult::Bytes(Bytes::copy_from_slice(&buffer[..n])),
             Err(error) if [ErrorKind::WouldBlock, ErrorKind::Interrupted].contains(&error.kind()) => {
-                Found::Nothing
+                ReadResult::Nothing
             }
-            Err(_) => Found::End,
+            Err(_) => ReadResult::End,
         }
     }
 
     /// False where the connection takes no more.
     #[must_use]
     pub fn write(&mut self, conn: ConnectionId, mut bytes: Bytes) -> bool {
-        let Some(wire) = self.wires.get(&conn) else { return true };
-        let mut outbox = wire.outbox.borrow_mut();
+        let Some(connection) = self.connections.get(&conn) else { return true };
+        let mut outbox = connection.outbox.borrow_mut();
         while outbox.is_empty() && !bytes.is_empty() {
-            match wire.stream.try_write(&bytes) {
+            match connection.stream.try_write(&bytes) {
                 Ok(n) => bytes.advance(n),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 // The reader hears of it too.
@@ -177,130 +193,134 @@
         if bytes.is_empty() {
             return true;
         }
-        if outbox.len() + bytes.len() > OUTBOX {
+        if outbox.len() + bytes.len() > MAX_OUTBOX_BYTES {
             return false;
         }
         outbox.extend_from_slice(&bytes);
-        wire.filled.notify_one();
+        connection.outbox_filled.notify_one();
         true
     }
 
     /// Whether something is still to be written.
-    pub fn is_choked(&self, conn: ConnectionId) -> bool {
-        self.wires.get(&conn).is_some_and(|wire| !wire.outbox.borrow().is_empty())
+    pub fn has_unwritten(&self, conn: ConnectionId) -> bool {
+        self.connections.get(&conn).is_some_and(|connection| !connection.outbox.borrow().is_empty())
     }
 
-    pub fn is_any_choked(&self) -> bool {
-        self.wires.values().any(|wire| !wire.outbox.borrow().is_empty())
+    pub fn any_unwritten(&self) -> bool {
+        self.connections.values().any(|connection| !connection.outbox.borrow().is_empty())
     }
 
     /// An attempt waits until the connection takes what is written.
-    pub fn wait_with(&mut self, set_up: QueuedAttempt) {
-        if let Some(wire) = self.wires.get_mut(&set_up.conn) {
-            wire.waiting.push_back(set_up);
+    pub fn queue_attempt(&mut self, queued: QueuedAttempt) {
+        if let Some(connection) = self.connections.get_mut(&queued.conn) {
+            connection.queued_attempts.push_back(queued);
         }
     }
 
     /// An attempt has been written, whole or in part.
-    pub fn written(&mut self, set_up: QueuedAttempt) {
-        if let Some(wire) = self.wires.get_mut(&set_up.conn) {
-            wire.unfinished = (!wire.outbox.borrow().is_empty()).then_some(set_up);
+    pub fn attempt_written(&mut self, queued: QueuedAttempt) {
+        if let Some(connection) = self.connections.get_mut(&queued.conn) {
+            connection.partial_attempt = (!connection.outbox.borrow().is_empty()).then_some(queued);
         }
     }
 
     /// Whether the last bytes of an attempt are still to be written.
-    pub fn is_unfinished(&self, set_up: QueuedAttempt) -> bool {
-        self.wires.get(&set_up.conn).is_some_and(|wire| wire.unfinished == Some(set_up))
+    pub fn is_partially_written(&self, queued: QueuedAttempt) -> bool {
+        self.connections
+            .get(&queued.conn)
+            .is_some_and(|connection| connection.partial_attempt == Some(queued))
     }
 
     /// The connection has taken all that was written; gives the attempts that waited for that.
-    pub fn drained(&mut self, conn: ConnectionId) -> VecDeque<QueuedAttempt> {
+    pub fn outbox_emptied(&mut self, conn: ConnectionId) -> VecDeque<QueuedAttempt> {
         // Where more was written since, that comes first.
-        let drained = |wire: &&mut Wire| wire.outbox.borrow().is_empty();
-        let Some(wire) = self.wires.get_mut(&conn).filter(drained) else { return VecDeque::new() };
-        wire.unfinished = None;
-        std::mem::take(&mut wire.waiting)
+        let is_empty = |connection: &&mut Connection| connection.outbox.borrow().is_empty();
+        let Some(connection) = self.connections.get_mut(&conn).filter(is_empty) else {
+            return VecDeque::new();
+        };
+        connection.partial_attempt = None;
+        std::mem::take(&mut connection.queued_attempts)
     }
 
-    pub fn dial(&mut self, conn: ConnectionId, address: SocketAddr, within: f64) {
-        let arrivals = self.arrivals.clone();
+    pub fn dial(&mut self, conn: ConnectionId, address: SocketAddr, timeout_ms: f64) {
+        let events = self.events.clone();
         let dial = tokio::task::spawn_local(async move {
-            let within = Duration::from_secs_f64(within / 1000.0);
-            let arrival = match tokio::time::timeout(within, TcpStream::connect(address)).await {
-                Ok(Ok(stream)) => Arrival::Up(conn, stream),
+            let timeout = Duration::from_secs_f64(timeout_ms / 1000.0);
+            let event = match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
+                Ok(Ok(stream)) => ConnectionEvent::Connected(conn, stream),
                 Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
-                    Arrival::Broke(conn, ConnectionError::Refused)
+                    ConnectionEvent::Failed(conn, ConnectionError::Refused)
                 }
-                Ok(Err(_)) => Arrival::Broke(conn, ConnectionError::Closed),
-                Err(_) => Arrival::Broke(conn, ConnectionError::TimedOut),
+                Ok(Err(_)) => ConnectionEvent::Failed(conn, ConnectionError::Closed),
+                Err(_) => ConnectionEvent::Failed(conn, ConnectionError::TimedOut),
             };
-            let _ = arrivals.send(arrival);
+            let _ = events.send(event);
         });
         self.dials.insert(conn, dial.abort_handle());
     }
 
     /// The connection ends once it has nothing more to send.
-    pub fn dismiss(&mut self, conn: ConnectionId) {
-        let Some(wire) = self.wires.get(&conn) else { return };
-        wire.dismissed.set(true);
-        wire.filled.notify_one();
-        wire.read_on.notify_one();
+    pub fn flush_and_close(&mut self, conn: ConnectionId) {
+        let Some(connection) = self.connections.get(&conn) else { return };
+        connection.flushing.set(true);
+        connection.outbox_filled.notify_one();
+        connection.resume_reading.notify_one();
     }
 
     /// Says on all connections that nothing more will be sent, and gives up what is on its way; what still
     /// comes is read and let fall, since a connection that is closed with bytes unread takes back what was
     /// just sent.
-    pub async fn end(&mut self, within: Duration) {
+    pub async fn shut_down(&mut self, timeout: Duration) {
         self.dials.drain().for_each(|(_, dial)| dial.abort());
-        for wire in self.wires.values() {
-            let _ = SockRef::from(&*wire.stream).shutdown(Shutdown::Write);
+        for connection in self.connections.values() {
+            let _ = SockRef::from(&*connection.stream).shutdown(Shutdown::Write);
         }
-        let end = tokio::time::Instant::now() + within;
-        let conns: Vec<ConnectionId> = self.wires.keys().copied().collect();
+        let deadline = tokio::time::Instant::now() + timeout;
+        let conns: Vec<ConnectionId> = self.connections.keys().copied().collect();
         for conn in conns {
-            let stream = self.wires[&conn].stream.clone();
-            let _ = tokio::time::timeout_at(end, discard(&stream)).await;
+            let stream = self.connections[&conn].stream.clone();
+            let _ = tokio::time::timeout_at(deadline, discard(&stream)).await;
         }
     }
 }
 
 /// Tells when a connection can be read, once for each time that it has been.
-async fn watch(
+async fn watch_readable(
     conn: ConnectionId,
     stream: Rc<TcpStream>,
-    read_on: Rc<Notify>,
-    dismissed: Rc<Cell<bool>>,
-    arrivals: mpsc::UnboundedSender<Arrival>,
+    resume_reading: Rc<Notify>,
+    flushing: Rc<Cell<bool>>,
+    events: mpsc::UnboundedSender<ConnectionEvent>,
 ) {
-    while !dismissed.get() {
+    while !flushing.get() {
         tokio::select! {
             readable = stream.readable() => if readable.is_err() {
                 break;
             },
-            () = read_on.notified() => continue,
+            () = resume_reading.notified() => continue,
         }
-        if arrivals.send(Arrival::Readable(conn)).is_err() {
+        if events.send(ConnectionEvent::Readable(conn)).is_err() {
             return;
         }
-        read_on.notified().await;
+        resume_reading.notified().await;
     }
-    if dismissed.get() {
-        let _ = tokio::time::timeout(DISMISSED, discard(&stream)).await;
+    if flushing.get() {
+        let _ = tokio::time::timeout(FLUSH_TIMEOUT, discard(&stream)).await;
     }
-    let _ = arrivals.send(Arrival::Broke(conn, ConnectionError::Closed));
+    let _ = events.send(ConnectionEvent::Failed(conn, ConnectionError::Closed));
 }
 
 /// Reads and lets fall what comes, until the other end closes or has sent too much.
 async fn discard(stream: &TcpStream) {
     let mut discarded = 0;
     while stream.readable().await.is_ok() {
-        match stream.try_read(&mut [0; READ]) {
+        match stream.try_read(&mut [0; READ_BUFFER_BYTES]) {
             Ok(0) => return,
             Ok(n) => discarded += n,
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             Err(_) => return,
         }
-        if discarded > DISCARDED {
+        if discarded > MAX_DISCARDED_BYTES {
             return;
         }
         tokio::task::yield_now().await;
@@ -308,17 +328,17 @@
 }
 
 /// Writes what found no room at once; a dismissed connection says no more after that.
-async fn write(
+async fn write_outbox(
     conn: ConnectionId,
     stream: Rc<TcpStream>,
     outbox: Rc<RefCell<BytesMut>>,
-    filled: Rc<Notify>,
-    dismissed: Rc<Cell<bool>>,
-    arrivals: mpsc::UnboundedSender<Arrival>,
+    outbox_filled: Rc<Notify>,
+    flushing: Rc<Cell<bool>>,
+    events: mpsc::UnboundedSender<ConnectionEvent>,
 ) {
     loop {
-        filled.notified().await;
-        let choked = !outbox.borrow().is_empty();
+        outbox_filled.notified().await;
+        let had_unwritten = !outbox.borrow().is_empty();
         while !outbox.borrow().is_empty() {
             if stream.writable().await.is_err() {
                 return;
@@ -331,10 +351,10 @@
             }
         }
         *outbox.borrow_mut() = BytesMut::new();
-        if choked {
-            let _ = arrivals.send(Arrival::Drained(conn));
+        if had_unwritten {
+            let _ = events.send(ConnectionEvent::OutboxEmpty(conn));
         }
-        if dismissed.get() {
+        if flushing.get() {
             let _ = SockRef::from(&*stream).shutdown(Shutdown::Write);
             return;
         }
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -12,7 +12,7 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::{mpsc, oneshot};
 
-const WORDS: &str = "status, members, suspicions, gossip, limits, council, outs, distribution, changes, a wish, rekey or stop";
+const COMMANDS: &str = "status, members, suspicions, gossip, limits, council, outs, distribution, changes, a wish, rekey or stop";
 /// What a proxy without gossip says of it.
 pub const NO_GOSSIP: &str = "this proxy has no [gossip]";
 const NO_FLEET: &str = "this proxy has no [fleet]";
@@ -22,7 +22,7 @@
 
 /// What an operator asks for, with where the answer goes.
 #[derive(Debug)]
-pub enum Ask {
+pub enum Request {
     Status(oneshot::Sender<Box<Status>>),
     /// None where there is no gossip.
     Gossip(oneshot::Sender<Option<GossipStatus>>),
@@ -30,13 +30,13 @@
     Limits(oneshot::Sender<Option<LimitsStatus>>),
     /// None where nothing is decided for all.
     Council(oneshot::Sender<Option<CouncilStatus>>),
-    Outs(oneshot::Sender<Option<AvailabilityStatus>>),
+    Availability(oneshot::Sender<Option<AvailabilityStatus>>),
     /// None where nothing is distributed by scope.
     Distribution(oneshot::Sender<Option<DistributionStatus>>),
     /// None where this proxy serves no subscribers.
     Changes(oneshot::Sender<Option<Vec<ChangeStatus>>>),
     /// Have something decided, or see what it would come to.
-    Wish(CommandRequest, oneshot::Sender<Result<CommandOutcome, String>>),
+    Command(CommandRequest, oneshot::Sender<Result<CommandOutcome, String>>),
     /// Read the key files again; what is wrong with them, if anything.
     Rekey(oneshot::Sender<Result<(), String>>),
     Stop,
@@ -54,32 +54,32 @@
 }
 
 /// Takes operators' connections until the proxy is gone.
-pub async fn serve(listener: UnixListener, asks: mpsc::Sender<Ask>) {
+pub async fn serve(listener: UnixListener, requests: mpsc::Sender<Request>) {
     while let Ok((stream, _)) = listener.accept().await {
-        let asks = asks.clone();
+        let requests = requests.clone();
         tokio::spawn(async move {
-            if let Err(error) = answer(stream, asks).await {
+            if let Err(error) = answer_requests(stream, requests).await {
                 tracing::debug!("control.broke: {error:#}");
             }
         });
     }
 }
 
-async fn answer(stream: UnixStream, asks: mpsc::Sender<Ask>) -> Result<()> {
-    let (from, mut to) = stream.into_split();
-    let mut from = BufReader::new(from.take(4096));
+async fn answer_requests(stream: UnixStream, requests: mpsc::Sender<Request>) -> Result<()> {
+    let (reader, mut writer) = stream.into_split();
+    let mut reader = BufReader::new(reader.take(4096));
     let mut line = String::new();
-    while from.read_line(&mut line).await? > 0 {
-        let mut answer = match line.trim() {
+    while reader.read_line(&mut line).await? > 0 {
+        let mut response = match line.trim() {
             "status" => {
-                let (give, take) = oneshot::channel();
-                asks.send(Ask::Status(give)).await?;
-                serde_json::to_string(&take.await?)?
+                let (reply, reply_receiver) = oneshot::channel();
+                requests.send(Request::Status(reply)).await?;
+                serde_json::to_string(&reply_receiver.await?)?
             }
             word @ ("members" | "suspicions" | "gossip") => {
-                let (give, take) = oneshot::channel();
-                asks.send(Ask::Gossip(give)).await?;
-                match (take.await?, word) {
+                let (reply, reply_receiver) = oneshot::channel();
+                requests.send(Request::Gossip(reply)).await?;
+                match (reply_receiver.await?, word) {
                     (None, _) => serde_json::json!({ "error": NO_GOSSIP }).to_string(),
                     (Some(gossip), "members") => serde_json::to_string(&gossip.members)?,
                     (Some(gossip), "suspicions") => serde_json::to_string(&gossip.suspicions)?,
@@ -87,66 +87,66 @@
                 }
             }
             "limits" => {
-                let (give, take) = oneshot::channel();
-                asks.send(Ask::Limits(give)).await?;
-                told(take.await?, NO_FLEET)?
+                let (reply, reply_receiver) = oneshot::channel();
+                requests.send(Request::Limits(reply)).await?;
+                status_json(reply_receiver.await?, NO_FLEET)?
             }
             "council" => {
-                let (give, take) = oneshot::channel();
-                asks.send(Ask::Council(give)).await?;
-                told(take.await?, NO_COUNCIL)?
+                let (reply, reply_receiver) = oneshot::channel();
+                requests.send(Request::Council(reply)).await?;
+                status_json(reply_receiver.await?, NO_COUNCIL)?
             }
             "outs" => {
-                let (give, take) = oneshot::channel();
-                asks.send(Ask::Outs(give)).await?;
-                told(take.await?, NO_COUNCIL)?
+                let (reply, reply_receiver) = oneshot::channel();
+                requests.send(Request::Availability(reply)).await?;
+                status_json(reply_receiver.await?, NO_COUNCIL)?
             }
             "distribution" => {
-                let (give, take) = oneshot::channel();
-                asks.send(Ask::Distribution(give)).await?;
-                told(take.await?, NO_DISTRIBUTION)?
+                let (reply, reply_receiver) = oneshot::channel();
+                requests.send(Request::Distribution(reply)).await?;
+                status_json(reply_receiver.await?, NO_DISTRIBUTION)?
             }
             "changes" => {
-                let (give, take) = oneshot::channel();
-                asks.send(Ask::Changes(give)).await?;
-                told(take.await?, NO_CHANGES)?
+                let (reply, reply_receiver) = oneshot::channel();
+                requests.send(Request::Changes(reply)).await?;
+                status_json(reply_receiver.await?, NO_CHANGES)?
             }
-            wish if wish.starts_with('{') => match serde_json::from_str(wish) {
+            request if request.starts_with('{') => match serde_json::from_str(request) {
                 Err(error) => serde_json::json!({ "error": format!("wish: {error}") }).to_string(),
-                Ok(wished) => {
-                    let (give, take) = oneshot::channel();
-                    asks.send(Ask::Wish(wished, give)).await?;
-                    match take.await? {
-                        Ok(answer) => serde_json::to_string(&answer)?,
+                Ok(command) => {
+                    let (reply, reply_receiver) = oneshot::channel();
+                    requests.send(Request::Command(command, reply)).await?;
+                    match reply_receiver.await? {
+                        Ok(response) => serde_json::to_string(&response)?,
                         Err(error) => serde_json::json!({ "error": error }).to_string(),
                     }
                 }
             },
             "rekey" => {
-                let (give, take) = oneshot::channel();
-                asks.send(Ask::Rekey(give)).await?;
-                match take.await? {
+                let (reply, reply_receiver) = oneshot::channel();
+                requests.send(Request::Rekey(reply)).await?;
+                match reply_receiver.await? {
                     Ok(()) => "{\"rekeyed\":true}".to_owned(),
                     Err(error) => serde_json::json!({ "error": error }).to_string(),
                 }
             }
             "stop" => {
-                asks.send(Ask::Stop).await?;
+                requests.send(Request::Stop).await?;
                 "{\"stopping\":true}".to_owned()
             }
-            other => serde_json::json!({ "error": format!("no use for {other:?}; {WORDS}") }).to_string(),
+            other => serde_json::json!({ "error": format!("no use for {other:?}; {COMMANDS}") }).to_string(),
         };
-        answer.push('\n');
-        to.write_all(answer.as_bytes()).await?;
+        response.push('\n');
+        writer.write_all(response.as_bytes()).await?;
         line.clear();
     }
     Ok(())
 }
 
-fn told(what: Option<impl Serialize>, none: &str) -> Result<String> {
-    Ok(match what {
-        None => serde_json::json!({ "error": none }).to_string(),
-        Some(what) => serde_json::to_string(&what)?,
+fn status_json(status: Option<impl Serialize>, absent: &str) -> Result<String> {
+    Ok(match status {
+        None => serde_json::json!({ "error": absent }).to_string(),
+        Some(status) => serde_json::to_string(&status)?,
     })
 }
 
--- a/daemon/src/council.rs
+++ b/daemon/src/council.rs
@@ -12,19 +12,19 @@
 use tokio::sync::mpsc;
 
 /// The file, while this process has it.
-pub struct Keeper {
+pub struct CouncilFile {
     path: PathBuf,
     file: Arc<Mutex<Option<File>>>,
-    told: mpsc::Sender<io::Result<()>>,
+    results: mpsc::Sender<io::Result<()>>,
     _lock: File,
 }
 
-impl Keeper {
+impl CouncilFile {
     /// Reads what the file holds, and keeps other processes from it. What each write came to is told over
     /// `told`.
     pub fn open(
         path: &Path,
-        told: mpsc::Sender<io::Result<()>>,
+        results: mpsc::Sender<io::Result<()>>,
     ) -> Result<(Self, Result<PersistedState, RecoveryError>)> {
         let folder = path.parent().context("a file in a folder wanted")?;
         fs::create_dir_all(folder)?;
@@ -33,48 +33,48 @@
         if lock.try_lock().is_err() {
             bail!("another process has it");
         }
-        let found = match fs::read(path) {
+        let recovered = match fs::read(path) {
             Ok(bytes) => recover(&bytes),
             Err(error) if error.kind() == io::ErrorKind::NotFound => Err(RecoveryError::Empty),
             Err(error) => return Err(error.into()),
         };
-        if let Err(lost @ (RecoveryError::Damaged { .. } | RecoveryError::Inconsistent)) = &found {
+        if let Err(lost @ (RecoveryError::Damaged { .. } | RecoveryError::Inconsistent)) = &recovered {
             // Kept for whoever wants to look; this proxy has no vote by it any more.
-            let aside = path.with_extension("damaged");
-            tracing::error!(aside = %aside.display(), "council.state_lost: {lost}");
-            fs::rename(path, aside)?;
+            let damaged_copy = path.with_extension("damaged");
+            tracing::error!(aside = %damaged_copy.display(), "council.state_lost: {lost}");
+            fs::rename(path, damaged_copy)?;
         }
         let file = Arc::new(Mutex::new(None));
-        Ok((Self { path: path.to_owned(), file, told, _lock: lock }, found))
+        Ok((Self { path: path.to_owned(), file, results, _lock: lock }, recovered))
     }
 
     /// Begins to write and sync.
     pub fn write(&self, write: DiskWrite) {
-        let (path, file, told) = (self.path.clone(), self.file.clone(), self.told.clone());
+        let (path, file, results) = (self.path.clone(), self.file.clone(), self.results.clone());
         tokio::task::spawn_blocking(move || {
             let mut file = file.lock().expect("no writer panics");
-            let done = if write.replaces_file {
-                put(&path, &write.bytes).map(|put| *file = Some(put))
+            let result = if write.replaces_file {
+                replace_file(&path, &write.bytes).map(|replace_file| *file = Some(replace_file))
             } else {
-                add(&file, &write.bytes)
+                append(&file, &write.bytes)
             };
-            let _ = told.blocking_send(done);
+            let _ = results.blocking_send(result);
         });
     }
 }
 
 /// A whole new file in the place of the old one, or the old one still.
-fn put(path: &Path, bytes: &[u8]) -> io::Result<File> {
+fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<File> {
     let folder = path.parent().unwrap_or(Path::new("."));
-    let mut fresh = tempfile::NamedTempFile::new_in(folder)?;
-    fresh.write_all(bytes)?;
-    fresh.as_file().sync_all()?;
-    let file = fresh.persist(path)?;
+    let mut temporary = tempfile::NamedTempFile::new_in(folder)?;
+    temporary.write_all(bytes)?;
+    temporary.as_file().sync_all()?;
+    let file = temporary.persist(path)?;
     File::open(folder)?.sync_all()?;
     Ok(file)
 }
 
-fn add(file: &Option<File>, bytes: &[u8]) -> io::Result<()> {
+fn append(file: &Option<File>, bytes: &[u8]) -> io::Result<()> {
     let mut file = file.as_ref().ok_or_else(|| io::Error::other("nothing was written yet"))?;
     file.write_all(bytes)?;
     file.sync_data()
--- a/daemon/src/distribution.rs
+++ b/daemon/src/distribution.rs
@@ -17,7 +17,9 @@
 use gossip::keys::Roster;
 
 use crate::keys::{self, Keyring};
-use crate::settings::{DistributionPlan, DistributionRole, Plan, ServedPlan, SubscriberPlan};
+use crate::settings::{
+    DistributionRole, DistributionSettings, ProxySettings, ServiceSettings, SubscriberSettings,
+};
 
 /// The file of a subscriber's state.
 pub struct StateFile {
@@ -69,15 +71,15 @@
     }
 
     fn write(&self, bytes: &[u8]) {
-        if let Err(error) = crate::run::write_whole(&self.path, bytes) {
+        if let Err(error) = crate::run::write_atomically(&self.path, bytes) {
             tracing::warn!(file = %self.path.display(), "distribution.unwritten: {error:#}");
         }
     }
 }
 
 /// Where a subscriber listens.
-pub fn listens(plan: &Plan) -> Option<&SubscriberPlan> {
-    match &plan.distribution.as_ref()?.role {
+pub fn subscriber_settings(settings: &ProxySettings) -> Option<&SubscriberSettings> {
+    match &settings.distribution.as_ref()?.role {
         DistributionRole::Subscriber(subscriber) => Some(subscriber),
         DistributionRole::Control(_) => None,
     }
@@ -85,18 +87,18 @@
 
 /// Lets the proxy take part in the distribution by its settings, if it does. A control machine has to decide
 /// with others before. Gives the file that a subscriber keeps.
-pub fn begin(
+pub fn start(
     proxy: &mut BorderProxy<impl Decisions>,
-    plan: &Plan,
+    settings: &ProxySettings,
     seed: u64,
     now: f64,
-    unix: f64,
+    unix_ms: f64,
 ) -> Result<Option<StateFile>> {
-    let Some(distribution) = &plan.distribution else { return Ok(None) };
-    match (&distribution.role, &plan.gossip) {
+    let Some(distribution) = &settings.distribution else { return Ok(None) };
+    match (&distribution.role, &settings.gossip) {
         (DistributionRole::Subscriber(subscriber), _) => {
             let file = StateFile::new(subscriber.file.clone());
-            let mut subscription = subscribe(subscriber, distribution, &plan.name, seed, now, unix)?;
+            let mut subscription = subscribe(subscriber, distribution, &settings.name, seed, now, unix_ms)?;
             if let Some(bytes) = file.read() {
                 let restored = subscription.restore(&bytes);
                 let (scopes, unproved) = (restored.scopes, restored.unproved);
@@ -105,56 +107,56 @@
             proxy.enable_distribution(Distribution::Subscribes(Box::new(subscription)));
             Ok(Some(file))
         }
-        (DistributionRole::Control(served), Some(gossip)) => {
-            let Keyring { secrets, .. } = Keyring::read(gossip, &plan.name).context("gossip")?;
-            let roster = keys::read_roster(&served.subscribers).context("distribution.subscribers")?;
-            let terms = service_terms(served, distribution.heartbeat);
-            let service = Service::new(terms, secrets, roster, seed, now, unix);
-            proxy.enable_distribution(Distribution::Serves(Box::new(service)));
+        (DistributionRole::Control(service), Some(gossip)) => {
+            let Keyring { secrets, .. } = Keyring::read(gossip, &settings.name).context("gossip")?;
+            let roster = keys::read_roster(&service.subscribers).context("distribution.subscribers")?;
+            let terms = service_terms(service, distribution.heartbeat);
+            let service_state = Service::new(terms, secrets, roster, seed, now, unix_ms);
+            proxy.enable_distribution(Distribution::Serves(Box::new(service_state)));
             Ok(None)
         }
         (DistributionRole::Control(_), None) => Ok(None),
     }
 }
 
-fn service_terms(served: &ServedPlan, heartbeat: f64) -> ServiceTerms {
+fn service_terms(service: &ServiceSettings, heartbeat: f64) -> ServiceTerms {
     ServiceTerms {
         heartbeat,
-        max_subscribers: served.most_subscribers,
-        bytes_per_second: served.bytes_per_second,
-        subscriber_bytes_per_second: served.subscriber_bytes_per_second,
-        snapshots_at_once: served.snapshots_at_once,
+        max_subscribers: service.max_subscribers,
+        bytes_per_second: service.bytes_per_second,
+        subscriber_bytes_per_second: service.subscriber_bytes_per_second,
+        snapshots_at_once: service.snapshots_at_once,
     }
 }
 
 fn subscribe(
-    plan: &SubscriberPlan,
-    distribution: &DistributionPlan,
+    settings: &SubscriberSettings,
+    distribution: &DistributionSettings,
     name: &str,
     seed: u64,
     now: f64,
-    unix: f64,
+    unix_ms: f64,
 ) -> Result<Subscription> {
-    let Keyring { secrets, roster } = Keyring::read(plan, name).context("distribution")?;
-    let founders = plan.founders.iter().map(|name| named(&roster, "founders", name));
-    let controls = plan.controls.iter().map(|control| {
-        let id = named(&roster, "control", &control.name)?;
+    let Keyring { secrets, roster } = Keyring::read(settings, name).context("distribution")?;
+    let members = settings.bootstrap_members.iter().map(|name| roster_id(&roster, "founders", name));
+    let controls = settings.controls.iter().map(|control| {
+        let id = roster_id(&roster, "control", &control.name)?;
         let machine = ControlMachine { id, region: control.region };
         Ok(ControlAddress { machine, address: control.address })
     });
     let terms = SubscriptionTerms {
-        region: plan.region,
+        region: settings.region,
         controls: controls.collect::<Result<_>>()?,
-        bootstrap_members: founders.collect::<Result<_>>()?,
-        scopes: plan.scopes.clone(),
+        bootstrap_members: members.collect::<Result<_>>()?,
+        scopes: settings.scopes.clone(),
         heartbeat: distribution.heartbeat,
     };
-    Ok(Subscription::new(terms, FleetKeys { secrets, roster }, seed, now, unix))
+    Ok(Subscription::new(terms, FleetKeys { secrets, roster }, seed, now, unix_ms))
 }
 
-fn named(roster: &Roster, key: &str, name: &str) -> Result<Id> {
-    let found = roster.ids().find(|&id| roster.name(id) == Some(name));
-    found.with_context(|| format!("distribution.{key}: {name}: not in the roster"))
+fn roster_id(roster: &Roster, key: &str, name: &str) -> Result<Id> {
+    let id = roster.ids().find(|&id| roster.name(id) == Some(name));
+    id.with_context(|| format!("distribution.{key}: {name}: not in the roster"))
 }
 
 /// Reads the key files and rosters of the distribution again.
@@ -162,16 +164,16 @@
 /// # Errors
 ///
 /// What is wrong with them; the proxy goes on with the former ones then.
-pub fn rekey(proxy: &mut BorderProxy<impl Decisions>, plan: &Plan) -> Result<()> {
-    let Some(distribution) = &plan.distribution else { return Ok(()) };
-    let (secrets, roster) = match (&distribution.role, &plan.gossip) {
+pub fn rekey(proxy: &mut BorderProxy<impl Decisions>, settings: &ProxySettings) -> Result<()> {
+    let Some(distribution) = &settings.distribution else { return Ok(()) };
+    let (secrets, roster) = match (&distribution.role, &settings.gossip) {
         (DistributionRole::Subscriber(subscriber), _) => {
-            let Keyring { secrets, roster } = Keyring::read(subscriber, &plan.name)?;
+            let Keyring { secrets, roster } = Keyring::read(subscriber, &settings.name)?;
             (secrets, roster)
         }
-        (DistributionRole::Control(served), Some(gossip)) => {
-            let Keyring { secrets, .. } = Keyring::read(gossip, &plan.name)?;
-            (secrets, keys::read_roster(&served.subscribers)?)
+        (DistributionRole::Control(service), Some(gossip)) => {
+            let Keyring { secrets, .. } = Keyring::read(gossip, &settings.name)?;
+            (secrets, keys::read_roster(&service.subscribers)?)
         }
         (DistributionRole::Control(_), None) => return Ok(()),
     };
--- a/daemon/src/feed.rs
+++ b/daemon/src/feed.rs
@@ -14,58 +14,58 @@
 use crate::backoff::Backoff;
 
 /// A feed that does not answer the call for a connection.
-const CONNECT_WAIT: Duration = Duration::from_secs(3);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Follows the feed for as long as the proxy lives. `have` tells the version that the proxy has; it is set
 /// back to none when news did not fit, which has the feed asked for the whole list at once.
 pub async fn follow(
     feed: SocketAddr,
     seed: u64,
-    news: mpsc::Sender<PoolUpdates>,
-    mut have: watch::Receiver<Option<u64>>,
+    updates: mpsc::Sender<PoolUpdates>,
+    mut known_version: watch::Receiver<Option<u64>>,
 ) {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut backoff = Backoff::default();
     loop {
-        let since = Instant::now();
-        let broke = subscription(feed, &news, &mut have).await;
-        if news.is_closed() {
+        let started = Instant::now();
+        let failure = subscribe(feed, &updates, &mut known_version).await;
+        if updates.is_closed() {
             return;
         }
-        backoff.lived(since.elapsed().as_secs_f64() * 1000.0);
-        let gap = backoff.gap(&mut chance);
-        if let Err(error) = broke {
-            tracing::warn!(%feed, gap_ms = gap as u64, "pool.feed_broke: {error:#}");
+        backoff.record_lifetime(started.elapsed().as_secs_f64() * 1000.0);
+        let wait = backoff.next_wait(&mut rng);
+        if let Err(error) = failure {
+            tracing::warn!(%feed, gap_ms = wait as u64, "pool.feed_broke: {error:#}");
         }
-        tokio::time::sleep(Duration::from_secs_f64(gap / 1000.0)).await;
+        tokio::time::sleep(Duration::from_secs_f64(wait / 1000.0)).await;
     }
 }
 
-async fn subscription(
+async fn subscribe(
     feed: SocketAddr,
-    news: &mpsc::Sender<PoolUpdates>,
-    have: &mut watch::Receiver<Option<u64>>,
+    updates: &mpsc::Sender<PoolUpdates>,
+    known_version: &mut watch::Receiver<Option<u64>>,
 ) -> Result<()> {
     let stream =
-        tokio::time::timeout(CONNECT_WAIT, TcpStream::connect(feed)).await.context("connecting")??;
-    let (from, mut to) = stream.into_split();
-    let mut ask = serde_json::to_vec(&PoolRequest { have: *have.borrow_and_update() })?;
-    ask.push(b'\n');
-    to.write_all(&ask).await?;
-    let mut from = BufReader::new(from);
+        tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(feed)).await.context("connecting")??;
+    let (reader, mut writer) = stream.into_split();
+    let mut request = serde_json::to_vec(&PoolRequest { have: *known_version.borrow_and_update() })?;
+    request.push(b'\n');
+    writer.write_all(&request).await?;
+    let mut reader = BufReader::new(reader);
     let mut line = Vec::new();
     loop {
         // What of a line was read before `have` changed stays in it.
-        let mut bounded = (&mut from).take(MAX_LINE_BYTES as u64);
+        let mut bounded = (&mut reader).take(MAX_LINE_BYTES as u64);
         tokio::select! {
             read = bounded.read_until(b'\n', &mut line) => {
                 if read? == 0 {
                     bail!("the feed closed");
                 }
             }
-            changed = have.changed() => {
+            changed = known_version.changed() => {
                 changed?;
-                if have.borrow_and_update().is_none() {
+                if known_version.borrow_and_update().is_none() {
                     bail!("news did not fit; the whole list is wanted");
                 }
                 continue;
@@ -75,7 +75,7 @@
             bail!("a line longer than {MAX_LINE_BYTES} bytes, or cut off");
         }
         let text = std::str::from_utf8(&line).context("a line that is no text")?;
-        news.send(PoolUpdates::read(text)?).await?;
+        updates.send(PoolUpdates::read(text)?).await?;
         line.clear();
     }
 }
--- a/daemon/src/journal.rs
+++ b/daemon/src/journal.rs
@@ -12,46 +12,46 @@
 use records::journal;
 use tokio::sync::mpsc;
 
-use crate::settings::RecordsPlan;
+use crate::settings::RecordsSettings;
 
 /// What was not written because the disk refused is kept up to so many bytes; past that it is counted as
 /// lost.
-const MOST_PENDING: usize = 4 << 20;
+const MAX_PENDING_BYTES: usize = 4 << 20;
 
 pub struct Journal {
     folder: PathBuf,
     author: Author,
-    most: u64,
+    max_segment_bytes: u64,
     segment: Option<Arc<File>>,
     number: u32,
     size: u64,
     pending: Vec<u8>,
     lost: u64,
     commit: GroupCommit,
-    synced: mpsc::Sender<io::Result<()>>,
+    sync_results: mpsc::Sender<io::Result<()>>,
 }
 
 impl Journal {
-    /// Begins a life's journal. What is told over `synced` is to be given to [`Journal::synced`].
-    pub fn begin(
-        plan: &RecordsPlan,
+    /// Begins a life's journal. What is told over `synced` is to be given to [`Journal::sync_results`].
+    pub fn open(
+        settings: &RecordsSettings,
         author: Author,
         now: f64,
-        synced: mpsc::Sender<io::Result<()>>,
+        sync_results: mpsc::Sender<io::Result<()>>,
     ) -> io::Result<Self> {
-        fs::create_dir_all(&plan.folder)?;
-        let commit = GroupCommit::new(plan.promise, plan.delay, plan.patience);
+        fs::create_dir_all(&settings.folder)?;
+        let commit = GroupCommit::new(settings.durability, settings.max_sync_delay, settings.max_sync_time);
         let mut journal = Self {
-            folder: plan.folder.clone(),
+            folder: settings.folder.clone(),
             author,
-            most: plan.segment,
+            max_segment_bytes: settings.segment_bytes,
             segment: None,
             number: 0,
             size: 0,
             pending: Vec::new(),
             lost: 0,
             commit,
-            synced,
+            sync_results,
         };
         // A disk that refuses from the start is told of before anything is taken.
         journal.write(now, std::iter::empty());
@@ -61,8 +61,8 @@
         }
     }
 
-    fn open(&mut self) -> io::Result<Arc<File>> {
-        if let Some(segment) = self.segment.as_ref().filter(|_| self.size < self.most) {
+    fn open_segment(&mut self) -> io::Result<Arc<File>> {
+        if let Some(segment) = self.segment.as_ref().filter(|_| self.size < self.max_segment_bytes) {
             return Ok(segment.clone());
         }
         if let Some(full) = self.segment.take() {
@@ -85,7 +85,7 @@
     /// Hands entries to the system, with those that it refused before.
     pub fn write(&mut self, now: f64, entries: impl Iterator<Item = Entry>) {
         for entry in entries {
-            if self.pending.len() < MOST_PENDING {
+            if self.pending.len() < MAX_PENDING_BYTES {
                 journal::write(&mut self.pending, &entry);
             } else {
                 self.lost += 1;
@@ -94,7 +94,7 @@
         if self.pending.is_empty() && self.segment.is_some() {
             return;
         }
-        match self.open().and_then(|file| (&*file).write_all(&self.pending)) {
+        match self.open_segment().and_then(|file| (&*file).write_all(&self.pending)) {
             Ok(()) => {
                 self.size += self.pending.len() as u64;
                 self.commit.record_write(now, self.pending.len());
@@ -113,13 +113,13 @@
     pub fn turn(&mut self, now: f64) {
         let Some(segment) = self.segment.clone().filter(|_| self.commit.due() <= now) else { return };
         self.commit.sync_started(now);
-        let synced = self.synced.clone();
+        let sync_results = self.sync_results.clone();
         tokio::task::spawn_blocking(move || {
-            let _ = synced.blocking_send(segment.sync_data());
+            let _ = sync_results.blocking_send(segment.sync_data());
         });
     }
 
-    pub fn synced(&mut self, result: io::Result<()>) {
+    pub fn sync_completed(&mut self, result: io::Result<()>) {
         match result {
             Ok(()) => self.commit.sync_finished(),
             Err(error) => {
@@ -139,7 +139,7 @@
         self.commit.written()
     }
 
-    pub fn may_go(&self, now: f64, position: u64) -> bool {
+    pub fn may_send(&self, now: f64, position: u64) -> bool {
         self.commit.may_send(now, position)
     }
 
@@ -159,7 +159,7 @@
 
 /// All segments in some folders, each folder's in the order in which they were written.
 pub fn segments(folders: &[PathBuf]) -> io::Result<Vec<PathBuf>> {
-    let mut all = Vec::new();
+    let mut paths = Vec::new();
     for folder in folders {
         let mut files = Vec::new();
         for file in fs::read_dir(folder)? {
@@ -169,17 +169,17 @@
             }
         }
         files.sort();
-        all.extend(files);
+        paths.extend(files);
     }
-    Ok(all)
+    Ok(paths)
 }
 
 /// What is sound in a segment; what is not is told.
 pub fn read(segment: &Path) -> io::Result<Vec<Entry>> {
-    let found = journal::read(&fs::read(segment)?);
-    for damage in &found.damage {
-        let what = if damage.torn { "torn tail" } else { "damage" };
-        eprintln!("{}: {what} at byte {}, {} bytes", segment.display(), damage.offset, damage.bytes);
+    let contents = journal::read(&fs::read(segment)?);
+    for damage in &contents.damage {
+        let kind = if damage.torn { "torn tail" } else { "damage" };
+        eprintln!("{}: {kind} at byte {}, {} bytes", segment.display(), damage.offset, damage.bytes);
     }
-    Ok(found.entries)
+    Ok(contents.entries)
 }
--- a/daemon/src/keys.rs
+++ b/daemon/src/keys.rs
@@ -1,4 +1,4 @@
-//! Key files: 64 hexadecimal digits in a file that only its owner may read. [`draw`] makes one, [`read`]
+//! Key files: 64 hexadecimal digits in a file that only its owner may read. [`generate`] makes one, [`read`]
 //! reads one, [`Keyring::read`] reads all that a proxy's gossip needs. docs/operating.md tells how they are
 //! rotated.
 
@@ -11,37 +11,42 @@
 use anyhow::{Context, Result, bail, ensure};
 use gossip::keys::{Roster, Secrets};
 
-use crate::settings::{GossipPlan, SubscriberPlan};
+use crate::settings::{GossipSettings, SubscriberSettings};
 
 /// Bits of a file's mode that let others than its owner at it.
-const OTHERS: u32 = 0o077;
+const GROUP_AND_OTHERS_MODE_BITS: u32 = 0o077;
 
-fn unhex(text: &str) -> Result<[u8; 32]> {
+fn decode_key(text: &str) -> Result<[u8; 32]> {
     let mut key = [0; 32];
     hex::decode_to_slice(text.trim(), &mut key).context("64 hexadecimal digits wanted")?;
     Ok(key)
 }
 
 /// Draws a key into a file that must not be there yet; gives the public key that goes with it.
-pub fn draw(file: &Path) -> Result<String> {
+pub fn generate(file: &Path) -> Result<String> {
     let key: [u8; 32] = rand::random();
-    let mut to = OpenOptions::new()
+    let mut output = OpenOptions::new()
         .write(true)
         .create_new(true)
         .mode(0o600)
         .open(file)
         .with_context(|| file.display().to_string())?;
-    writeln!(to, "{}", hex::encode(key))?;
-    to.sync_all()?;
+    writeln!(output, "{}", hex::encode(key))?;
+    output.sync_all()?;
     public(file)
 }
 
 /// A secret key.
 pub fn read(file: &Path) -> Result<[u8; 32]> {
-    let named = || file.display().to_string();
-    let mode = fs::metadata(file).with_context(named)?.permissions().mode();
-    ensure!(mode & OTHERS == 0, "{}: mode {:o}, wanted 600: others may read it", named(), mode & 0o777);
-    unhex(&fs::read_to_string(file).with_context(named)?).with_context(named)
+    let path_text = || file.display().to_string();
+    let mode = fs::metadata(file).with_context(path_text)?.permissions().mode();
+    ensure!(
+        mode & GROUP_AND_OTHERS_MODE_BITS == 0,
+        "{}: mode {:o}, wanted 600: others may read it",
+        path_text(),
+        mode & 0o777
+    );
+    decode_key(&fs::read_to_string(file).with_context(path_text)?).with_context(path_text)
 }
 
 /// The public key of a secret one, as a roster has it.
@@ -60,27 +65,27 @@
     pub roster: &'a Path,
 }
 
-impl<'a> From<&'a GossipPlan> for KeyFiles<'a> {
-    fn from(plan: &'a GossipPlan) -> Self {
-        Self { key: &plan.key, fleet_keys: &plan.fleet_keys, roster: &plan.roster }
+impl<'a> From<&'a GossipSettings> for KeyFiles<'a> {
+    fn from(settings: &'a GossipSettings) -> Self {
+        Self { key: &settings.key, fleet_keys: &settings.fleet_keys, roster: &settings.roster }
     }
 }
 
-impl<'a> From<&'a SubscriberPlan> for KeyFiles<'a> {
-    fn from(plan: &'a SubscriberPlan) -> Self {
-        Self { key: &plan.key, fleet_keys: &plan.fleet_keys, roster: &plan.roster }
+impl<'a> From<&'a SubscriberSettings> for KeyFiles<'a> {
+    fn from(settings: &'a SubscriberSettings) -> Self {
+        Self { key: &settings.key, fleet_keys: &settings.fleet_keys, roster: &settings.roster }
     }
 }
 
 /// Reads a roster: lines of a name and a public key.
 pub fn read_roster(file: &Path) -> Result<Roster> {
-    let shown = file.display();
-    let text = fs::read_to_string(file).with_context(|| shown.to_string())?;
-    let named: BTreeMap<String, String> =
-        toml_edit::de::from_str(&text).with_context(|| format!("{shown}: lines of NAME = \"KEY\" wanted"))?;
+    let roster_path = file.display();
+    let text = fs::read_to_string(file).with_context(|| roster_path.to_string())?;
+    let entries: BTreeMap<String, String> = toml_edit::de::from_str(&text)
+        .with_context(|| format!("{roster_path}: lines of NAME = \"KEY\" wanted"))?;
     let mut members = Vec::new();
-    for (member, key) in &named {
-        members.push((&member[..], unhex(key).with_context(|| format!("{shown}: {member}"))?));
+    for (member, key) in &entries {
+        members.push((&member[..], decode_key(key).with_context(|| format!("{roster_path}: {member}"))?));
     }
     Ok(Roster::new(members)?)
 }
@@ -99,11 +104,13 @@
         let fleet = files.fleet_keys.iter().map(|file| read(file)).collect::<Result<Vec<_>>>()?;
         let secrets = Secrets::new(read(files.key)?, fleet)?;
         let roster = read_roster(files.roster)?;
-        let shown = files.roster.display();
+        let roster_path = files.roster.display();
         match roster.name(secrets.id()) {
             Some(found) if found == name => Ok(Self { secrets, roster }),
-            Some(found) => bail!("{shown}: has the key of {name} under the name {found}"),
-            None => bail!("{shown}: has no member {name} with key {}", hex::encode(secrets.public_key())),
+            Some(found) => bail!("{roster_path}: has the key of {name} under the name {found}"),
+            None => {
+                bail!("{roster_path}: has no member {name} with key {}", hex::encode(secrets.public_key()))
+            }
         }
     }
 }
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -6,6 +6,7 @@
 
 pub mod backlog;
 pub mod backoff;
+mod changelog_client;
 mod clock;
 mod connections;
 pub mod control;
@@ -14,14 +15,13 @@
 pub mod feed;
 pub mod journal;
 pub mod keys;
+mod pending_commands;
 pub mod records;
 pub mod release;
-mod replacing;
+mod release_agent;
 pub mod run;
 pub mod running_release;
 pub mod serve;
 pub mod settings;
 mod sockets;
-mod stamp;
-mod watch_log;
-mod wishes;
+mod udp_timestamps;
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -13,7 +13,7 @@
 use daemon::control::CommandRequest;
 use daemon::records::{self, RecordsCommand};
 use daemon::release::{self, Start};
-use daemon::settings::{self, Plan};
+use daemon::settings::{self, ProxySettings};
 use daemon::{control, keys, run, serve};
 use outs::Kind;
 use serde::Serialize;
@@ -33,7 +33,7 @@
     version,
     about = "An IAX2 call router: border proxies before central servers"
 )]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
@@ -45,14 +45,14 @@
         #[arg(long)]
         config: PathBuf,
         /// How log lines look
-        #[arg(long, value_enum, default_value_t = Log::Plain)]
-        log: Log,
+        #[arg(long, value_enum, default_value_t = LogFormat::Plain)]
+        log: LogFormat,
     },
     /// Run a border proxy as the platform starts it: told by LB_CONFIG, callers on LB_LISTEN, until SIGTERM
     Serve {
         /// How log lines look
-        #[arg(long, value_enum, default_value_t = Log::Plain)]
-        log: Log,
+        #[arg(long, value_enum, default_value_t = LogFormat::Plain)]
+        log: LogFormat,
     },
     /// Tell all that is wrong with a settings file (- for standard input); exit code 2 if anything is
     Check { file: PathBuf },
@@ -82,7 +82,7 @@
     /// Who decides for all proxies, and how this one stands with it; let a member in, or take one out
     Council {
         #[command(subcommand)]
-        what: CouncilCommand,
+        subcommand: CouncilCommand,
     },
     /// Have no proxy send a central server anything new, by a decision of the fleet
     Drain {
@@ -91,18 +91,18 @@
         #[arg(long, default_value = "")]
         why: String,
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
     /// Take a drain back
     Undrain {
         server: String,
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
     /// Replace the proxies of the fleet by a decision, in waves
     Release {
         #[command(subcommand)]
-        what: ReleaseCommand,
+        subcommand: ReleaseCommand,
     },
     /// Ask a running border proxy who is out by the fleet's decision, since when and why
     Outs {
@@ -133,12 +133,12 @@
     /// Look at call detail records
     Records {
         #[command(subcommand)]
-        what: RecordsCommand,
+        subcommand: RecordsCommand,
     },
     /// Make or look at key files
     Key {
         #[command(subcommand)]
-        what: KeyCommand,
+        subcommand: KeyCommand,
     },
     /// Ask a running border proxy for its servers, conversations and counters
     Status {
@@ -165,13 +165,13 @@
         #[arg(long)]
         life: Option<u64>,
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
     /// Take a proxy's seat
     Remove {
         proxy: String,
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
 }
 
@@ -181,28 +181,28 @@
     Stage {
         file: PathBuf,
         #[arg(long, value_enum)]
-        kind: Staged,
+        kind: StagedKind,
         #[arg(long, default_value = "")]
         why: String,
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
     /// Replace all proxies in waves, once all are ready; or go on after a halt
     Start {
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
     /// Let nobody out for it any more
     Halt {
         #[arg(long, default_value = "")]
         why: String,
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
     /// Have all go back that run it, the newest wave first
     Back {
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
     /// A proxy that is out never comes back: it takes up no place any more
     WriteOff {
@@ -210,7 +210,7 @@
         #[arg(long)]
         why: String,
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
     /// Print it
     State {
@@ -222,23 +222,23 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Staged {
+enum StagedKind {
     Settings,
     Program,
 }
 
-impl From<Staged> for Kind {
-    fn from(staged: Staged) -> Self {
+impl From<StagedKind> for Kind {
+    fn from(staged: StagedKind) -> Self {
         match staged {
-            Staged::Settings => Self::Settings,
-            Staged::Program => Self::Program,
+            StagedKind::Settings => Self::Settings,
+            StagedKind::Program => Self::Program,
         }
     }
 }
 
 /// How something is asked for. Exit code 3 where it is refused, 1 where it was not decided in time.
 #[derive(Args)]
-struct Order {
+struct DecisionOptions {
     #[arg(long)]
     config: PathBuf,
     /// Only tell what it would come to, by what the proxy knows
@@ -257,25 +257,25 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Log {
+enum LogFormat {
     Plain,
     Json,
 }
 
-impl Log {
-    fn begin(self) {
+impl LogFormat {
+    fn install(self) {
         let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
-        let lines = tracing_subscriber::fmt().with_env_filter(filter).with_writer(io::stderr);
-        let lines = lines.with_ansi(io::stderr().is_terminal());
+        let subscriber = tracing_subscriber::fmt().with_env_filter(filter).with_writer(io::stderr);
+        let subscriber = subscriber.with_ansi(io::stderr().is_terminal());
         match self {
-            Self::Plain => lines.init(),
-            Self::Json => lines.json().init(),
+            Self::Plain => subscriber.init(),
+            Self::Json => subscriber.json().init(),
         }
     }
 }
 
 fn main() -> ExitCode {
-    match carry_out(Line::parse().command) {
+    match execute(CommandLine::parse().command) {
         Ok(code) => code,
         Err(error) => {
             eprintln!("frostthread: {error:#}");
@@ -285,7 +285,7 @@
 }
 
 /// Reads a plan; tells all that is wrong with it.
-fn plan(file: &Path) -> Result<Option<Plan>> {
+fn read_settings(file: &Path) -> Result<Option<ProxySettings>> {
     let mut source = String::new();
     if file == Path::new("-") {
         io::stdin().read_to_string(&mut source)?;
@@ -293,7 +293,7 @@
         source = fs::read_to_string(file).with_context(|| format!("{}", file.display()))?;
     }
     match settings::read(&source) {
-        Ok(plan) => Ok(Some(plan)),
+        Ok(proxy_settings) => Ok(Some(proxy_settings)),
         Err(faults) => {
             for fault in faults {
                 eprintln!("{}: {fault}", file.display());
@@ -303,154 +303,172 @@
     }
 }
 
-fn carry_out(command: Command) -> Result<ExitCode> {
-    let wrong = ExitCode::from(2);
+fn execute(command: Command) -> Result<ExitCode> {
+    let invalid_settings = ExitCode::from(2);
     match command {
         Command::Settings => print!("{}", settings::EXAMPLE),
         Command::Check { file } => {
-            let Some(plan) = plan(&file)? else { return Ok(wrong) };
-            println!("{}: fit to run as {}", file.display(), plan.name);
+            let Some(proxy_settings) = read_settings(&file)? else { return Ok(invalid_settings) };
+            println!("{}: fit to run as {}", file.display(), proxy_settings.name);
         }
         Command::Serve { log } => {
-            log.begin();
+            log.install();
             runtime()?.block_on(serve::serve())?;
         }
         Command::Run { config, log } => {
-            log.begin();
-            let Some(plan) = plan(&config)? else { return Ok(wrong) };
-            run_by(plan, config)?;
+            log.install();
+            let Some(proxy_settings) = read_settings(&config)? else { return Ok(invalid_settings) };
+            run_with_releases(proxy_settings, config)?;
         }
-        Command::Release { what } => return carry_out_release(what),
-        Command::Records { what } => records::carry_out(&what)?,
-        Command::Key { what: KeyCommand::New { file } } => println!("{}", keys::draw(&file)?),
-        Command::Key { what: KeyCommand::Public { file } } => println!("{}", keys::public(&file)?),
+        Command::Release { subcommand } => return execute_release(subcommand),
+        Command::Records { subcommand } => records::execute(&subcommand)?,
+        Command::Key { subcommand: KeyCommand::New { file } } => println!("{}", keys::generate(&file)?),
+        Command::Key { subcommand: KeyCommand::Public { file } } => println!("{}", keys::public(&file)?),
         Command::Rekey { config } => {
-            if ask::<serde_json::Value>(&config, "rekey")?.is_none() {
-                return Ok(wrong);
+            if request::<serde_json::Value>(&config, "rekey")?.is_none() {
+                return Ok(invalid_settings);
             }
             println!("it goes on with the keys as they are now");
         }
         Command::Members { config, json } => {
-            let Some(gossip) = ask::<GossipStatus>(&config, "gossip")? else { return Ok(wrong) };
-            tell(json, &gossip.members, || show_members(&gossip))?;
+            let Some(gossip) = request::<GossipStatus>(&config, "gossip")? else {
+                return Ok(invalid_settings);
+            };
+            print_status(json, &gossip.members, || show_members(&gossip))?;
         }
         Command::Suspicions { config, json } => {
-            let Some(gossip) = ask::<GossipStatus>(&config, "gossip")? else { return Ok(wrong) };
-            tell(json, &gossip.suspicions, || show_suspicions(&gossip))?;
+            let Some(gossip) = request::<GossipStatus>(&config, "gossip")? else {
+                return Ok(invalid_settings);
+            };
+            print_status(json, &gossip.suspicions, || show_suspicions(&gossip))?;
         }
         Command::Limits { config, json } => {
-            let Some(limits) = ask::<LimitsStatus>(&config, "limits")? else { return Ok(wrong) };
-            tell(json, &limits, || show_limits(&limits))?;
+            let Some(limits) = request::<LimitsStatus>(&config, "limits")? else {
+                return Ok(invalid_settings);
+            };
+            print_status(json, &limits, || show_limits(&limits))?;
+        }
+        Command::Council { subcommand: CouncilCommand::State { config, json } } => {
+            let Some(council) = request::<CouncilStatus>(&config, "council")? else {
+                return Ok(invalid_settings);
+            };
+            print_status(json, &council, || show_council(&council))?;
         }
-        Command::Council { what: CouncilCommand::State { config, json } } => {
-            let Some(council) = ask::<CouncilStatus>(&config, "council")? else { return Ok(wrong) };
-            tell(json, &council, || show_council(&council))?;
+        Command::Council { subcommand: CouncilCommand::Add { proxy, life, options } } => {
+            return submit(OperatorCommand::Add { proxy, generation: life }, &options);
         }
-        Command::Council { what: CouncilCommand::Add { proxy, life, order } } => {
-            return wish(OperatorCommand::Add { proxy, generation: life }, &order);
+        Command::Council { subcommand: CouncilCommand::Remove { proxy, options } } => {
+            return submit(OperatorCommand::Remove { proxy }, &options);
         }
-        Command::Council { what: CouncilCommand::Remove { proxy, order } } => {
-            return wish(OperatorCommand::Remove { proxy }, &order);
+        Command::Drain { server, why, options } => {
+            return submit(OperatorCommand::Drain { server, why }, &options);
         }
-        Command::Drain { server, why, order } => return wish(OperatorCommand::Drain { server, why }, &order),
-        Command::Undrain { server, order } => return wish(OperatorCommand::Undrain { server }, &order),
+        Command::Undrain { server, options } => return submit(OperatorCommand::Undrain { server }, &options),
         Command::Outs { config, json } => {
-            let Some(outs) = ask::<AvailabilityStatus>(&config, "outs")? else { return Ok(wrong) };
-            tell(json, &outs, || show_outs(&outs))?;
+            let Some(outs) = request::<AvailabilityStatus>(&config, "outs")? else {
+                return Ok(invalid_settings);
+            };
+            print_status(json, &outs, || show_outs(&outs))?;
         }
         Command::Distribution { config, json } => {
-            let Some(status) = ask::<DistributionStatus>(&config, "distribution")? else { return Ok(wrong) };
-            tell(json, &status, || show_distribution(&status))?;
+            let Some(status) = request::<DistributionStatus>(&config, "distribution")? else {
+                return Ok(invalid_settings);
+            };
+            print_status(json, &status, || show_distribution(&status))?;
         }
         Command::Changes { config, json } => {
-            let Some(changes) = ask::<Vec<ChangeStatus>>(&config, "changes")? else { return Ok(wrong) };
-            tell(json, &changes, || show_changes(&changes))?;
+            let Some(changes) = request::<Vec<ChangeStatus>>(&config, "changes")? else {
+                return Ok(invalid_settings);
+            };
+            print_status(json, &changes, || show_changes(&changes))?;
         }
         Command::Status { config, json } => {
-            let Some(status) = ask::<Status>(&config, "status")? else { return Ok(wrong) };
-            tell(json, &status, || show(&status))?;
+            let Some(status) = request::<Status>(&config, "status")? else { return Ok(invalid_settings) };
+            print_status(json, &status, || show(&status))?;
         }
     }
     Ok(ExitCode::SUCCESS)
 }
 
 /// Runs a proxy, and what it is to become by a release; goes on as it is where that can't be run.
-fn run_by(mut plan: Plan, config: PathBuf) -> Result<()> {
-    fs::create_dir_all(&plan.state).with_context(|| format!("state directory {}", plan.state.display()))?;
-    let mut change = None;
-    match release::start(&plan.state)? {
-        Start::Here(runs) => plan.runs = runs,
-        Start::Elsewhere(other) => change = Some(other),
+fn run_with_releases(mut proxy_settings: ProxySettings, config: PathBuf) -> Result<()> {
+    fs::create_dir_all(&proxy_settings.state_dir)
+        .with_context(|| format!("state directory {}", proxy_settings.state_dir.display()))?;
+    let mut target = None;
+    match release::start(&proxy_settings.state_dir)? {
+        Start::Current(running_release) => proxy_settings.running_release = running_release,
+        Start::Become(found) => target = Some(found),
     }
-    plan.config = config;
+    proxy_settings.config_file = config;
     loop {
-        if let Some(change) = change.take() {
-            let error = change.exec();
+        if let Some(target) = target.take() {
+            let error = target.exec();
             tracing::error!("release.unrun: {error}");
-            release::give_up(&plan.state, &error.to_string())?;
-            if let Start::Here(runs) = release::start(&plan.state)? {
-                plan.runs = runs;
+            release::mark_failed(&proxy_settings.state_dir, &error.to_string())?;
+            if let Start::Current(running_release) = release::start(&proxy_settings.state_dir)? {
+                proxy_settings.running_release = running_release;
             }
         }
-        let Some(replace) = runtime()?.block_on(run::run(plan.clone()))? else { return Ok(()) };
-        match release::install(&plan.state, &plan.config, &replace) {
-            Ok(next) => change = Some(next),
+        let Some(replacement) = runtime()?.block_on(run::run(proxy_settings.clone()))? else { return Ok(()) };
+        match release::install(&proxy_settings.state_dir, &proxy_settings.config_file, &replacement) {
+            Ok(next) => target = Some(next),
             Err(error) => {
                 tracing::error!("release.uninstalled: {error:#}");
-                plan.runs.failed = Some((replace.release, format!("{error:#}")));
+                proxy_settings.running_release.failed = Some((replacement.release, format!("{error:#}")));
             }
         }
     }
 }
 
-fn carry_out_release(what: ReleaseCommand) -> Result<ExitCode> {
-    match what {
-        ReleaseCommand::Stage { file, kind, why, order } => {
-            let Some(plan) = plan(&order.config)? else { return Ok(ExitCode::from(2)) };
-            let sum = release::stage(&plan.state, &file)?;
+fn execute_release(subcommand: ReleaseCommand) -> Result<ExitCode> {
+    match subcommand {
+        ReleaseCommand::Stage { file, kind, why, options } => {
+            let Some(proxy_settings) = read_settings(&options.config)? else { return Ok(ExitCode::from(2)) };
+            let sum = release::stage(&proxy_settings.state_dir, &file)?;
             eprintln!("each proxy looks for it in its state directory as staged/{}", hex::encode(sum));
-            wish(OperatorCommand::Stage { kind: kind.into(), sum: hex::encode(sum), why }, &order)
+            submit(OperatorCommand::Stage { kind: kind.into(), sum: hex::encode(sum), why }, &options)
         }
-        ReleaseCommand::Start { order } => wish(OperatorCommand::Start, &order),
-        ReleaseCommand::Halt { why, order } => wish(OperatorCommand::Halt { why }, &order),
-        ReleaseCommand::Back { order } => wish(OperatorCommand::Back, &order),
-        ReleaseCommand::WriteOff { proxy, why, order } => {
-            wish(OperatorCommand::WriteOff { proxy, why }, &order)
+        ReleaseCommand::Start { options } => submit(OperatorCommand::Start, &options),
+        ReleaseCommand::Halt { why, options } => submit(OperatorCommand::Halt { why }, &options),
+        ReleaseCommand::Back { options } => submit(OperatorCommand::Back, &options),
+        ReleaseCommand::WriteOff { proxy, why, options } => {
+            submit(OperatorCommand::WriteOff { proxy, why }, &options)
         }
         ReleaseCommand::State { config, json } => {
-            let Some(outs) = ask::<AvailabilityStatus>(&config, "outs")? else {
+            let Some(outs) = request::<AvailabilityStatus>(&config, "outs")? else {
                 return Ok(ExitCode::from(2));
             };
-            tell(json, &outs.release, || show_release(outs.release.as_ref()))?;
+            print_status(json, &outs.release, || show_release(outs.release.as_ref()))?;
             Ok(ExitCode::SUCCESS)
         }
     }
 }
 
 /// Has something decided, or tells what it would come to.
-fn wish(wish: OperatorCommand, order: &Order) -> Result<ExitCode> {
-    let wished = CommandRequest { command: wish, dry_run: order.dry_run };
-    let Some(answer) = ask::<CommandOutcome>(&order.config, &serde_json::to_string(&wished)?)? else {
+fn submit(operator_command: OperatorCommand, options: &DecisionOptions) -> Result<ExitCode> {
+    let request_line = CommandRequest { command: operator_command, dry_run: options.dry_run };
+    let Some(outcome) = request::<CommandOutcome>(&options.config, &serde_json::to_string(&request_line)?)?
+    else {
         return Ok(ExitCode::from(2));
     };
-    tell(order.json, &answer, || match &answer {
-        CommandOutcome::Done { .. } if order.dry_run => println!("would be decided"),
+    print_status(options.json, &outcome, || match &outcome {
+        CommandOutcome::Done { .. } if options.dry_run => println!("would be decided"),
         CommandOutcome::Done { decision } => println!("decided, as decision {decision}"),
         CommandOutcome::Already => println!("it is so already"),
         CommandOutcome::Refused { why } => println!("refused: {why}"),
     })?;
-    Ok(if matches!(answer, CommandOutcome::Refused { .. }) { ExitCode::from(3) } else { ExitCode::SUCCESS })
+    Ok(if matches!(outcome, CommandOutcome::Refused { .. }) { ExitCode::from(3) } else { ExitCode::SUCCESS })
 }
 
 /// Asks the proxy that runs by some settings; nothing where those are unfit.
-fn ask<T: DeserializeOwned>(config: &Path, word: &str) -> Result<Option<T>> {
-    let Some(plan) = plan(config)? else { return Ok(None) };
-    runtime()?.block_on(control::request(&plan.control, word)).map(Some)
+fn request<T: DeserializeOwned>(config: &Path, word: &str) -> Result<Option<T>> {
+    let Some(proxy_settings) = read_settings(config)? else { return Ok(None) };
+    runtime()?.block_on(control::request(&proxy_settings.control_socket, word)).map(Some)
 }
 
-fn tell(json: bool, what: &impl Serialize, show: impl FnOnce()) -> Result<()> {
+fn print_status(json: bool, status: &impl Serialize, show: impl FnOnce()) -> Result<()> {
     if json {
-        println!("{}", serde_json::to_string(what)?);
+        println!("{}", serde_json::to_string(status)?);
     } else {
         show();
     }
--- a/daemon/src/records.rs
+++ b/daemon/src/records.rs
@@ -18,13 +18,13 @@
 #[derive(Subcommand)]
 pub enum RecordsCommand {
     /// Print conversations, one JSON object a line
-    Show(Chosen),
+    Show(Selection),
     /// Print counts and amounts by grade and tenant
-    Sum(Chosen),
+    Sum(Selection),
 }
 
 #[derive(Args)]
-pub struct Chosen {
+pub struct Selection {
     /// Journal folders, one a proxy
     #[arg(required = true)]
     folders: Vec<PathBuf>,
@@ -42,7 +42,7 @@
 }
 
 #[derive(Serialize)]
-struct Shown<'a> {
+struct PrintedConversation<'a> {
     #[serde(flatten)]
     last: &'a Try,
     first_at: u64,
@@ -50,13 +50,13 @@
     rated: Rated,
 }
 
-impl Chosen {
+impl Selection {
     fn read(&self) -> Result<(Vec<Conversation>, Plans)> {
         let mut plans = Plans::default();
         for file in &self.plan {
-            let named = || file.display().to_string();
-            let source = fs::read_to_string(file).with_context(named)?;
-            Plan::read(&source).and_then(|plan| plans.add(plan)).with_context(named)?;
+            let path_text = || file.display().to_string();
+            let source = fs::read_to_string(file).with_context(path_text)?;
+            Plan::read(&source).and_then(|plan| plans.add(plan)).with_context(path_text)?;
         }
         let mut tries = Vec::new();
         for folder in &self.folders {
@@ -70,35 +70,40 @@
             }
             tries.extend(of_folder);
         }
-        let mut all = join::join(tries, self.redial_gap.as_millis() as u64);
-        all.retain(|of| {
-            let last = of.last();
+        let mut conversations = join::join(tries, self.redial_gap.as_millis() as u64);
+        conversations.retain(|conversation| {
+            let last = conversation.last();
             self.number.as_ref().is_none_or(|number| *number == last.calling || *number == last.called)
                 && self.tenant.as_ref().is_none_or(|tenant| *tenant == last.tenant)
         });
-        Ok((all, plans))
+        Ok((conversations, plans))
     }
 }
 
-pub fn carry_out(command: &RecordsCommand) -> Result<()> {
+pub fn execute(command: &RecordsCommand) -> Result<()> {
     match command {
-        RecordsCommand::Show(chosen) => {
-            let (all, plans) = chosen.read()?;
-            for of in &all {
-                let (first_at, tries) = (of.first_opened_at(), of.tries.len());
-                let shown = Shown { last: of.last(), first_at, tries, rated: plans.rate(of) };
-                println!("{}", serde_json::to_string(&shown)?);
+        RecordsCommand::Show(selection) => {
+            let (conversations, plans) = selection.read()?;
+            for conversation in &conversations {
+                let (first_at, tries) = (conversation.first_opened_at(), conversation.tries.len());
+                let printed = PrintedConversation {
+                    last: conversation.last(),
+                    first_at,
+                    tries,
+                    rated: plans.rate(conversation),
+                };
+                println!("{}", serde_json::to_string(&printed)?);
             }
         }
-        RecordsCommand::Sum(chosen) => {
-            let (all, plans) = chosen.read()?;
-            sum(&all, &plans);
+        RecordsCommand::Sum(selection) => {
+            let (conversations, plans) = selection.read()?;
+            print_sums(&conversations, &plans);
         }
     }
     Ok(())
 }
 
-fn sum(all: &[Conversation], plans: &Plans) {
+fn print_sums(conversations: &[Conversation], plans: &Plans) {
     #[derive(Tabled, Default)]
     struct Row {
         tenant: String,
@@ -115,15 +120,15 @@
         unrated: u64,
     }
     let mut rows: BTreeMap<(&str, &str), Row> = BTreeMap::new();
-    for of in all {
-        let (last, rated) = (of.last(), plans.rate(of));
+    for conversation in conversations {
+        let (last, rated) = (conversation.last(), plans.rate(conversation));
         let row = rows.entry((&last.tenant, &last.grade)).or_default();
         (row.tenant, row.grade) = (last.tenant.clone(), last.grade.clone());
         row.conversations += 1;
-        row.tries += of.tries.len() as u64;
+        row.tries += conversation.tries.len() as u64;
         row.amount += rated.amount;
         row.unrated += u64::from(!rated.known);
-        *(match of.outcome() {
+        *(match conversation.outcome() {
             Outcome::Completed => &mut row.stood,
             Outcome::Cut => &mut row.cut,
             Outcome::Refused => &mut row.refused,
--- a/daemon/src/release.rs
+++ b/daemon/src/release.rs
@@ -23,7 +23,7 @@
 use crate::settings;
 
 /// Set for a process that runs a release, to its number.
-const MARK: &str = "FROSTTHREAD_RELEASE";
+const RELEASE_ENV: &str = "FROSTTHREAD_RELEASE";
 
 /// What is installed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -42,18 +42,18 @@
 
 /// Where a start goes on.
 pub enum Start {
-    Here(RunningRelease),
-    Elsewhere(Change),
+    Current(RunningRelease),
+    Become(Target),
 }
 
 /// A program to become, with its settings.
-pub struct Change {
+pub struct Target {
     program: PathBuf,
     config: PathBuf,
     release: u64,
 }
 
-fn file(state: &Path) -> PathBuf {
+fn installed_file(state: &Path) -> PathBuf {
     state.join("release.json")
 }
 
@@ -62,74 +62,76 @@
     state.join("staged").join(hex::encode(sum))
 }
 
-fn read(state: &Path) -> Result<Option<Installed>> {
-    match fs::read_to_string(file(state)) {
+fn read_installed(state: &Path) -> Result<Option<Installed>> {
+    match fs::read_to_string(installed_file(state)) {
         Ok(text) => Ok(Some(serde_json::from_str(&text).context("release.json")?)),
         Err(error) if error.kind() == ErrorKind::NotFound => Ok(None),
         Err(error) => Err(error).context("release.json"),
     }
 }
 
-fn write(state: &Path, installed: Option<&Installed>) -> Result<()> {
+fn write_installed(state: &Path, installed: Option<&Installed>) -> Result<()> {
     let Some(installed) = installed else {
-        fs::remove_file(file(state))?;
+        fs::remove_file(installed_file(state))?;
         return Ok(());
     };
-    let mut fresh = tempfile::NamedTempFile::new_in(state)?;
-    fresh.write_all(serde_json::to_string(installed)?.as_bytes())?;
-    fresh.as_file().sync_all()?;
-    fresh.persist(file(state))?;
+    let mut temporary = tempfile::NamedTempFile::new_in(state)?;
+    temporary.write_all(serde_json::to_string(installed)?.as_bytes())?;
+    temporary.as_file().sync_all()?;
+    temporary.persist(installed_file(state))?;
     Ok(())
 }
 
 /// Looks at what is installed where a process starts.
 pub fn start(state: &Path) -> Result<Start> {
-    let Some(mut installed) = read(state)? else { return Ok(Start::Here(RunningRelease::default())) };
+    let Some(mut installed) = read_installed(state)? else {
+        return Ok(Start::Current(RunningRelease::default()));
+    };
     let release = installed.release;
-    if std::env::var(MARK).is_ok_and(|mark| mark == release.to_string()) {
-        return Ok(Start::Here(RunningRelease { release, failed: None }));
+    if std::env::var(RELEASE_ENV).is_ok_and(|value| value == release.to_string()) {
+        return Ok(Start::Current(RunningRelease { release, failed: None }));
     }
     if installed.failed.is_none() && installed.starts >= MAX_STARTS {
         installed.failed = Some(format!("{MAX_STARTS} starts in a row were not well"));
-        write(state, Some(&installed))?;
+        write_installed(state, Some(&installed))?;
     }
     if let Some(why) = installed.failed {
-        return Ok(Start::Here(RunningRelease { release: 0, failed: Some((release, why)) }));
+        return Ok(Start::Current(RunningRelease { release: 0, failed: Some((release, why)) }));
     }
     installed.starts += 1;
-    write(state, Some(&installed))?;
+    write_installed(state, Some(&installed))?;
     let Installed { program, config, .. } = installed;
-    Ok(Start::Elsewhere(Change { program, config, release }))
+    Ok(Start::Become(Target { program, config, release }))
 }
 
 /// The release that runs was seen well.
-pub fn well(state: &Path) -> Result<()> {
-    match read(state)? {
+pub fn mark_healthy(state: &Path) -> Result<()> {
+    match read_installed(state)? {
         Some(mut installed) if installed.starts > 0 => {
             installed.starts = 0;
-            write(state, Some(&installed))
+            write_installed(state, Some(&installed))
         }
         _ => Ok(()),
     }
 }
 
 /// Installs what a proxy is to become, or what ran before. `config` is the file that it runs by now.
-pub fn install(state: &Path, config: &Path, replace: &Replacement) -> Result<Change> {
-    let before = read(state)?;
-    if !replace.forward {
+pub fn install(state: &Path, config: &Path, replacement: &Replacement) -> Result<Target> {
+    let before = read_installed(state)?;
+    if !replacement.forward {
         let installed = before.context("release.json: nothing is installed")?;
-        write(state, installed.before.as_deref())?;
+        write_installed(state, installed.before.as_deref())?;
         let release = installed.before.map_or(0, |before| before.release);
         let (program, config) = installed.former;
-        return Ok(Change { program, config, release });
+        return Ok(Target { program, config, release });
     }
-    let own = (std::env::current_exe()?, fs::canonicalize(config)?);
-    let file = staged_path(state, &replace.sum);
-    let (program, config) = match replace.kind {
-        Kind::Program => (fs::canonicalize(file)?, own.1.clone()),
-        Kind::Settings => (own.0.clone(), fs::canonicalize(file.with_extension("toml"))?),
+    let current = (std::env::current_exe()?, fs::canonicalize(config)?);
+    let file = staged_path(state, &replacement.sum);
+    let (program, config) = match replacement.kind {
+        Kind::Program => (fs::canonicalize(file)?, current.1.clone()),
+        Kind::Settings => (current.0.clone(), fs::canonicalize(file.with_extension("toml"))?),
     };
-    let release = replace.release;
+    let release = replacement.release;
     let (starts, failed, before) = (1, None, before.map(Box::new));
     let installed = Installed {
         release,
@@ -137,23 +139,23 @@
         config: config.clone(),
         starts,
         failed,
-        former: own,
+        former: current,
         before,
     };
-    write(state, Some(&installed))?;
-    Ok(Change { program, config, release })
+    write_installed(state, Some(&installed))?;
+    Ok(Target { program, config, release })
 }
 
 /// What was to be installed can't be run: what runs now goes on.
-pub fn give_up(state: &Path, why: &str) -> Result<()> {
-    if let Some(mut installed) = read(state)? {
+pub fn mark_failed(state: &Path, why: &str) -> Result<()> {
+    if let Some(mut installed) = read_installed(state)? {
         installed.failed = Some(why.to_owned());
-        write(state, Some(&installed))?;
+        write_installed(state, Some(&installed))?;
     }
     Ok(())
 }
 
-impl Change {
+impl Target {
     /// Becomes it, with this process's arguments but for the settings; only comes back where that fails.
     pub fn exec(&self) -> io::Error {
         let mut arguments: Vec<OsString> = std::env::args_os().skip(1).collect();
@@ -165,9 +167,9 @@
         let mut command = Command::new(&self.program);
         command.args(arguments);
         if self.release > 0 {
-            command.env(MARK, self.release.to_string());
+            command.env(RELEASE_ENV, self.release.to_string());
         } else {
-            command.env_remove(MARK);
+            command.env_remove(RELEASE_ENV);
         }
         command.exec()
     }
@@ -187,34 +189,34 @@
 }
 
 /// Tables that are a proxy's own: no release changes them.
-const OWN: [&str; 4] = ["proxy", "listen", "gossip", "distribution"];
+const PER_PROXY_TABLES: [&str; 4] = ["proxy", "listen", "gossip", "distribution"];
 
 /// A release of settings has the tables that it changes, as they are to stand in the settings of all proxies;
 /// what comes of them here is put into a file of its own.
-fn check_settings(bytes: &[u8], config: &Path, to: &Path) -> Result<(), String> {
+fn check_settings(bytes: &[u8], config: &Path, output: &Path) -> Result<(), String> {
     let text = std::str::from_utf8(bytes).map_err(|_| "no text".to_owned())?;
     let read = |text: &str| text.parse::<DocumentMut>().map_err(|error| error.message().to_owned());
     let changes = read(text)?;
-    let mut whole = read(&fs::read_to_string(config).map_err(|error| error.to_string())?)?;
+    let mut merged = read(&fs::read_to_string(config).map_err(|error| error.to_string())?)?;
     for (key, item) in changes.iter() {
-        if OWN.contains(&key) {
+        if PER_PROXY_TABLES.contains(&key) {
             return Err(format!("{key}: is each proxy's own"));
         }
-        whole[key] = item.clone();
+        merged[key] = item.clone();
     }
-    let whole = whole.to_string();
-    settings::read(&whole).map_err(|faults| faults[0].to_string())?;
-    fs::write(to, whole).map_err(|error| error.to_string())
+    let merged = merged.to_string();
+    settings::read(&merged).map_err(|faults| faults[0].to_string())?;
+    fs::write(output, merged).map_err(|error| error.to_string())
 }
 
 fn check_program(path: &Path, config: &Path) -> Result<(), String> {
-    let fit = || -> io::Result<bool> {
+    let accepts = || -> io::Result<bool> {
         fs::set_permissions(path, fs::Permissions::from_mode(0o755))?;
         let mut command = Command::new(path);
         command.arg("check").arg(config).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
         Ok(command.status()?.success())
     };
-    match fit() {
+    match accepts() {
         Ok(true) => Ok(()),
         Ok(false) => Err("it finds these settings unfit".to_owned()),
         Err(error) => Err(error.to_string()),
@@ -225,11 +227,11 @@
 pub fn stage(state: &Path, path: &Path) -> Result<[u8; 32]> {
     let bytes = fs::read(path).with_context(|| path.display().to_string())?;
     let sum = *blake3::hash(&bytes).as_bytes();
-    let to = staged_path(state, &sum);
-    fs::create_dir_all(to.parent().context("a folder")?)?;
-    let mut fresh = tempfile::NamedTempFile::new_in(state)?;
-    fresh.write_all(&bytes)?;
-    fresh.as_file().sync_all()?;
-    fresh.persist(to)?;
+    let target = staged_path(state, &sum);
+    fs::create_dir_all(target.parent().context("a folder")?)?;
+    let mut temporary = tempfile::NamedTempFile::new_in(state)?;
+    temporary.write_all(&bytes)?;
+    temporary.as_file().sync_all()?;
+    temporary.persist(target)?;
     Ok(sum)
 }
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -28,29 +28,29 @@
 use tokio::sync::{mpsc, watch};
 
 use crate::backlog::Backlog;
-use crate::clock::{Clock, unix};
-use crate::control::{self, Ask};
-use crate::council::Keeper;
+use crate::clock::{Clock, unix_ms};
+use crate::control::{self, Request};
+use crate::council::CouncilFile;
 use crate::distribution::{self, StateFile};
 use crate::feed;
 use crate::journal::Journal;
 use crate::keys::Keyring;
-use crate::replacing::Replacing;
-use crate::settings::{CouncilPlan, GossipPlan, Plan};
+use crate::pending_commands::PendingCommands;
+use crate::release_agent::ReleaseAgent;
+use crate::settings::{CouncilSettings, GossipSettings, ProxySettings};
 use crate::sockets::{Arrival, Sockets, listen};
-use crate::wishes::Wishes;
 
 /// Arrivals that wait to be told; past that they wait in the sockets, and the kernel drops.
-const QUEUE: usize = 4096;
+const MAX_QUEUED_ARRIVALS: usize = 4096;
 /// Datagrams kept while sockets' buffers are full.
-const BACKLOG: usize = 4096;
+const MAX_BACKLOG_DATAGRAMS: usize = 4096;
 /// The loop looks at the clock at least this often, to know its own stalls.
-const BEAT: Duration = Duration::from_millis(50);
+const MAX_TURN_INTERVAL: Duration = Duration::from_millis(50);
 /// After a stop, how long the last datagrams and their resends are given.
-const FAREWELL: Duration = Duration::from_millis(1500);
+const LAST_DATAGRAMS_WAIT: Duration = Duration::from_millis(1500);
 
 /// Writes a file so that it is there whole or not at all.
-pub(crate) fn write_whole(path: &Path, bytes: &[u8]) -> Result<()> {
+pub(crate) fn write_atomically(path: &Path, bytes: &[u8]) -> Result<()> {
     let folder = path.parent().context("no folder")?;
     let mut file = tempfile::NamedTempFile::new_in(folder)?;
     file.write_all(bytes)?;
@@ -59,21 +59,21 @@
 }
 
 /// The terms of this proxy's gossip, heard at `bound`.
-fn gossip_terms(plan: &GossipPlan, bound: SocketAddr, resend: f64) -> GossipTerms {
+fn gossip_terms(settings: &GossipSettings, bound: SocketAddr, resend: f64) -> GossipTerms {
     GossipTerms {
-        address: plan.address.unwrap_or(bound),
-        seeds: plan.seeds.clone(),
-        max_bytes_per_second: plan.cap,
-        probe_interval: plan.beat,
-        max_faulty: plan.liars,
+        address: settings.advertised_address.unwrap_or(bound),
+        seeds: settings.seeds.clone(),
+        max_bytes_per_second: settings.max_bytes_per_second,
+        probe_interval: settings.probe_interval,
+        max_faulty: settings.max_faulty,
         resend_interval: resend,
     }
 }
 
-fn cached(plan: &Plan) -> Option<PoolUpdates> {
-    let text = fs::read_to_string(plan.pool_cache()).ok()?;
+fn read_cached_pool(settings: &ProxySettings) -> Option<PoolUpdates> {
+    let text = fs::read_to_string(settings.pool_cache()).ok()?;
     match PoolList::from_cache(&text) {
-        Ok(news) => Some(news),
+        Ok(updates) => Some(updates),
         Err(error) => {
             tracing::warn!("pool.cache_dropped: {error}");
             None
@@ -83,187 +83,210 @@
 
 /// Lets the proxy take part in what all proxies decide.
 #[allow(clippy::too_many_arguments)] // all that it is made of
-fn agree_on(
+fn enable_council(
     proxy: &mut BorderProxy<impl Decisions>,
-    plan: &CouncilPlan,
-    gossip: &GossipPlan,
+    settings: &CouncilSettings,
+    gossip: &GossipSettings,
     name: &str,
-    life: ProcessInfo,
+    process: ProcessInfo,
     seed: u64,
     now: f64,
-    told: mpsc::Sender<io::Result<()>>,
-) -> Result<Keeper> {
+    results: mpsc::Sender<io::Result<()>>,
+) -> Result<CouncilFile> {
     let Keyring { secrets, roster } = Keyring::read(gossip, name).context("gossip")?;
     let id = |member: &String| roster.ids().find(|&id| roster.name(id) == Some(member));
-    let named =
+    let member_id =
         |member: &String| id(member).with_context(|| format!("council.members: {member}: not in the roster"));
-    let founders = plan.members.iter().map(named).collect::<Result<_>>()?;
-    let opened =
-        Keeper::open(&plan.file, told).with_context(|| format!("council.file {}", plan.file.display()));
-    let (keeper, found) = opened?;
-    let terms = AgreementTerms { bootstrap_members: founders, heartbeat: plan.beat, lease: plan.lease };
+    let members = settings.members.iter().map(member_id).collect::<Result<_>>()?;
+    let open_result = CouncilFile::open(&settings.file, results)
+        .with_context(|| format!("council.file {}", settings.file.display()));
+    let (council_file, recovered) = open_result?;
+    let terms =
+        AgreementTerms { bootstrap_members: members, heartbeat: settings.heartbeat, lease: settings.lease };
     let keys = FleetKeys { secrets, roster };
-    proxy.enable_decisions((terms, plan.outs), life, keys, found, seed, now).context("council.file")?;
-    Ok(keeper)
+    proxy
+        .enable_decisions((terms, settings.availability), process, keys, recovered, seed, now)
+        .context("council.file")?;
+    Ok(council_file)
 }
 
 /// Runs the proxy until it is told to stop, or is to become another by a release.
-pub async fn run(plan: Plan) -> Result<Option<Replacement>> {
-    let to_come = plan.to_come.clone();
-    run_with_decisions(plan, |terms, seed, now| Watched::new(Proxy::new(terms, seed, now), to_come)).await
+pub async fn run(settings: ProxySettings) -> Result<Option<Replacement>> {
+    let proposed_terms = settings.proposed_terms.clone();
+    run_with_decisions(settings, |terms, seed, now| {
+        Watched::new(Proxy::new(terms, seed, now), proposed_terms)
+    })
+    .await
 }
 
 /// The same with something else that decides, made from the terms, a seed and the time.
 pub async fn run_with_decisions<D: Decisions>(
-    plan: Plan,
+    settings: ProxySettings,
     decide: impl FnOnce(Terms, u64, f64) -> D,
 ) -> Result<Option<Replacement>> {
-    fs::create_dir_all(&plan.state).with_context(|| format!("state directory {}", plan.state.display()))?;
+    fs::create_dir_all(&settings.state_dir)
+        .with_context(|| format!("state directory {}", settings.state_dir.display()))?;
     let seed: u64 = rand::rng().random();
     let clock = Clock(Instant::now());
-    let module = decide(plan.terms.terms.clone(), seed, clock.now());
-    let mut proxy = BorderProxy::with_decisions(module, plan.terms.clone(), seed, clock.now());
-    if let Some(news) = cached(&plan) {
-        tracing::info!(version = news.version, servers = news.servers.len(), "pool.cached");
-        proxy.update_server_list(clock.now(), unix(), &news)?;
+    let module = decide(settings.terms.terms.clone(), seed, clock.now());
+    let mut proxy = BorderProxy::with_decisions(module, settings.terms.clone(), seed, clock.now());
+    if let Some(updates) = read_cached_pool(&settings) {
+        tracing::info!(version = updates.version, servers = updates.servers.len(), "pool.cached");
+        proxy.update_server_list(clock.now(), unix_ms(), &updates)?;
     }
 
-    let (arrivals_in, mut arrivals) = mpsc::channel(QUEUE);
-    let callers = Sockets::bind(plan.callers, plan.receive_buffer);
-    let callers = Arc::new(callers.with_context(|| format!("listen.callers {}", plan.callers))?);
+    let (arrivals_in, mut arrivals) = mpsc::channel(MAX_QUEUED_ARRIVALS);
+    let callers = Sockets::bind(settings.callers_address, settings.receive_buffer);
+    let callers = Arc::new(callers.with_context(|| format!("listen.callers {}", settings.callers_address))?);
     let address = callers.local_addr()?;
     tokio::spawn(listen(callers.clone(), Side::Callers, None, arrivals_in.clone()));
     let mut peers = None;
-    let (kept_in, mut kept) = mpsc::channel(4);
-    let mut keeper = None;
-    let mut wishes = Wishes::default();
-    let mut replacing = Replacing::new(&plan);
-    if let Some(gossip) = &plan.gossip {
-        let Keyring { secrets, roster } = Keyring::read(gossip, &plan.name).context("gossip")?;
-        let socket = Sockets::bind(gossip.listen, plan.receive_buffer);
+    let (council_writes_in, mut council_writes) = mpsc::channel(4);
+    let mut council_file = None;
+    let mut pending_commands = PendingCommands::default();
+    let mut release_agent = ReleaseAgent::new(&settings);
+    if let Some(gossip) = &settings.gossip {
+        let Keyring { secrets, roster } = Keyring::read(gossip, &settings.name).context("gossip")?;
+        let socket = Sockets::bind(gossip.listen, settings.receive_buffer);
         let socket = Arc::new(socket.with_context(|| format!("gossip.listen {}", gossip.listen))?);
         tokio::spawn(listen(socket.clone(), Side::Peers, None, arrivals_in.clone()));
-        let terms = gossip_terms(gossip, socket.local_addr()?, plan.terms.servers.resend_delay);
-        proxy.join(Node::new(terms, secrets, roster, seed, clock.now(), unix()));
-        if let Some(limits) = plan.fleet {
-            let shares = plan.terms.terms.tenants.iter().map(|tenant| tenant.quota);
-            proxy.enable_fleet_limits(limits, plan.names.1.iter().cloned().zip(shares), seed, clock.now());
+        let terms = gossip_terms(gossip, socket.local_addr()?, settings.terms.servers.resend_delay);
+        proxy.join(Node::new(terms, secrets, roster, seed, clock.now(), unix_ms()));
+        if let Some(limits) = settings.fleet_limits {
+            let shares = settings.terms.terms.tenants.iter().map(|tenant| tenant.quota);
+            proxy.enable_fleet_limits(
+                limits,
+                settings.names.1.iter().cloned().zip(shares),
+                seed,
+                clock.now(),
+            );
         }
-        if let Some(council) = &plan.council {
-            let life = ProcessInfo {
-                running_release: plan.runs.release,
-                failed_release: plan.runs.failed.clone(),
+        if let Some(council) = &settings.council {
+            let process = ProcessInfo {
+                running_release: settings.running_release.release,
+                failed_release: settings.running_release.failed.clone(),
                 caller_address: address,
             };
             let now = clock.now();
-            keeper = Some(agree_on(&mut proxy, council, gossip, &plan.name, life, seed, now, kept_in)?);
+            council_file = Some(enable_council(
+                &mut proxy,
+                council,
+                gossip,
+                &settings.name,
+                process,
+                seed,
+                now,
+                council_writes_in,
+            )?);
         }
         peers = Some(socket);
-    } else if let Some(subscriber) = distribution::listens(&plan) {
-        let socket = Sockets::bind(subscriber.listen, plan.receive_buffer);
+    } else if let Some(subscriber) = distribution::subscriber_settings(&settings) {
+        let socket = Sockets::bind(subscriber.listen, settings.receive_buffer);
         let socket = Arc::new(socket.with_context(|| format!("distribution.listen {}", subscriber.listen))?);
         tokio::spawn(listen(socket.clone(), Side::Peers, None, arrivals_in.clone()));
         peers = Some(socket);
     }
-    let mut distributed = distribution::begin(&mut proxy, &plan, seed, clock.now(), unix())?;
+    let mut state_file = distribution::start(&mut proxy, &settings, seed, clock.now(), unix_ms())?;
     let (synced_in, mut synced) = mpsc::channel(4);
     let mut journal = None;
-    if let Some(records) = &plan.records {
+    if let Some(records) = &settings.records {
         // Grows with each start; chance keeps two processes of one name apart.
-        let life = ((unix() as u64) << 20) | rand::rng().random_range(0..1 << 20);
-        let author = Author { proxy: plan.name.clone(), generation: life };
-        let begun = Journal::begin(records, author, clock.now(), synced_in.clone());
-        journal = Some(begun.with_context(|| format!("records.folder {}", records.folder.display()))?);
-        let (grades, tenants) = plan.names.clone();
-        proxy.start_recording(JournalWriter::new(grades, tenants, unix() - clock.now()));
+        let generation_number = ((unix_ms() as u64) << 20) | rand::rng().random_range(0..1 << 20);
+        let author = Author { proxy: settings.name.clone(), generation: generation_number };
+        let opened_journal = Journal::open(records, author, clock.now(), synced_in.clone());
+        journal =
+            Some(opened_journal.with_context(|| format!("records.folder {}", records.folder.display()))?);
+        let (grades, tenants) = settings.names.clone();
+        proxy.start_recording(JournalWriter::new(grades, tenants, unix_ms() - clock.now()));
     }
     // Datagrams to callers that wait for the journal, with the position that they wait for.
     let mut waiting: VecDeque<(u64, Outbound)> = VecDeque::new();
-    let peers_at = peers.as_ref().map(|socket| socket.local_addr()).transpose()?;
-    let mut sockets = Sockets::new(callers, peers, plan.servers, plan.receive_buffer, arrivals_in);
-    let mut backlog = Backlog::new(BACKLOG);
+    let peers_address = peers.as_ref().map(|socket| socket.local_addr()).transpose()?;
+    let mut sockets =
+        Sockets::new(callers, peers, settings.server_source, settings.receive_buffer, arrivals_in);
+    let mut backlog = Backlog::new(MAX_BACKLOG_DATAGRAMS);
 
-    let (news_in, mut news) = mpsc::channel(16);
-    let (have, have_out) = watch::channel(None);
-    tokio::spawn(feed::follow(plan.feed, seed, news_in, have_out));
+    let (updates_in, mut updates) = mpsc::channel(16);
+    let (known_version, known_version_out) = watch::channel(None);
+    tokio::spawn(feed::follow(settings.pool_feed, seed, updates_in, known_version_out));
 
-    let _ = fs::remove_file(&plan.control);
-    let control =
-        UnixListener::bind(&plan.control).with_context(|| format!("control {}", plan.control.display()))?;
-    let (asks_in, mut asks) = mpsc::channel(16);
-    tokio::spawn(control::serve(control, asks_in));
+    let _ = fs::remove_file(&settings.control_socket);
+    let control = UnixListener::bind(&settings.control_socket)
+        .with_context(|| format!("control {}", settings.control_socket.display()))?;
+    let (requests_in, mut requests) = mpsc::channel(16);
+    tokio::spawn(control::serve(control, requests_in));
 
     let (mut terminate, mut interrupt) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
-    let ready = serde_json::json!({ "callers": address, "peers": peers_at, "pid": std::process::id() });
-    write_whole(&plan.ready_file(), format!("{ready}\n").as_bytes())?;
-    tracing::info!(name = plan.name, callers = %address, "proxy.ready");
+    let ready = serde_json::json!({ "callers": address, "peers": peers_address, "pid": std::process::id() });
+    write_atomically(&settings.ready_file(), format!("{ready}\n").as_bytes())?;
+    tracing::info!(name = settings.name, callers = %address, "proxy.ready");
 
     let mut stop_at = None;
-    let mut looked = clock.now();
+    let mut last_turn_at = clock.now();
     loop {
         let due = proxy.due().min(journal.as_ref().map_or(f64::INFINITY, Journal::due));
-        let due = due.min(distributed.as_ref().map_or(f64::INFINITY, StateFile::due));
-        let due = due.min(looked + BEAT.as_secs_f64() * 1000.0);
+        let due = due.min(state_file.as_ref().map_or(f64::INFINITY, StateFile::due));
+        let due = due.min(last_turn_at + MAX_TURN_INTERVAL.as_secs_f64() * 1000.0);
         let wait = Duration::from_secs_f64((due - clock.now()).max(0.0) / 1000.0);
-        let room = sockets.room(backlog.first());
+        let writable = sockets.wait_writable(backlog.first());
         let mut first = None;
-        let mut asked = None;
+        let mut request = None;
         tokio::select! {
             arrival = arrivals.recv() => first = arrival,
-            Some(change) = news.recv() => {
+            Some(update) = updates.recv() => {
                 let now = clock.now();
-                match proxy.update_server_list(now, unix(), &change) {
+                match proxy.update_server_list(now, unix_ms(), &update) {
                     Ok(()) => {
-                        tracing::info!(version = change.version, whole = change.whole, "pool.changed");
-                        let _ = have.send(proxy.pool().version());
-                        if let Err(error) = write_whole(&plan.pool_cache(), proxy.pool().to_cache().as_bytes()) {
+                        tracing::info!(version = update.version, whole = update.whole, "pool.changed");
+                        let _ = known_version.send(proxy.pool().version());
+                        if let Err(error) = write_atomically(&settings.pool_cache(), proxy.pool().to_cache().as_bytes()) {
                             tracing::warn!("pool.cache_unwritten: {error:#}");
                         }
                     }
                     Err(error) => {
                         tracing::warn!("pool.unfit: {error}");
-                        let _ = have.send(None);
+                        let _ = known_version.send(None);
                     }
                 }
             }
-            Some(ask) = asks.recv() => asked = Some(ask),
+            Some(received) = requests.recv() => request = Some(received),
             Some(result) = synced.recv() => {
                 if let Some(journal) = &mut journal {
-                    journal.synced(result);
+                    journal.sync_completed(result);
                 }
             }
-            Some(result) = kept.recv() => {
+            Some(result) = council_writes.recv() => {
                 if let Err(error) = &result {
                     tracing::error!("council.unwritten: {error}");
                 }
                 proxy.state_write_finished(clock.now(), result.is_ok());
             }
-            _ = terminate.recv() => asked = Some(Ask::Stop),
-            _ = interrupt.recv() => asked = Some(Ask::Stop),
-            _ = room => {}
+            _ = terminate.recv() => request = Some(Request::Stop),
+            _ = interrupt.recv() => request = Some(Request::Stop),
+            _ = writable => {}
             () = tokio::time::sleep(wait) => {}
         }
-        backlog.flush(|out| sockets.try_send(out));
+        backlog.flush(|datagram| sockets.try_send(datagram));
         let now = clock.now();
-        match asked {
-            Some(Ask::Status(to)) => drop(to.send(Box::new(proxy.status()))),
-            Some(Ask::Gossip(to)) => drop(to.send(proxy.gossip())),
-            Some(Ask::Limits(to)) => drop(to.send(proxy.limits())),
-            Some(Ask::Council(to)) => drop(to.send(proxy.council())),
-            Some(Ask::Outs(to)) => drop(to.send(proxy.availability())),
-            Some(Ask::Distribution(to)) => drop(to.send(proxy.distribution())),
-            Some(Ask::Changes(to)) => drop(to.send(proxy.changes())),
-            Some(Ask::Wish(wished, to)) => wishes.ask(now, &mut proxy, &wished, to),
-            Some(Ask::Rekey(to)) => {
-                let done = rekey(&mut proxy, &plan);
+        match request {
+            Some(Request::Status(to)) => drop(to.send(Box::new(proxy.status()))),
+            Some(Request::Gossip(to)) => drop(to.send(proxy.gossip())),
+            Some(Request::Limits(to)) => drop(to.send(proxy.limits())),
+            Some(Request::Council(to)) => drop(to.send(proxy.council())),
+            Some(Request::Availability(to)) => drop(to.send(proxy.availability())),
+            Some(Request::Distribution(to)) => drop(to.send(proxy.distribution())),
+            Some(Request::Changes(to)) => drop(to.send(proxy.changes())),
+            Some(Request::Command(command, to)) => pending_commands.submit(now, &mut proxy, &command, to),
+            Some(Request::Rekey(to)) => {
+                let done = rekey(&mut proxy, &settings);
                 tracing::info!(done = done.is_ok(), "gossip.rekeyed");
                 let _ = to.send(done);
             }
-            Some(Ask::Stop) if replacing.leaving.take().is_some() => {}
-            Some(Ask::Stop) if stop_at.is_none() => {
+            Some(Request::Stop) if release_agent.replacement.take().is_some() => {}
+            Some(Request::Stop) if stop_at.is_none() => {
                 tracing::info!(conversations = proxy.conversations(), "proxy.stopping");
                 proxy.stop_accepting();
-                stop_at = Some(now + plan.standing);
+                stop_at = Some(now + settings.stop_grace);
             }
             _ => {}
         }
@@ -274,15 +297,15 @@
         }
         for arrival in batch {
             match arrival {
-                Arrival::Datagram(side, peer, bytes, came) => {
+                Arrival::Datagram(side, peer, bytes, received_at) => {
                     // Whatever the wall clock did meanwhile, it came to a socket of this process.
-                    let arrived = clock.at(came).clamp(0.0, now);
+                    let arrived = clock.elapsed_at(received_at).clamp(0.0, now);
                     proxy.receive(now, arrived, side, peer, &bytes);
                 }
                 Arrival::Refused(side, peer) => proxy.connection_refused(now, side, peer),
             }
         }
-        looked = now;
+        last_turn_at = now;
         if let Some(journal) = &journal {
             proxy.set_recording_unavailable(match journal.admit(now) {
                 Admission::Accept => None,
@@ -291,85 +314,85 @@
         }
         proxy.turn(now);
         proxy.run_pending();
-        wishes.answer(now, &mut proxy);
-        if replacing.turn(now, &mut proxy) && stop_at.is_none() {
+        pending_commands.deliver_outcomes(now, &mut proxy);
+        if release_agent.turn(now, &mut proxy) && stop_at.is_none() {
             proxy.stop_accepting();
-            stop_at = Some(now + plan.standing);
+            stop_at = Some(now + settings.stop_grace);
         }
-        if let Some((keeper, write)) =
-            keeper.as_ref().and_then(|keeper| Some((keeper, proxy.next_state_write(now)?)))
+        if let Some((council_file, write)) =
+            council_file.as_ref().and_then(|council_file| Some((council_file, proxy.next_state_write(now)?)))
         {
-            keeper.write(write);
+            council_file.write(write);
         }
-        if let Some(file) = &mut distributed {
+        if let Some(file) = &mut state_file {
             file.turn(now, &mut proxy);
         }
         if let Some(journal) = &mut journal {
             journal.write(now, std::iter::from_fn(|| proxy.next_journal_entry()));
             journal.turn(now);
         }
-        while let Some(out) = proxy.outbound() {
+        while let Some(datagram) = proxy.outbound() {
             match &journal {
                 // Voice rests on nothing that is written now: mini frames go at once (RFC 5456, 8.1.2).
-                Some(journal) if out.side == Side::Callers && out.bytes[0] & 0x80 != 0 => {
-                    waiting.push_back((journal.position(), out));
+                Some(journal) if datagram.side == Side::Callers && datagram.bytes[0] & 0x80 != 0 => {
+                    waiting.push_back((journal.position(), datagram));
                 }
-                _ => backlog.send(out, |out| sockets.try_send(out)),
+                _ => backlog.send(datagram, |datagram| sockets.try_send(datagram)),
             }
         }
-        while let Some((_, out)) =
-            waiting.pop_front_if(|(position, _)| journal.as_ref().is_none_or(|j| j.may_go(now, *position)))
+        while let Some((_, datagram)) =
+            waiting.pop_front_if(|(position, _)| journal.as_ref().is_none_or(|j| j.may_send(now, *position)))
         {
-            backlog.send(out, |out| sockets.try_send(out));
+            backlog.send(datagram, |datagram| sockets.try_send(datagram));
         }
         while let Some(note) = proxy.note() {
             tracing::info!("module.note: {note}");
         }
 
         if stop_at.is_some_and(|at| proxy.conversations() == 0 || now >= at) {
-            let left = proxy.conversations();
+            let remaining = proxy.conversations();
             proxy.close_all(now);
             proxy.leave(now);
-            distributed.iter_mut().for_each(StateFile::finish);
+            state_file.iter_mut().for_each(StateFile::finish);
             if let Some(journal) = &mut journal {
                 journal.finish(now, std::iter::from_fn(|| proxy.next_journal_entry()));
             }
-            for (_, out) in waiting {
-                backlog.send(out, |out| sockets.try_send(out));
+            for (_, datagram) in waiting {
+                backlog.send(datagram, |datagram| sockets.try_send(datagram));
             }
-            farewell(&mut proxy, &mut sockets, backlog, &mut arrivals, &clock, left).await?;
-            return Ok(replacing.leaving);
+            flush_last_datagrams(&mut proxy, &mut sockets, backlog, &mut arrivals, &clock, remaining).await?;
+            return Ok(release_agent.replacement);
         }
     }
 }
 
 /// Reads all key files and rosters again; what is wrong with them, if anything.
-fn rekey(proxy: &mut BorderProxy<impl Decisions>, plan: &Plan) -> Result<(), String> {
-    let told = |error: anyhow::Error| format!("{error:#}");
-    if let Some(gossip) = &plan.gossip {
-        let Keyring { secrets, roster } = Keyring::read(gossip, &plan.name).map_err(told)?;
+fn rekey(proxy: &mut BorderProxy<impl Decisions>, settings: &ProxySettings) -> Result<(), String> {
+    let describe = |error: anyhow::Error| format!("{error:#}");
+    if let Some(gossip) = &settings.gossip {
+        let Keyring { secrets, roster } = Keyring::read(gossip, &settings.name).map_err(describe)?;
         proxy.rekey(secrets, roster);
-    } else if plan.distribution.is_none() {
+    } else if settings.distribution.is_none() {
         return Err(control::NO_GOSSIP.to_owned());
     }
-    distribution::rekey(proxy, plan).map_err(told)
+    distribution::rekey(proxy, settings).map_err(describe)
 }
 
 /// Gives the last answers their time to be heard.
-async fn farewell(
+async fn flush_last_datagrams(
     proxy: &mut BorderProxy<impl Decisions>,
     sockets: &mut Sockets,
     mut backlog: Backlog,
     arrivals: &mut mpsc::Receiver<Arrival>,
     clock: &Clock,
-    left: usize,
+    remaining: usize,
 ) -> Result<()> {
-    let end = Instant::now() + FAREWELL;
+    let deadline = Instant::now() + LAST_DATAGRAMS_WAIT;
     loop {
-        while let Some(out) = proxy.outbound() {
-            backlog.send(out, |out| sockets.try_send(out));
+        while let Some(datagram) = proxy.outbound() {
+            backlog.send(datagram, |datagram| sockets.try_send(datagram));
         }
-        backlog.flush(|out| sockets.try_send(out));
+        backlog.flush(|datagram| sockets.try_send(datagram));
         tokio::select! {
             Some(arrival) = arrivals.recv() => {
                 if let Arrival::Datagram(side, peer, bytes, _) = arrival {
@@ -377,12 +400,12 @@
                     proxy.receive(now, now, side, peer, &bytes);
                 }
             }
-            () = tokio::time::sleep(BEAT) => proxy.turn(clock.now()),
+            () = tokio::time::sleep(MAX_TURN_INTERVAL) => proxy.turn(clock.now()),
         }
-        if Instant::now() >= end || (left == 0 && proxy.due() == f64::INFINITY) {
+        if Instant::now() >= deadline || (remaining == 0 && proxy.due() == f64::INFINITY) {
             break;
         }
     }
-    tracing::info!(closed = left, unsent = backlog.dropped(), "proxy.stopped");
+    tracing::info!(closed = remaining, unsent = backlog.dropped(), "proxy.stopped");
     Ok(())
 }
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -15,32 +15,32 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::LocalSet;
 
-use crate::clock::{Clock, unix};
-use crate::connections::{Arrival, Found, Wires};
-use crate::watch_log::{self, Had};
+use crate::changelog_client::{self, AppliedSeq};
+use crate::clock::{Clock, unix_ms};
+use crate::connections::{ConnectionEvent, Connections, ReadResult};
 
 /// Arrivals told between two decisions, and callers' connections taken on.
-const BATCH: usize = 128;
-const ACCEPTED: usize = 16;
+const MAX_EVENTS_PER_TURN: usize = 128;
+const MAX_ACCEPTED_PER_TURN: usize = 16;
 /// Between two looks after accepting failed, as it does without descriptors.
-const ACCEPT_PAUSE: f64 = 50.0;
+const ACCEPT_RETRY_MS: f64 = 50.0;
 /// A former process of this proxy may not have let go of the address yet: it is tried again so often, for as long as a
 /// start may take.
-const BIND_PAUSE: Duration = Duration::from_millis(20);
-const BIND_WITHIN: Duration = Duration::from_secs(30);
+const BIND_RETRY: Duration = Duration::from_millis(20);
+const BIND_TIMEOUT: Duration = Duration::from_secs(30);
 /// Between two tries to read a new configuration that can't be read yet.
-const RELOAD_PAUSE: f64 = 100.0;
+const RELOAD_RETRY_MS: f64 = 100.0;
 /// After SIGTERM set-ups still come for so long.
-const STOPPING: f64 = 750.0;
+const STOP_GRACE_MS: f64 = 750.0;
 /// What is owed when that is over, but for answers to set-ups, waits no longer than this: a release is due
 /// within a second, and connections that take nothing are given up.
-const OWED: f64 = 1000.0;
+const UNSENT_WAIT_MS: f64 = 1000.0;
 /// When all is said, connections are read for so long at most before they are closed.
-const LAST_READ: Duration = Duration::from_millis(100);
+const LAST_READ_TIMEOUT: Duration = Duration::from_millis(100);
 /// Reads of one connection in one look at it.
-const LOOKS: usize = 4;
+const MAX_READS: usize = 4;
 /// Between two log lines that hold beliefs against sockets.
-const BELIEFS: f64 = 1000.0;
+const DIAGNOSTICS_INTERVAL_MS: f64 = 1000.0;
 
 /// The signals that mean something, from the first moment on.
 struct Signals {
@@ -60,22 +60,22 @@
 }
 
 /// The proxy with its sockets.
-struct Served {
+struct ServedProxy {
     border: Border,
-    wires: Wires,
+    connections: Connections,
     peers: Option<(UdpSocket, SocketAddr)>,
     clock: Clock,
 }
 
-impl Served {
+impl ServedProxy {
     /// Carries out all that is ordered; what comes of it is told and decided on too.
-    fn carry_out(&mut self) {
+    fn perform_actions(&mut self) {
         loop {
-            let mut told = false;
-            while let Some(order) = self.border.next_action() {
-                told |= self.carry(order);
+            let mut reported = false;
+            while let Some(action) = self.border.next_action() {
+                reported |= self.perform(action);
             }
-            if !told {
+            if !reported {
                 return;
             }
             self.border.run_pending();
@@ -83,28 +83,30 @@
     }
 
     /// Carries an order out; true where something was told.
-    fn carry(&mut self, order: Action) -> bool {
-        match order {
-            Action::Dial { conn, address, timeout } => self.wires.dial(conn, address, timeout),
+    fn perform(&mut self, action: Action) -> bool {
+        match action {
+            Action::Dial { conn, address, timeout } => self.connections.dial(conn, address, timeout),
             Action::Write { conn, bytes } => {
-                if !self.wires.write(conn, bytes) {
-                    return self.broke(conn, ConnectionError::Closed);
+                if !self.connections.write(conn, bytes) {
+                    return self.fail_connection(conn, ConnectionError::Closed);
                 }
             }
-            Action::SendAttempt(set_up) => return self.send(set_up),
-            Action::Cancel { attempt: set_up, bytes } => {
+            Action::SendAttempt(queued) => return self.send_attempt(queued),
+            Action::Cancel { attempt: queued, bytes } => {
                 // Where part of it is still here, it never reaches the server whole.
-                if self.wires.is_unfinished(set_up) || !self.wires.write(set_up.conn, bytes) {
-                    return self.broke(set_up.conn, ConnectionError::Closed);
+                if self.connections.is_partially_written(queued)
+                    || !self.connections.write(queued.conn, bytes)
+                {
+                    return self.fail_connection(queued.conn, ConnectionError::Closed);
                 }
             }
             Action::Evict { conn } => {
-                self.look(conn);
+                self.read_all(conn);
                 self.border.evict(self.clock.now(), conn);
                 return true;
             }
-            Action::Close { conn } => self.wires.close(conn),
-            Action::FlushAndClose { conn } => self.wires.dismiss(conn),
+            Action::Close { conn } => self.connections.close(conn),
+            Action::FlushAndClose { conn } => self.connections.flush_and_close(conn),
             Action::Broadcast { bytes } => {
                 if let Some((socket, all)) = &self.peers {
                     let _ = socket.try_send_to(&bytes, *all);
@@ -114,85 +116,85 @@
         false
     }
 
-    fn broke(&mut self, conn: ConnectionId, how: ConnectionError) -> bool {
-        self.wires.close(conn);
-        self.border.connection_failed(self.clock.now(), conn, how);
+    fn fail_connection(&mut self, conn: ConnectionId, error: ConnectionError) -> bool {
+        self.connections.close(conn);
+        self.border.connection_failed(self.clock.now(), conn, error);
         true
     }
 
     /// Sends an attempt, unless its connection takes nothing now or its caller turns out to have gone.
-    fn send(&mut self, set_up: QueuedAttempt) -> bool {
-        if self.wires.is_choked(set_up.conn) {
-            self.wires.wait_with(set_up);
+    fn send_attempt(&mut self, queued: QueuedAttempt) -> bool {
+        if self.connections.has_unwritten(queued.conn) {
+            self.connections.queue_attempt(queued);
             return false;
         }
-        let told = self.look(set_up.caller);
-        let Some(bytes) = self.border.send_attempt(self.clock.now(), set_up) else { return true };
-        if !self.wires.write(set_up.conn, bytes) {
-            return self.broke(set_up.conn, ConnectionError::Closed);
+        let reported = self.read_all(queued.caller);
+        let Some(bytes) = self.border.send_attempt(self.clock.now(), queued) else { return true };
+        if !self.connections.write(queued.conn, bytes) {
+            return self.fail_connection(queued.conn, ConnectionError::Closed);
         }
-        self.wires.written(set_up);
-        told
+        self.connections.attempt_written(queued);
+        reported
     }
 
     /// Tells all that a connection holds by now; false where that is nothing.
-    fn look(&mut self, conn: ConnectionId) -> bool {
-        let mut told = false;
-        for _ in 0..LOOKS {
-            let found = self.wires.look(conn);
-            if !self.tell(conn, found) {
+    fn read_all(&mut self, conn: ConnectionId) -> bool {
+        let mut reported = false;
+        for _ in 0..MAX_READS {
+            let result = self.connections.read_now(conn);
+            if !self.handle_read(conn, result) {
                 break;
             }
-            told = true;
+            reported = true;
         }
-        told
+        reported
     }
 
     /// Tells what was found at a connection; false where that is nothing.
-    fn tell(&mut self, conn: ConnectionId, found: Found) -> bool {
-        match found {
-            Found::Bytes(bytes) => self.border.receive(self.clock.now(), conn, &bytes),
-            Found::Nothing => return false,
-            Found::End => return self.broke(conn, ConnectionError::Closed),
+    fn handle_read(&mut self, conn: ConnectionId, result: ReadResult) -> bool {
+        match result {
+            ReadResult::Bytes(bytes) => self.border.receive(self.clock.now(), conn, &bytes),
+            ReadResult::Nothing => return false,
+            ReadResult::End => return self.fail_connection(conn, ConnectionError::Closed),
         }
         true
     }
 
-    fn arrived(&mut self, arrival: Arrival) {
-        match arrival {
-            Arrival::Up(conn, stream) => {
-                if self.wires.up(conn, stream) {
+    fn handle_event(&mut self, event: ConnectionEvent) {
+        match event {
+            ConnectionEvent::Connected(conn, stream) => {
+                if self.connections.connected(conn, stream) {
                     self.border.connected(self.clock.now(), conn);
                 }
             }
-            Arrival::Readable(conn) => {
-                let found = self.wires.read(conn);
-                self.tell(conn, found);
+            ConnectionEvent::Readable(conn) => {
+                let result = self.connections.read(conn);
+                self.handle_read(conn, result);
             }
-            Arrival::Drained(conn) => {
-                for set_up in self.wires.drained(conn) {
-                    self.send(set_up);
+            ConnectionEvent::OutboxEmpty(conn) => {
+                for queued in self.connections.outbox_emptied(conn) {
+                    self.send_attempt(queued);
                 }
             }
-            Arrival::Broke(conn, how) => {
-                self.broke(conn, how);
+            ConnectionEvent::Failed(conn, error) => {
+                self.fail_connection(conn, error);
             }
         }
     }
 
-    fn accepted(&mut self, stream: TcpStream, from: SocketAddr) {
+    fn add_caller(&mut self, stream: TcpStream, from: SocketAddr) {
         let conn = self.border.caller_connected(self.clock.now(), from.ip());
-        self.wires.add(conn, stream);
+        self.connections.add(conn, stream);
     }
 
     /// Takes on the callers that have connected by now, some at a time; gives how many.
-    fn accept(&mut self, listener: &TcpListener) -> io::Result<usize> {
-        for accepted in 0..ACCEPTED {
+    fn accept_callers(&mut self, listener: &TcpListener) -> io::Result<usize> {
+        for accepted in 0..MAX_ACCEPTED_PER_TURN {
             match SockRef::from(listener).accept() {
                 Ok((socket, from)) => {
                     socket.set_nonblocking(true)?;
                     let from = from.as_socket().unwrap_or(SocketAddr::from(([0, 0, 0, 0], 0)));
-                    self.accepted(TcpStream::from_std(socket.into())?, from);
+                    self.add_caller(TcpStream::from_std(socket.into())?, from);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(accepted),
                 // It was gone before it was taken on.
@@ -200,26 +202,26 @@
                 Err(error) => return Err(error),
             }
         }
-        Ok(ACCEPTED)
+        Ok(MAX_ACCEPTED_PER_TURN)
     }
 
     /// Whether nothing is left to be done: asks each connection itself, since what has come may not have been
     /// told.
-    fn is_done(&mut self, listener: &TcpListener, late: bool) -> bool {
-        let mut told = self.accept(listener).is_ok_and(|accepted| accepted > 0);
+    fn is_done(&mut self, listener: &TcpListener, release_wait_over: bool) -> bool {
+        let mut reported = self.accept_callers(listener).is_ok_and(|accepted| accepted > 0);
         for conn in self.border.caller_connections() {
-            told |= self.look(conn);
+            reported |= self.read_all(conn);
         }
-        if told {
+        if reported {
             self.border.run_pending();
-            self.carry_out();
+            self.perform_actions();
         }
-        let owes = self.border.pending_releases() > 0 || self.wires.is_any_choked();
-        !told && self.border.open_set_ups() == 0 && (late || !owes)
+        let unsent = self.border.pending_releases() > 0 || self.connections.any_unwritten();
+        !reported && self.border.open_set_ups() == 0 && (release_wait_over || !unsent)
     }
 }
 
-fn read_plan(path: &str) -> Result<PlatformConfig> {
+fn read_configuration(path: &str) -> Result<PlatformConfig> {
     let text = fs::read_to_string(path).with_context(|| path.to_owned())?;
     PlatformConfig::read(&text).with_context(|| path.to_owned())
 }
@@ -228,12 +230,12 @@
 pub async fn serve() -> Result<()> {
     let signals = Signals::new()?;
     let path = env::var("LB_CONFIG").context("LB_CONFIG names the configuration and is not set")?;
-    let plan = read_plan(&path)?;
+    let config = read_configuration(&path)?;
     let listen = match env::var("LB_LISTEN") {
         Ok(listen) => listen.parse().with_context(|| format!("LB_LISTEN has no use for {listen:?}"))?,
-        Err(_) => plan.listen,
+        Err(_) => config.listen,
     };
-    LocalSet::new().run_until(run(signals, path, plan, listen)).await
+    LocalSet::new().run_until(run(signals, path, config, listen)).await
 }
 
 fn bind_peers(own: SocketAddr) -> io::Result<UdpSocket> {
@@ -242,7 +244,7 @@
     UdpSocket::from_std(socket)
 }
 
-fn bind(listen: SocketAddr) -> io::Result<TcpListener> {
+fn bind_listener(listen: SocketAddr) -> io::Result<TcpListener> {
     use socket2::{Domain, Protocol, Socket, Type};
     let socket = Socket::new(Domain::for_address(listen), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -252,13 +254,13 @@
     TcpListener::from_std(socket.into())
 }
 
-async fn when_free<T>(address: SocketAddr, bind: fn(SocketAddr) -> io::Result<T>) -> Result<T> {
-    let began = Instant::now();
+async fn bind_when_free<T>(address: SocketAddr, bind: fn(SocketAddr) -> io::Result<T>) -> Result<T> {
+    let started = Instant::now();
     loop {
         match bind(address) {
-            Err(error) if error.kind() == ErrorKind::AddrInUse && began.elapsed() < BIND_WITHIN => {
+            Err(error) if error.kind() == ErrorKind::AddrInUse && started.elapsed() < BIND_TIMEOUT => {
                 tracing::info!(%address, "address.in_use");
-                tokio::time::sleep(BIND_PAUSE).await;
+                tokio::time::sleep(BIND_RETRY).await;
             }
             bound => return bound.with_context(|| format!("listening on {address}")),
         }
@@ -266,109 +268,116 @@
 }
 
 /// The listener, and where there are peers the socket for them and the address of all.
-type Ears = (TcpListener, Option<(UdpSocket, SocketAddr)>);
+type Listeners = (TcpListener, Option<(UdpSocket, SocketAddr)>);
 
-async fn bind_all(listen: SocketAddr, plan: &PlatformConfig) -> Result<Ears> {
-    let listener = when_free(listen, bind).await?;
-    let Some((own, all)) = plan.peer_listen.zip(plan.peers_all) else { return Ok((listener, None)) };
-    Ok((listener, Some((when_free(own, bind_peers).await?, all))))
+async fn bind_all(listen: SocketAddr, config: &PlatformConfig) -> Result<Listeners> {
+    let listener = bind_when_free(listen, bind_listener).await?;
+    let Some((peer_listen, all)) = config.peer_listen.zip(config.peers_all) else {
+        return Ok((listener, None));
+    };
+    Ok((listener, Some((bind_when_free(peer_listen, bind_peers).await?, all))))
 }
 
-async fn run(signals: Signals, path: String, plan: PlatformConfig, listen: SocketAddr) -> Result<()> {
+async fn run(signals: Signals, path: String, config: PlatformConfig, listen: SocketAddr) -> Result<()> {
     let Signals { mut terminate, mut interrupt, mut hang_up } = signals;
     let clock = Clock(Instant::now());
-    let border = Border::new(&plan, clock.now(), unix())?;
-    let (arrivals_in, mut arrivals) = mpsc::unbounded_channel();
+    let border = Border::new(&config, clock.now(), unix_ms())?;
+    let (events_in, mut events) = mpsc::unbounded_channel();
     let (listener, peers) = tokio::select! {
-        ears = bind_all(listen, &plan) => ears?,
+        listeners = bind_all(listen, &config) => listeners?,
         _ = terminate.recv() => return Ok(()),
         _ = interrupt.recv() => return Ok(()),
     };
-    let (changelog, changelog_out) = watch::channel(plan.changelog);
-    let had = Had::new(border.last_seq());
-    let (news_in, mut news) = mpsc::channel(16);
-    tokio::task::spawn_local(watch_log::follow(changelog_out, had.clone(), plan.seed, news_in));
-    let mut served = Served { border, wires: Wires::new(arrivals_in), peers, clock };
-    tracing::info!(name = plan.name, %listen, sockets = plan.limits.sockets, "proxy.ready");
+    let (changelog, changelog_out) = watch::channel(config.changelog);
+    let applied_seq = AppliedSeq::new(border.last_seq());
+    let (updates_in, mut updates) = mpsc::channel(16);
+    tokio::task::spawn_local(changelog_client::follow(
+        changelog_out,
+        applied_seq.clone(),
+        config.seed,
+        updates_in,
+    ));
+    let mut proxy = ServedProxy { border, connections: Connections::new(events_in), peers, clock };
+    tracing::info!(name = config.name, %listen, sockets = config.limits.sockets, "proxy.ready");
 
     let mut stop_at: Option<f64> = None;
     let (mut accept_at, mut reload_at) = (0.0, f64::INFINITY);
-    let mut beliefs_at = 0.0;
+    let mut diagnostics_at = 0.0;
     loop {
-        served.carry_out();
-        served.wires.closed().await;
-        let now = served.clock.now();
-        let accepts = now >= accept_at;
-        let due = served.border.due().min(reload_at).min(if accepts { f64::INFINITY } else { accept_at });
+        proxy.perform_actions();
+        proxy.connections.wait_closed().await;
+        let now = proxy.clock.now();
+        let accepting = now >= accept_at;
+        let due = proxy.border.due().min(reload_at).min(if accepting { f64::INFINITY } else { accept_at });
         let due = stop_at.filter(|at| *at > now).map_or(due, |at| due.min(at));
         let wait = Duration::from_secs_f64((due - now).clamp(0.0, 1000.0) / 1000.0);
-        let (mut first, mut caller, mut change) = (None, None, None);
+        let (mut first, mut caller, mut update) = (None, None, None);
         tokio::select! {
-            arrival = arrivals.recv() => first = arrival,
-            taken = listener.accept(), if accepts => caller = Some(taken),
-            Some(found) = news.recv() => change = Some(found),
-            _ = terminate.recv() => stop_at = stop_at.or(Some(served.clock.now() + STOPPING)),
-            _ = interrupt.recv() => stop_at = stop_at.or(Some(served.clock.now() + STOPPING)),
+            event = events.recv() => first = event,
+            accepted = listener.accept(), if accepting => caller = Some(accepted),
+            Some(received) = updates.recv() => update = Some(received),
+            _ = terminate.recv() => stop_at = stop_at.or(Some(proxy.clock.now() + STOP_GRACE_MS)),
+            _ = interrupt.recv() => stop_at = stop_at.or(Some(proxy.clock.now() + STOP_GRACE_MS)),
             _ = hang_up.recv() => reload_at = 0.0,
             () = tokio::time::sleep(wait) => {}
         }
-        let now = served.clock.now();
+        let now = proxy.clock.now();
         if now >= reload_at {
             // It may be in the middle of being written.
-            reload_at = match read_plan(&path) {
-                Ok(plan) => {
-                    changelog.send_replace(plan.changelog);
+            reload_at = match read_configuration(&path) {
+                Ok(config) => {
+                    changelog.send_replace(config.changelog);
                     f64::INFINITY
                 }
                 Err(error) => {
                     tracing::warn!("configuration.kept: {error:#}");
-                    now + RELOAD_PAUSE
+                    now + RELOAD_RETRY_MS
                 }
             };
         }
-        if let Some(change) = change {
-            tracing::debug!(version = change.version, whole = change.whole, "changelog.news");
-            if let Err(error) = served.border.update_server_list(now, unix(), &change) {
+        if let Some(update) = update {
+            tracing::debug!(version = update.version, whole = update.whole, "changelog.news");
+            if let Err(error) = proxy.border.update_server_list(now, unix_ms(), &update) {
                 tracing::warn!("changelog.unfit: {error}");
-                had.ask_again();
+                applied_seq.request_again();
             }
-            had.set(served.border.last_seq());
+            applied_seq.set(proxy.border.last_seq());
         }
-        let taken_on = match caller {
+        let accept_result = match caller {
             Some(Ok((stream, from))) => {
-                served.accepted(stream, from);
-                served.accept(&listener).map(drop)
+                proxy.add_caller(stream, from);
+                proxy.accept_callers(&listener).map(drop)
             }
             Some(Err(error)) => Err(error),
             None => Ok(()),
         };
-        if let Err(error) = taken_on {
+        if let Err(error) = accept_result {
             tracing::warn!("accept.failed: {error}");
-            accept_at = now + ACCEPT_PAUSE;
+            accept_at = now + ACCEPT_RETRY_MS;
         }
-        let more = std::iter::from_fn(|| arrivals.try_recv().ok()).take(BATCH);
-        for arrival in first.into_iter().chain(more) {
-            served.arrived(arrival);
+        let more = std::iter::from_fn(|| events.try_recv().ok()).take(MAX_EVENTS_PER_TURN);
+        for event in first.into_iter().chain(more) {
+            proxy.handle_event(event);
         }
-        served.border.turn(served.clock.now());
-        served.border.run_pending();
-        if now >= beliefs_at && tracing::enabled!(tracing::Level::DEBUG) {
-            beliefs_at = now + BELIEFS;
-            served.border.diagnostics().iter().for_each(|line| tracing::debug!("beliefs {line}"));
+        proxy.border.turn(proxy.clock.now());
+        proxy.border.run_pending();
+        if now >= diagnostics_at && tracing::enabled!(tracing::Level::DEBUG) {
+            diagnostics_at = now + DIAGNOSTICS_INTERVAL_MS;
+            proxy.border.diagnostics().iter().for_each(|line| tracing::debug!("beliefs {line}"));
         }
         if let Some(at) = stop_at {
-            served.border.stop();
+            proxy.border.stop();
             if now >= at {
-                served.carry_out();
-                if served.is_done(&listener, now >= at + OWED) {
+                proxy.perform_actions();
+                if proxy.is_done(&listener, now >= at + UNSENT_WAIT_MS) {
                     break;
                 }
             }
         }
     }
     drop(listener);
-    served.wires.end(LAST_READ).await;
-    let tally = served.border.counters();
-    tracing::info!(?tally, "proxy.stopped");
+    proxy.connections.shut_down(LAST_READ_TIMEOUT).await;
+    let counters = proxy.border.counters();
+    tracing::info!(tally = ?counters, "proxy.stopped");
     Ok(())
 }
--- a/daemon/src/settings/mod.rs
+++ b/daemon/src/settings/mod.rs
@@ -22,9 +22,9 @@
 use toml_edit::Document;
 
 use crate::running_release::RunningRelease;
-use reader::{Reader, Rows, line_of};
+use reader::{Reader, Section, line_of};
 
-pub use distribution::ControlPlan;
+pub use distribution::ControlMachineSettings;
 
 pub const EXAMPLE: &str = include_str!("../example.toml");
 
@@ -45,31 +45,31 @@
 
 /// What a border proxy runs by.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ProxySettings {
     pub name: String,
     /// The file that it was read from, and what of a release this process runs: by whoever starts it.
-    pub config: PathBuf,
-    pub runs: RunningRelease,
+    pub config_file: PathBuf,
+    pub running_release: RunningRelease,
     /// Directory for what lasts: the cached list, the addresses that it listens on.
-    pub state: PathBuf,
-    pub callers: SocketAddr,
+    pub state_dir: PathBuf,
+    pub callers_address: SocketAddr,
     /// The address that servers are called from; a port is given out for each.
-    pub servers: SocketAddr,
-    pub control: PathBuf,
-    pub feed: SocketAddr,
+    pub server_source: SocketAddr,
+    pub control_socket: PathBuf,
+    pub pool_feed: SocketAddr,
     /// Milliseconds for which what stands goes on after a stop was asked for.
-    pub standing: f64,
+    pub stop_grace: f64,
     pub receive_buffer: Option<usize>,
-    pub gossip: Option<GossipPlan>,
+    pub gossip: Option<GossipSettings>,
     /// Limits that hold for the whole fleet, where there are any.
-    pub fleet: Option<LimitTerms>,
+    pub fleet_limits: Option<LimitTerms>,
     /// Decisions of all proxies in one order, where there are any.
-    pub council: Option<CouncilPlan>,
+    pub council: Option<CouncilSettings>,
     /// Decided state by scope, where it is distributed.
-    pub distribution: Option<DistributionPlan>,
-    pub records: Option<RecordsPlan>,
+    pub distribution: Option<DistributionSettings>,
+    pub records: Option<RecordsSettings>,
     /// Terms that are watched: what would be decided under them is counted.
-    pub to_come: Option<ProposedTerms>,
+    pub proposed_terms: Option<ProposedTerms>,
     /// Names of service grades and tenants, by index.
     pub names: (Vec<String>, Vec<String>),
     pub terms: ProxyTerms,
@@ -77,48 +77,48 @@
 
 /// How a border proxy keeps its records.
 #[derive(Clone, Debug)]
-pub struct RecordsPlan {
+pub struct RecordsSettings {
     pub folder: PathBuf,
-    pub promise: Durability,
+    pub durability: Durability,
     /// Milliseconds.
-    pub delay: f64,
-    pub patience: f64,
+    pub max_sync_delay: f64,
+    pub max_sync_time: f64,
     /// Bytes.
-    pub segment: u64,
+    pub segment_bytes: u64,
 }
 
 /// How a border proxy gossips.
 #[derive(Clone, Debug)]
-pub struct GossipPlan {
+pub struct GossipSettings {
     pub listen: SocketAddr,
     /// The address that others are told, where that differs.
-    pub address: Option<SocketAddr>,
+    pub advertised_address: Option<SocketAddr>,
     pub seeds: Vec<SocketAddr>,
     pub key: PathBuf,
     pub fleet_keys: Vec<PathBuf>,
     pub roster: PathBuf,
     /// Bytes a second.
-    pub cap: f64,
+    pub max_bytes_per_second: f64,
     /// Milliseconds.
-    pub beat: f64,
-    pub liars: usize,
+    pub probe_interval: f64,
+    pub max_faulty: usize,
 }
 
 /// How a border proxy takes part in the decisions of all.
 #[derive(Clone, Debug)]
-pub struct CouncilPlan {
+pub struct CouncilSettings {
     /// Who votes at first, by the roster's names.
     pub members: Vec<String>,
     pub file: PathBuf,
     /// Milliseconds.
-    pub beat: f64,
+    pub heartbeat: f64,
     pub lease: f64,
-    pub outs: AvailabilityTerms,
+    pub availability: AvailabilityTerms,
 }
 
 /// How decided state is distributed by scope, and this proxy's part in it.
 #[derive(Clone, Debug)]
-pub struct DistributionPlan {
+pub struct DistributionSettings {
     /// How often a subscriber and its control machine hear of each other, in milliseconds.
     pub heartbeat: f64,
     /// What this proxy is in it.
@@ -129,21 +129,21 @@
 #[derive(Clone, Debug)]
 pub enum DistributionRole {
     /// It follows the log and serves subscribers.
-    Control(ServedPlan),
+    Control(ServiceSettings),
     /// It holds the scopes that it uses, by one control machine at a time.
-    Subscriber(SubscriberPlan),
+    Subscriber(SubscriberSettings),
 }
 
 /// Whom a control machine serves.
 #[derive(Clone, Debug)]
-pub struct ServedPlan {
+pub struct ServiceSettings {
     /// The roster of subscribers.
     pub subscribers: PathBuf,
     /// Subscribers at the most.
-    pub most_subscribers: usize,
+    pub max_subscribers: usize,
     /// Bytes a second to all subscribers together, and to each of them.
     pub bytes_per_second: f64,
-    /// See [`ServedPlan::bytes_per_second`].
+    /// See [`ServiceSettings::bytes_per_second`].
     pub subscriber_bytes_per_second: f64,
     /// Subscribers that fetch whole scopes at a time.
     pub snapshots_at_once: usize,
@@ -151,7 +151,7 @@
 
 /// What a subscriber subscribes to, and where.
 #[derive(Clone, Debug)]
-pub struct SubscriberPlan {
+pub struct SubscriberSettings {
     /// Where it is heard.
     pub listen: SocketAddr,
     /// Its own key.
@@ -163,123 +163,128 @@
     /// The region that it is in, whose control machines it prefers.
     pub region: u16,
     /// Who votes at first, by the roster's names.
-    pub founders: Vec<String>,
+    pub bootstrap_members: Vec<String>,
     /// What it holds.
     pub scopes: BTreeSet<Scope>,
     /// Where it keeps what it holds.
     pub file: PathBuf,
     /// The control machines.
-    pub controls: Vec<ControlPlan>,
+    pub controls: Vec<ControlMachineSettings>,
 }
 
-impl Plan {
+impl ProxySettings {
     pub fn pool_cache(&self) -> PathBuf {
-        self.state.join("pool.list")
+        self.state_dir.join("pool.list")
     }
 
     /// Where the addresses stand once it listens.
     pub fn ready_file(&self) -> PathBuf {
-        self.state.join("ready.json")
+        self.state_dir.join("ready.json")
     }
 }
 
 /// Reads a settings file; all that is wrong with it otherwise, in the order of lines.
-pub fn read(source: &str) -> Result<Plan, Vec<Fault>> {
+pub fn read(source: &str) -> Result<ProxySettings, Vec<Fault>> {
     let document = Document::parse(source).map_err(|error| {
         let line = line_of(source, error.span().map_or(0, |span| span.start));
         let found = error.message().lines().next().unwrap_or_default().to_owned();
         vec![Fault { line, key: "(file)".to_owned(), found, wanted: "TOML".to_owned() }]
     })?;
     let mut reader = Reader { source, faults: Vec::new() };
-    let plan = reader.plan(document.as_table());
+    let settings = reader.proxy_settings(document.as_table());
     reader.faults.sort_by_key(|fault| fault.line);
-    match plan {
-        Some(plan) if reader.faults.is_empty() => Ok(plan),
+    match settings {
+        Some(settings) if reader.faults.is_empty() => Ok(settings),
         _ => Err(reader.faults),
     }
 }
 
 impl Reader<'_> {
-    fn plan(&mut self, table: &toml_edit::Table) -> Option<Plan> {
-        let mut top = Rows { path: String::new(), table: Some(table), line: 1, asked: HashSet::new() };
+    fn proxy_settings(&mut self, table: &toml_edit::Table) -> Option<ProxySettings> {
+        let mut top =
+            Section { path: String::new(), table: Some(table), line: 1, known_keys: HashSet::new() };
 
-        let mut proxy = self.rows(&mut top, "proxy", true);
+        let mut proxy = self.section(&mut top, "proxy", true);
         let name = self.text(&mut proxy, "name", None);
-        let proxies = self.whole(&mut proxy, "proxies", 1, 100_000, None);
+        let proxies = self.integer(&mut proxy, "proxies", 1, 100_000, None);
         let state = self.text(&mut proxy, "state", None);
-        self.done(proxy);
+        self.finish(proxy);
 
-        let mut listen = self.rows(&mut top, "listen", true);
+        let mut listen = self.section(&mut top, "listen", true);
         let callers = self.address(&mut listen, "callers", None);
         let servers = self.address(&mut listen, "servers", Some("127.0.0.1:0"));
         let control = self.text(&mut listen, "control", Some(""));
-        let receive_buffer = self.whole(&mut listen, "receive_buffer", 0, 1 << 30, Some(0));
-        self.done(listen);
+        let receive_buffer = self.integer(&mut listen, "receive_buffer", 0, 1 << 30, Some(0));
+        self.finish(listen);
 
-        let mut pool = self.rows(&mut top, "pool", true);
+        let mut pool = self.section(&mut top, "pool", true);
         let feed = self.address(&mut pool, "feed", None);
-        self.done(pool);
+        self.finish(pool);
 
         let gossip = self.gossip(&mut top);
-        let fleet = self.fleet(&mut top);
+        let fleet_limits = self.fleet_limits(&mut top);
         let council = self.council(&mut top, state.as_deref().unwrap_or_default());
         let distribution = self.distribution(&mut top, state.as_deref().unwrap_or_default());
         let records = self.records(&mut top, state.as_deref().unwrap_or_default());
         let limits = self.limits(&mut top);
-        let mut stop = self.rows(&mut top, "stop", false);
-        let standing = if stop.table.is_some() {
+        let mut stop = self.section(&mut top, "stop", false);
+        let stop_grace = if stop.table.is_some() {
             self.time(&mut stop, "standing", Some(30_000.0))
         } else {
             Some(30_000.0)
         };
-        self.done(stop);
+        self.finish(stop);
 
         let grades = self.grades(&mut top);
         let tenants = self.tenants(&mut top);
-        let parts = Terms {
+        let base_terms = Terms {
             proxies: proxies.unwrap_or(1),
             grades: grades.iter().map(|grade| grade.terms.clone()).collect(),
             tenants: tenants.iter().map(|(_, terms, _)| terms.clone()).collect(),
             ..Terms::default()
         };
-        let mut rules = self.rows(&mut top, "rules", true);
-        let terms = self.rules(&mut rules, parts, limits.resend_delay, None);
+        let mut rules = self.section(&mut top, "rules", true);
+        let terms = self.rules(&mut rules, base_terms, limits.resend_delay, None);
         let answer_lead = self.time(&mut rules, "answer_lead", None);
-        self.done(rules);
-        let mut watch = self.rows(&mut top, "watch", false);
-        let to_come = watch.table.is_some().then(|| ProposedTerms {
+        self.finish(rules);
+        let mut watch = self.section(&mut top, "watch", false);
+        let proposed_terms = watch.table.is_some().then(|| ProposedTerms {
             terms: self.rules(&mut watch, terms.clone(), limits.resend_delay, Some(&terms)),
             share: self.number(&mut watch, "share", 0.0, 1.0, Some(1.0)).unwrap_or(1.0),
         });
-        self.done(watch);
+        self.finish(watch);
 
         let routes = self.routes(&mut top, &grades, &tenants);
-        self.done(top);
-        let state = PathBuf::from(state?);
+        self.finish(top);
+        let state_dir = PathBuf::from(state?);
         let control = control?;
-        Some(Plan {
+        Some(ProxySettings {
             name: name?,
-            config: PathBuf::new(),
-            runs: RunningRelease::default(),
-            control: if control.is_empty() { state.join("control.sock") } else { PathBuf::from(control) },
-            state,
-            callers: callers?,
-            servers: servers?,
-            feed: feed?,
-            standing: standing?,
+            config_file: PathBuf::new(),
+            running_release: RunningRelease::default(),
+            control_socket: if control.is_empty() {
+                state_dir.join("control.sock")
+            } else {
+                PathBuf::from(control)
+            },
+            state_dir,
+            callers_address: callers?,
+            server_source: servers?,
+            pool_feed: feed?,
+            stop_grace: stop_grace?,
             gossip,
-            fleet,
+            fleet_limits,
             council,
             distribution,
             records,
-            to_come,
+            proposed_terms,
             names: (
                 grades.iter().map(|grade| grade.name.clone()).collect(),
                 tenants.iter().map(|(name, ..)| name.clone()).collect(),
             ),
             receive_buffer: receive_buffer.filter(|&bytes| bytes > 0).map(|bytes| bytes as usize),
             terms: ProxyTerms {
-                caller_timeout: grades.iter().map(|grade| grade.patience).collect(),
+                caller_timeout: grades.iter().map(|grade| grade.caller_timeout).collect(),
                 terms,
                 routes,
                 answer_lead: answer_lead?,
--- a/daemon/src/settings/reader.rs
+++ b/daemon/src/settings/reader.rs
@@ -13,21 +13,21 @@
 }
 
 /// A table that is being read: which of its keys were asked for.
-pub(super) struct Rows<'t> {
+pub(super) struct Section<'t> {
     pub(super) path: String,
     pub(super) table: Option<&'t dyn TableLike>,
     pub(super) line: usize,
-    pub(super) asked: HashSet<&'static str>,
+    pub(super) known_keys: HashSet<&'static str>,
 }
 
-impl<'t> Rows<'t> {
+impl<'t> Section<'t> {
     pub(super) fn key(&self, key: &str) -> String {
         if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
     }
 }
 
-pub(super) fn line_of(source: &str, at: usize) -> usize {
-    source.as_bytes()[..at.min(source.len())].iter().filter(|&&b| b == b'\n').count() + 1
+pub(super) fn line_of(source: &str, offset: usize) -> usize {
+    source.as_bytes()[..offset.min(source.len())].iter().filter(|&&b| b == b'\n').count() + 1
 }
 
 impl Reader<'_> {
@@ -45,140 +45,155 @@
         Some(line_of(self.source, item.span()?.start))
     }
 
-    pub(super) fn rows<'t>(&mut self, parent: &mut Rows<'t>, key: &'static str, wanted: bool) -> Rows<'t> {
-        parent.asked.insert(key);
+    pub(super) fn section<'t>(
+        &mut self,
+        parent: &mut Section<'t>,
+        key: &'static str,
+        required: bool,
+    ) -> Section<'t> {
+        parent.known_keys.insert(key);
         let path = parent.key(key);
         let item = parent.table.and_then(|table| table.get(key));
         let line = item.and_then(|item| self.line(item)).unwrap_or(parent.line);
         let table = item.and_then(Item::as_table_like);
         match item {
-            None if wanted => self.fault(line, path.clone(), "nothing", "a table"),
+            None if required => self.fault(line, path.clone(), "nothing", "a table"),
             Some(item) if table.is_none() => self.fault(line, path.clone(), item.type_name(), "a table"),
             _ => {}
         }
-        Rows { path, table, line, asked: HashSet::new() }
+        Section { path, table, line, known_keys: HashSet::new() }
     }
 
-    pub(super) fn each<'t>(&mut self, parent: &mut Rows<'t>, key: &'static str) -> Vec<Rows<'t>> {
-        parent.asked.insert(key);
+    pub(super) fn sections<'t>(&mut self, parent: &mut Section<'t>, key: &'static str) -> Vec<Section<'t>> {
+        parent.known_keys.insert(key);
         let Some(item) = parent.table.and_then(|table| table.get(key)) else { return Vec::new() };
         let line = self.line(item).unwrap_or(parent.line);
-        let Some(all) = item.as_array_of_tables() else {
+        let Some(tables) = item.as_array_of_tables() else {
             self.fault(line, key.to_owned(), item.type_name(), format!("tables headed [[{key}]]"));
             return Vec::new();
         };
         let path = parent.key(key);
-        let rows = all.iter().enumerate().map(|(i, table)| Rows {
+        let sections = tables.iter().enumerate().map(|(i, table)| Section {
             path: format!("{path}[{i}]"),
             line: table.span().map_or(line, |span| line_of(self.source, span.start)),
             table: Some(table as &dyn TableLike),
-            asked: HashSet::new(),
+            known_keys: HashSet::new(),
         });
-        rows.collect()
+        sections.collect()
     }
 
     /// Tells of keys that nothing asked for.
-    pub(super) fn done(&mut self, rows: Rows) {
-        let Some(table) = rows.table else { return };
-        for (key, item) in table.iter().filter(|(key, _)| !rows.asked.contains(key)) {
-            let line = self.line(item).unwrap_or(rows.line);
-            let mut known: Vec<&str> = rows.asked.iter().copied().collect();
+    pub(super) fn finish(&mut self, section: Section) {
+        let Some(table) = section.table else { return };
+        for (key, item) in table.iter().filter(|(key, _)| !section.known_keys.contains(key)) {
+            let line = self.line(item).unwrap_or(section.line);
+            let mut known: Vec<&str> = section.known_keys.iter().copied().collect();
             known.sort_unstable();
-            self.fault(line, rows.key(key), "a key of no use", format!("one of {}", known.join(", ")));
+            self.fault(line, section.key(key), "a key of no use", format!("one of {}", known.join(", ")));
         }
     }
 
     /// The value of a key as `take` reads it; a fault where it is missing or `take` finds it wrong.
     pub(super) fn value<T>(
         &mut self,
-        rows: &mut Rows,
+        section: &mut Section,
         key: &'static str,
         wanted: &str,
         default: Option<T>,
-        take: impl Fn(&Value) -> Option<T>,
+        parse: impl Fn(&Value) -> Option<T>,
     ) -> Option<T> {
-        rows.asked.insert(key);
-        let table = rows.table?;
+        section.known_keys.insert(key);
+        let table = section.table?;
         let Some(item) = table.get(key) else {
             if default.is_none() {
-                self.fault(rows.line, rows.key(key), "nothing", wanted);
+                self.fault(section.line, section.key(key), "nothing", wanted);
             }
             return default;
         };
-        let line = self.line(item).unwrap_or(rows.line);
-        let value = item.as_value().and_then(take);
+        let line = self.line(item).unwrap_or(section.line);
+        let value = item.as_value().and_then(parse);
         if value.is_none() {
             let found =
                 item.as_value().map_or(item.type_name().to_owned(), |v| v.to_string().trim().to_owned());
-            self.fault(line, rows.key(key), found, wanted);
+            self.fault(line, section.key(key), found, wanted);
         }
         value
     }
 
-    pub(super) fn time(&mut self, rows: &mut Rows, key: &'static str, default: Option<f64>) -> Option<f64> {
-        self.value(rows, key, "a time above 0, as \"300 ms\"", default, |value| {
-            let span = humantime::parse_duration(value.as_str()?).ok()?;
-            Some(span.as_secs_f64() * 1000.0).filter(|&ms| ms > 0.0 && ms < 1e9)
+    pub(super) fn time(
+        &mut self,
+        section: &mut Section,
+        key: &'static str,
+        default: Option<f64>,
+    ) -> Option<f64> {
+        self.value(section, key, "a time above 0, as \"300 ms\"", default, |value| {
+            let duration = humantime::parse_duration(value.as_str()?).ok()?;
+            Some(duration.as_secs_f64() * 1000.0).filter(|&ms| ms > 0.0 && ms < 1e9)
         })
     }
 
     pub(super) fn number(
         &mut self,
-        rows: &mut Rows,
+        section: &mut Section,
         key: &'static str,
-        low: f64,
-        high: f64,
+        min: f64,
+        max: f64,
         default: Option<f64>,
     ) -> Option<f64> {
-        let wanted = format!("a number from {low} to {high}");
-        self.value(rows, key, &wanted, default, |value| {
+        let wanted = format!("a number from {min} to {max}");
+        self.value(section, key, &wanted, default, |value| {
             let number = value.as_float().or_else(|| value.as_integer().map(|n| n as f64))?;
-            Some(number).filter(|n| (low..=high).contains(n))
+            Some(number).filter(|n| (min..=max).contains(n))
         })
     }
 
-    pub(super) fn whole(
+    pub(super) fn integer(
         &mut self,
-        rows: &mut Rows,
+        section: &mut Section,
         key: &'static str,
-        low: u32,
-        high: u32,
+        min: u32,
+        max: u32,
         default: Option<u32>,
     ) -> Option<u32> {
-        let wanted = format!("a whole number from {low} to {high}");
-        self.value(rows, key, &wanted, default, |value| {
-            u32::try_from(value.as_integer()?).ok().filter(|n| (low..=high).contains(n))
+        let wanted = format!("a whole number from {min} to {max}");
+        self.value(section, key, &wanted, default, |value| {
+            u32::try_from(value.as_integer()?).ok().filter(|n| (min..=max).contains(n))
         })
     }
 
-    pub(super) fn truth(&mut self, rows: &mut Rows, key: &'static str, default: bool) -> Option<bool> {
-        self.value(rows, key, "true or false", Some(default), Value::as_bool)
+    pub(super) fn boolean(
+        &mut self,
+        section: &mut Section,
+        key: &'static str,
+        default: bool,
+    ) -> Option<bool> {
+        self.value(section, key, "true or false", Some(default), Value::as_bool)
     }
 
     pub(super) fn text(
         &mut self,
-        rows: &mut Rows,
+        section: &mut Section,
         key: &'static str,
         default: Option<&str>,
     ) -> Option<String> {
-        let take = |value: &Value| value.as_str().map(str::to_owned);
-        self.value(rows, key, "text", default.map(str::to_owned), take)
+        let parse = |value: &Value| value.as_str().map(str::to_owned);
+        self.value(section, key, "text", default.map(str::to_owned), parse)
     }
 
     pub(super) fn address(
         &mut self,
-        rows: &mut Rows,
+        section: &mut Section,
         key: &'static str,
         default: Option<&str>,
     ) -> Option<SocketAddr> {
         let default = default.map(|text| text.parse().expect("a default address"));
-        self.value(rows, key, "an address and port, as \"127.0.0.1:4569\"", default, |value| {
+        self.value(section, key, "an address and port, as \"127.0.0.1:4569\"", default, |value| {
             value.as_str()?.parse().ok()
         })
     }
 
-    pub(super) fn texts(&mut self, rows: &mut Rows, key: &'static str) -> Option<Vec<String>> {
-        self.value(rows, key, "a list of texts", Some(Vec::new()), |value| {
+    pub(super) fn text_list(&mut self, section: &mut Section, key: &'static str) -> Option<Vec<String>> {
+        self.value(section, key, "a list of texts", Some(Vec::new()), |value| {
             value.as_array()?.iter().map(|v| v.as_str().map(str::to_owned)).collect()
         })
     }
--- a/daemon/src/settings/records.rs
+++ b/daemon/src/settings/records.rs
@@ -4,16 +4,16 @@
 
 use records::commit::Durability;
 
-use super::RecordsPlan;
-use super::reader::{Reader, Rows};
+use super::RecordsSettings;
+use super::reader::{Reader, Section};
 
 impl Reader<'_> {
-    pub(super) fn records(&mut self, top: &mut Rows, state: &str) -> Option<RecordsPlan> {
-        let mut rows = self.rows(top, "records", false);
-        rows.table?;
-        let folder = self.text(&mut rows, "folder", Some(""));
+    pub(super) fn records(&mut self, top: &mut Section, state: &str) -> Option<RecordsSettings> {
+        let mut section = self.section(top, "records", false);
+        section.table?;
+        let folder = self.text(&mut section, "folder", Some(""));
         let wanted = "\"synced\", \"written\" or \"loose\"";
-        let promise = self.value(&mut rows, "promise", wanted, Some(Durability::default()), |value| {
+        let durability = self.value(&mut section, "promise", wanted, Some(Durability::default()), |value| {
             match value.as_str()? {
                 "synced" => Some(Durability::Synced),
                 "written" => Some(Durability::Written),
@@ -21,17 +21,17 @@
                 _ => None,
             }
         });
-        let delay = self.time(&mut rows, "delay", None);
-        let patience = self.time(&mut rows, "patience", None);
-        let segment = self.whole(&mut rows, "segment", 4096, u32::MAX, None);
-        self.done(rows);
+        let max_sync_delay = self.time(&mut section, "delay", None);
+        let max_sync_time = self.time(&mut section, "patience", None);
+        let segment_bytes = self.integer(&mut section, "segment", 4096, u32::MAX, None);
+        self.finish(section);
         let folder = folder.filter(|folder| !folder.is_empty());
-        Some(RecordsPlan {
+        Some(RecordsSettings {
             folder: folder.map_or_else(|| PathBuf::from(state).join("records"), PathBuf::from),
-            promise: promise?,
-            delay: delay?,
-            patience: patience?,
-            segment: u64::from(segment?),
+            durability: durability?,
+            max_sync_delay: max_sync_delay?,
+            max_sync_time: max_sync_time?,
+            segment_bytes: u64::from(segment_bytes?),
         })
     }
 }
--- a/daemon/src/sockets.rs
+++ b/daemon/src/sockets.rs
@@ -14,12 +14,12 @@
 use tokio::sync::mpsc;
 
 use crate::backlog;
-use crate::stamp;
+use crate::udp_timestamps;
 
 /// Bytes of the largest datagram that is read.
-const LARGEST: usize = 65_536;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 /// A socket that broke is read again after this.
-const RETRY: Duration = Duration::from_millis(50);
+const READ_RETRY: Duration = Duration::from_millis(50);
 
 /// What came on a socket.
 pub enum Arrival {
@@ -34,7 +34,7 @@
     callers: Arc<UdpSocket>,
     peers: Option<Arc<UdpSocket>>,
     servers: HashMap<SocketAddr, Arc<UdpSocket>>,
-    from: SocketAddr,
+    server_source: SocketAddr,
     receive_buffer: Option<usize>,
     arrivals: mpsc::Sender<Arrival>,
 }
@@ -44,11 +44,11 @@
     pub fn new(
         callers: Arc<UdpSocket>,
         peers: Option<Arc<UdpSocket>>,
-        from: SocketAddr,
+        server_source: SocketAddr,
         receive_buffer: Option<usize>,
         arrivals: mpsc::Sender<Arrival>,
     ) -> Self {
-        Self { callers, peers, servers: HashMap::new(), from, receive_buffer, arrivals }
+        Self { callers, peers, servers: HashMap::new(), server_source, receive_buffer, arrivals }
     }
 
     /// A socket at an address, of which datagrams come with the system's word on when they came.
@@ -58,15 +58,15 @@
             socket.set_recv_buffer_size(bytes)?;
         }
         socket.set_nonblocking(true)?;
-        stamp::ask(&socket)?;
+        udp_timestamps::enable(&socket)?;
         socket.bind(&address.into())?;
         UdpSocket::from_std(socket.into())
     }
 
     /// A socket of its own for each server, connected, so that a refusal by the network names its server.
-    fn of_server(&mut self, peer: SocketAddr) -> io::Result<&Arc<UdpSocket>> {
+    fn server_socket(&mut self, peer: SocketAddr) -> io::Result<&Arc<UdpSocket>> {
         if !self.servers.contains_key(&peer) {
-            let socket = Arc::new(Self::bind(self.from, self.receive_buffer)?);
+            let socket = Arc::new(Self::bind(self.server_source, self.receive_buffer)?);
             socket.as_ref().connect_now(peer)?;
             tokio::spawn(listen(socket.clone(), Side::Servers, Some(peer), self.arrivals.clone()));
             self.servers.insert(peer, socket);
@@ -75,27 +75,27 @@
     }
 
     /// False where there was no room.
-    pub fn try_send(&mut self, out: &Outbound) -> bool {
-        let sent = match out.side {
-            Side::Callers => self.callers.try_send_to(&out.bytes, out.peer),
+    pub fn try_send(&mut self, datagram: &Outbound) -> bool {
+        let sent = match datagram.side {
+            Side::Callers => self.callers.try_send_to(&datagram.bytes, datagram.peer),
             Side::Peers => match &self.peers {
-                Some(socket) => socket.try_send_to(&out.bytes, out.peer),
+                Some(socket) => socket.try_send_to(&datagram.bytes, datagram.peer),
                 None => return true,
             },
-            Side::Servers => match self.of_server(out.peer) {
-                Ok(socket) => socket.try_send(&out.bytes),
+            Side::Servers => match self.server_socket(datagram.peer) {
+                Ok(socket) => socket.try_send(&datagram.bytes),
                 Err(error) => Err(error),
             },
         };
         match sent {
             Err(error) if error.kind() == ErrorKind::WouldBlock => false,
-            Err(error) if error.kind() == ErrorKind::ConnectionRefused && out.side == Side::Servers => {
+            Err(error) if error.kind() == ErrorKind::ConnectionRefused && datagram.side == Side::Servers => {
                 // Told of an earlier datagram; this one was not sent.
-                let _ = self.arrivals.try_send(Arrival::Refused(Side::Servers, out.peer));
+                let _ = self.arrivals.try_send(Arrival::Refused(Side::Servers, datagram.peer));
                 true
             }
             Err(error) => {
-                tracing::debug!(peer = %out.peer, "datagram.unsent: {error}");
+                tracing::debug!(peer = %datagram.peer, "datagram.unsent: {error}");
                 true
             }
             Ok(_) => true,
@@ -103,8 +103,8 @@
     }
 
     /// Waits for room in a socket.
-    pub async fn room(&self, way: Option<backlog::Way>) -> io::Result<()> {
-        match way {
+    pub async fn wait_writable(&self, key: Option<backlog::SocketKey>) -> io::Result<()> {
+        match key {
             None => std::future::pending().await,
             Some((Side::Callers, _)) => self.callers.writable().await,
             Some((Side::Peers, _)) => match &self.peers {
@@ -131,12 +131,17 @@
 }
 
 /// Reads a socket for as long as anybody wants its datagrams.
-pub async fn listen(socket: Arc<UdpSocket>, side: Side, peer: Option<SocketAddr>, to: mpsc::Sender<Arrival>) {
-    let mut buffer = vec![0; LARGEST];
+pub async fn listen(
+    socket: Arc<UdpSocket>,
+    side: Side,
+    peer: Option<SocketAddr>,
+    arrivals: mpsc::Sender<Arrival>,
+) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        let arrival = match stamp::receive(&socket, &mut buffer).await {
-            Ok((length, from, came)) => {
-                Arrival::Datagram(side, from, Bytes::copy_from_slice(&buffer[..length]), came)
+        let arrival = match udp_timestamps::receive(&socket, &mut buffer).await {
+            Ok((length, from, received_at)) => {
+                Arrival::Datagram(side, from, Bytes::copy_from_slice(&buffer[..length]), received_at)
             }
             Err(error) if error.kind() == ErrorKind::ConnectionRefused => match peer {
                 Some(peer) => Arrival::Refused(side, peer),
@@ -144,11 +149,11 @@
             },
             Err(error) => {
                 tracing::warn!(?side, "socket.broke: {error}");
-                tokio::time::sleep(RETRY).await;
+                tokio::time::sleep(READ_RETRY).await;
                 continue;
             }
         };
-        if to.send(arrival).await.is_err() {
+        if arrivals.send(arrival).await.is_err() {
             return;
         }
     }
--- a/daemon/src/tables.rs
+++ b/daemon/src/tables.rs
@@ -29,19 +29,19 @@
         Row { proxy: &m.name, address: &m.address, standing: &m.state }
     }
     println!("{}", Table::new(gossip.members.iter().map(row)).with(Style::sharp()));
-    let tally = gossip.counters;
+    let counters = gossip.counters;
     println!(
         "sent {} packets, {} bytes, put off {}; dropped: malformed {}, untagged {}, forged {}, replayed {}, \
          bad statements {}; clashes {}",
-        tally.packets,
-        tally.sent_bytes,
+        counters.packets,
+        counters.sent_bytes,
         gossip.deferred,
-        tally.malformed,
-        tally.untagged,
-        tally.forged,
-        tally.replayed,
-        tally.bad_statements,
-        tally.clashes
+        counters.malformed,
+        counters.untagged,
+        counters.forged,
+        counters.replayed,
+        counters.bad_statements,
+        counters.clashes
     );
 }
 
@@ -124,24 +124,24 @@
         rate: server.reported_rate.map_or("-".to_owned(), |rate| format!("{rate:.1}/s")),
     };
     println!("{}", Table::new(status.servers.iter().map(row)).with(Style::sharp()));
-    let (present, tally) = (status.conversations, status.counters);
+    let (present, counters) = (status.conversations, status.counters);
     println!("held {}, shot {}, standing {}", present.waiting, present.attempting, present.established);
     println!(
         "taken {}, stood {}, refused {}, failed {}, left {}, cut {}; shots {}, nacked {}, timed out {}, reset {}",
-        tally.accepted,
-        tally.established,
-        tally.refused,
-        tally.failed,
-        tally.caller_gone,
-        tally.cut,
-        tally.attempts,
-        tally.rejected,
-        tally.timed_out,
-        tally.reset
+        counters.accepted,
+        counters.established,
+        counters.refused,
+        counters.failed,
+        counters.caller_gone,
+        counters.cut,
+        counters.attempts,
+        counters.rejected,
+        counters.timed_out,
+        counters.reset
     );
     println!(
         "unrouted {}, turned away {}, unrecordable {}",
-        tally.unrouted, tally.turned_away, tally.unrecordable
+        counters.unrouted, counters.turned_away, counters.unrecordable
     );
     if let Some(watch) = status.watch {
         println!(
@@ -172,11 +172,11 @@
         life: u64,
         has: String,
     }
-    fn row(seat: &VoterStatus) -> Row<'_> {
+    fn row(voter: &VoterStatus) -> Row<'_> {
         Row {
-            member: &seat.name,
-            life: seat.generation,
-            has: seat.log_index.map_or("-".to_owned(), |has| has.to_string()),
+            member: &voter.name,
+            life: voter.generation,
+            has: voter.log_index.map_or("-".to_owned(), |has| has.to_string()),
         }
     }
     println!("{}", Table::new(council.voters.iter().map(row)).with(Style::sharp()));
@@ -195,8 +195,8 @@
         council.hash,
         council.age_ms.map_or("never".to_owned(), |age| format!("{:.1} s ago", age / 1000.0))
     );
-    for seat in &council.non_voters {
-        println!("{} has no vote by its disk: to be let in as {}", seat.name, seat.generation);
+    for voter in &council.non_voters {
+        println!("{} has no vote by its disk: to be let in as {}", voter.name, voter.generation);
     }
     if let Some(stopped) = &council.stopped {
         println!("stopped: {stopped}");
@@ -214,7 +214,7 @@
         here: usize,
     }
     #[derive(Tabled)]
-    struct Away<'a> {
+    struct UnavailableRow<'a> {
         proxy: &'a str,
         how: &'a str,
         since: String,
@@ -224,12 +224,12 @@
         let DrainStatus { server, pool, by, why, decision, conversations_here: here, .. } = drain;
         Row { server, pool: *pool, by, why, decision: *decision, here: *here }
     }
-    fn away(of: &UnavailabilityStatus) -> Away<'_> {
+    fn unavailable_row(of: &UnavailabilityStatus) -> UnavailableRow<'_> {
         let since = of.since.map_or("-".to_owned(), |since| since.to_string());
-        Away { proxy: &of.proxy, how: &of.state, since, waits_for: &of.waits_for }
+        UnavailableRow { proxy: &of.proxy, how: &of.state, since, waits_for: &of.waits_for }
     }
     println!("{}", Table::new(outs.drains.iter().map(row)).with(Style::sharp()));
-    println!("{}", Table::new(outs.proxies.iter().map(away)).with(Style::sharp()));
+    println!("{}", Table::new(outs.proxies.iter().map(unavailable_row)).with(Style::sharp()));
     println!(
         "{} of {} proxies that may be out; {} see one well",
         outs.proxies.len(),
@@ -266,7 +266,7 @@
         age: String,
     }
     #[derive(Tabled)]
-    struct Drained<'a> {
+    struct DrainRow<'a> {
         server: &'a str,
         by: &'a str,
         why: &'a str,
@@ -276,12 +276,12 @@
         let age = of.age_ms.map_or("-".to_owned(), seconds);
         Row { scope: &of.scope, version: of.version, entries: of.entries, age }
     }
-    fn drained(of: &DistributedDrain) -> Drained<'_> {
-        Drained { server: &of.server, by: &of.by, why: &of.why, decision: of.decision }
+    fn drain_row(of: &DistributedDrain) -> DrainRow<'_> {
+        DrainRow { server: &of.server, by: &of.by, why: &of.why, decision: of.decision }
     }
     println!("{}", Table::new(status.scopes.iter().map(row)).with(Style::sharp()));
     if let Some(control) = &status.control {
-        println!("{}", Table::new(status.drains.iter().map(drained)).with(Style::sharp()));
+        println!("{}", Table::new(status.drains.iter().map(drain_row)).with(Style::sharp()));
         let since = status.control_since_ms.map_or("-".to_owned(), seconds);
         println!("a subscriber of {control} for {since}; council since decision {}", status.council);
     }
@@ -322,7 +322,8 @@
         lacking: String,
     }
     fn row(of: &ChangeStatus) -> Row<'_> {
-        let lacks = of.lacking.iter().map(|one| format!("{} for {}", one.subscriber, seconds(one.since_ms)));
+        let lacking =
+            of.lacking.iter().map(|one| format!("{} for {}", one.subscriber, seconds(one.since_ms)));
         Row {
             version: of.version,
             scope: &of.scope,
@@ -330,7 +331,7 @@
             change: if of.removed { "removed" } else { "set" },
             since: seconds(of.since_ms),
             have: format!("{} of {}", of.have, of.of),
-            lacking: lacks.collect::<Vec<_>>().join(", "),
+            lacking: lacking.collect::<Vec<_>>().join(", "),
         }
     }
     println!("{}", Table::new(changes.iter().map(row)).with(Style::sharp()));
--- a/daemon/tests/backlog.rs
+++ b/daemon/tests/backlog.rs
@@ -7,7 +7,7 @@
 use daemon::backlog::Backlog;
 use rstest::rstest;
 
-fn to(server: u16, byte: u8) -> Outbound {
+fn datagram_to(server: u16, byte: u8) -> Outbound {
     let peer = SocketAddr::from(([127, 0, 0, 1], server));
     Outbound { side: Side::Servers, peer, bytes: vec![byte].into() }
 }
@@ -18,21 +18,21 @@
     let sent = RefCell::new(Vec::new());
     let send = |full: Option<u16>| {
         let sent = &sent;
-        move |out: &Outbound| {
-            let room = full != Some(out.peer.port());
-            if room {
-                sent.borrow_mut().push((out.peer.port(), out.bytes[0]));
+        move |datagram: &Outbound| {
+            let has_room = full != Some(datagram.peer.port());
+            if has_room {
+                sent.borrow_mut().push((datagram.peer.port(), datagram.bytes[0]));
             }
-            room
+            has_room
         }
     };
-    backlog.send(to(1, 1), send(Some(1)));
-    backlog.send(to(2, 2), send(Some(1)));
+    backlog.send(datagram_to(1, 1), send(Some(1)));
+    backlog.send(datagram_to(2, 2), send(Some(1)));
     // There is room by now, but the first is still waiting.
-    backlog.send(to(1, 3), send(None));
+    backlog.send(datagram_to(1, 3), send(None));
     assert_eq!(*sent.borrow(), [(2, 2)]);
     backlog.flush(send(None));
-    backlog.send(to(1, 4), send(None));
+    backlog.send(datagram_to(1, 4), send(None));
     assert_eq!(*sent.borrow(), [(2, 2), (1, 1), (1, 3), (1, 4)]);
     assert_eq!((backlog.first(), backlog.dropped()), (None, 0));
 }
@@ -40,11 +40,11 @@
 #[rstest]
 fn what_is_kept_is_bounded_and_the_rest_counted() {
     let mut backlog = Backlog::new(3);
-    (0..5).for_each(|byte| backlog.send(to(1, byte), |_| false));
+    (0..5).for_each(|byte| backlog.send(datagram_to(1, byte), |_| false));
     assert_eq!(backlog.dropped(), 2);
     let mut sent = Vec::new();
-    backlog.flush(|out| {
-        sent.push(out.bytes[0]);
+    backlog.flush(|datagram| {
+        sent.push(datagram.bytes[0]);
         sent.len() <= 2
     });
     backlog.flush(|_| true);
--- a/daemon/tests/process.rs
+++ b/daemon/tests/process.rs
@@ -42,8 +42,8 @@
 
 /// What a running proxy answers to a word of its control socket.
 fn ask(word: &str, file: &Path) -> serde_json::Value {
-    let plan = daemon::settings::read(&fs::read_to_string(file).expect("read")).expect("sound");
-    let mut control = UnixStream::connect(plan.control).expect("connected");
+    let settings = daemon::settings::read(&fs::read_to_string(file).expect("read")).expect("sound");
+    let mut control = UnixStream::connect(settings.control_socket).expect("connected");
     control.write_all(format!("{word}\n").as_bytes()).expect("asked");
     let mut line = String::new();
     BufReader::new(control).read_line(&mut line).expect("answered");
