--- a/daemon/tests/settings.rs
+++ b/daemon/tests/settings.rs
@@ -2,19 +2,19 @@
 
 use std::path::Path;
 
-use daemon::settings::{self, DistributionRole, EXAMPLE, SubscriberPlan};
+use daemon::settings::{self, DistributionRole, EXAMPLE, SubscriberSettings};
 use distribution::Scope;
 use rstest::rstest;
 
 #[test]
 fn the_example_is_fit_to_run() {
-    let plan = settings::read(EXAMPLE).expect("fit");
-    assert_eq!(plan.terms.terms.grades.len(), 2);
-    assert_eq!(plan.terms.terms.release, 300.0);
-    assert_eq!(plan.terms.terms.max_retry_after, Some(2000.0));
-    assert_eq!(plan.terms.caller_timeout, [3000.0, 9000.0]);
-    assert_eq!(plan.terms.routes.find("", "255"), Some((1, 1)));
-    assert_eq!(plan.terms.routes.tenant("north", ""), Some(0));
+    let parsed = settings::read(EXAMPLE).expect("fit");
+    assert_eq!(parsed.terms.terms.grades.len(), 2);
+    assert_eq!(parsed.terms.terms.release, 300.0);
+    assert_eq!(parsed.terms.terms.max_retry_after, Some(2000.0));
+    assert_eq!(parsed.terms.caller_timeout, [3000.0, 9000.0]);
+    assert_eq!(parsed.terms.routes.find("", "255"), Some((1, 1)));
+    assert_eq!(parsed.terms.routes.tenant("north", ""), Some(0));
 }
 
 #[test]
@@ -26,7 +26,7 @@
         .replace("quoted = \"2 s\"", "quoted = \"2 parsecs\"")
         .replace("pool = 1", "pool = 9");
     let faults = settings::read(&file).expect_err("unfit");
-    let told: Vec<(usize, &str)> = faults.iter().map(|fault| (fault.line, &fault.key[..])).collect();
+    let reported: Vec<(usize, &str)> = faults.iter().map(|fault| (fault.line, &fault.key[..])).collect();
     let line = |text: &str| file.lines().position(|line| line.starts_with(text)).expect("there") + 1;
     for (start, key) in [
         ("proxies = 0", "proxy.proxies"),
@@ -34,7 +34,7 @@
         ("cancel = 3", "rules.cancel"),
         ("quoted = \"2 parsecs\"", "grade[0].quoted"),
     ] {
-        assert!(told.contains(&(line(start), key)), "{key} in {told:?}");
+        assert!(reported.contains(&(line(start), key)), "{key} in {reported:?}");
     }
     let pool = faults.iter().find(|fault| fault.key == "route[1].pool").expect("told");
     assert_eq!((&pool.found[..], &pool.wanted[..]), ("9", "one of the pools of grade slot"));
@@ -58,34 +58,39 @@
     let distribution =
         ["role", "heartbeat", "subscribers", "most_subscribers", "bytes_per_second", "snapshots_at_once"];
     let distribution = [&distribution[..], &["subscriber_bytes_per_second"]].concat();
-    let more = ["folder", "promise", "delay", "patience", "segment", "share", "probe", "setups_repeat"];
-    let whole: Vec<&str> = EXAMPLE
+    let other_keys = ["folder", "promise", "delay", "patience", "segment", "share", "probe", "setups_repeat"];
+    let with_optional_tables: Vec<&str> = EXAMPLE
         .lines()
         .map(|line| {
-            let bare = line.strip_prefix("# ").unwrap_or(line);
-            let key = bare.split(" = ").next().unwrap_or_default();
-            let optional = bare.starts_with('[')
-                || [&keys[..], &fleet, &council, &distribution, &more].iter().any(|of| of.contains(&key));
-            if optional { bare } else { line }
+            let uncommented = line.strip_prefix("# ").unwrap_or(line);
+            let key = uncommented.split(" = ").next().unwrap_or_default();
+            let optional = uncommented.starts_with('[')
+                || [&keys[..], &fleet, &council, &distribution, &other_keys]
+                    .iter()
+                    .any(|of| of.contains(&key));
+            if optional { uncommented } else { line }
         })
         .collect();
-    let plan = settings::read(&whole.join("\n")).expect("sound");
+    let parsed = settings::read(&with_optional_tables.join("\n")).expect("sound");
     assert!(
-        plan.gossip.is_some() && plan.fleet.is_some() && plan.records.is_some() && plan.to_come.is_some()
+        parsed.gossip.is_some()
+            && parsed.fleet_limits.is_some()
+            && parsed.records.is_some()
+            && parsed.proposed_terms.is_some()
     );
-    let distribution = plan.distribution.expect("told");
+    let distribution = parsed.distribution.expect("told");
     assert_eq!(distribution.heartbeat, 1000.0);
     let DistributionRole::Control(served) = distribution.role else { panic!("{distribution:?}") };
-    assert_eq!((served.most_subscribers, served.snapshots_at_once), (4096, 64));
-    let council = plan.council.expect("told");
-    assert_eq!((council.members.len(), council.beat, council.lease), (3, 200.0, 10_000.0));
+    assert_eq!((served.max_subscribers, served.snapshots_at_once), (4096, 64));
+    let council = parsed.council.expect("told");
+    assert_eq!((council.members.len(), council.heartbeat, council.lease), (3, 200.0, 10_000.0));
 }
 
 #[test]
 fn rules_to_come_stand_as_those_in_force_but_for_what_they_say() {
     let watch = "[watch]\nprobe = false\nsetups_repeat = false\ncold_from = 0.3\n";
-    let plan = settings::read(&EXAMPLE.replace("[iax2]\n", &format!("{watch}[iax2]\n"))).expect("fit");
-    let (now, then) = (&plan.terms.terms, &plan.to_come.as_ref().expect("watched").terms);
+    let parsed = settings::read(&EXAMPLE.replace("[iax2]\n", &format!("{watch}[iax2]\n"))).expect("fit");
+    let (now, then) = (&parsed.terms.terms, &parsed.proposed_terms.as_ref().expect("watched").terms);
     assert_eq!(
         (now.may_probe, now.resend_after, now.initial_capacity_share, now.respect_retry_after),
         (true, 500.0, 0.0, false)
@@ -99,7 +104,7 @@
         (then.release, then.cold_duration, then.proxies),
         (now.release, now.cold_duration, now.proxies)
     );
-    assert!(settings::read(EXAMPLE).expect("fit").to_come.is_none());
+    assert!(settings::read(EXAMPLE).expect("fit").proposed_terms.is_none());
 }
 
 #[test]
@@ -107,11 +112,11 @@
     let file =
         EXAMPLE.replace("[iax2]\n", "[fleet]\nlease = \"100 ms\"\nbeat = \"80 ms\"\nrate = 3\n[iax2]\n");
     let faults = settings::read(&file).expect_err("unfit");
-    let told: Vec<(&str, &str)> = faults.iter().map(|f| (&f.key[..], &f.wanted[..])).collect();
-    assert!(told.contains(&("fleet.lease", "two beats or more")), "{told:?}");
-    assert!(told.iter().any(|(key, _)| *key == "fleet.rate"), "{told:?}");
-    assert!(told.iter().any(|(_, wanted)| wanted.starts_with("[gossip] beside it")), "{told:?}");
-    assert!(settings::read(EXAMPLE).expect("fit").fleet.is_none(), "off by default");
+    let reported: Vec<(&str, &str)> = faults.iter().map(|f| (&f.key[..], &f.wanted[..])).collect();
+    assert!(reported.contains(&("fleet.lease", "two beats or more")), "{reported:?}");
+    assert!(reported.iter().any(|(key, _)| *key == "fleet.rate"), "{reported:?}");
+    assert!(reported.iter().any(|(_, wanted)| wanted.starts_with("[gossip] beside it")), "{reported:?}");
+    assert!(settings::read(EXAMPLE).expect("fit").fleet_limits.is_none(), "off by default");
 }
 
 #[rstest]
@@ -129,8 +134,8 @@
 fn what_is_wrong_with_a_council_is_told(#[case] table: &str, #[case] key: &str, #[case] wanted: &str) {
     let faults =
         settings::read(&EXAMPLE.replace("[iax2]\n", &format!("{table}[iax2]\n"))).expect_err("unfit");
-    let told = faults.iter().find(|fault| fault.key == key && fault.wanted.contains(wanted));
-    assert!(told.is_some_and(|fault| fault.line > 1), "{faults:?}");
+    let reported = faults.iter().find(|fault| fault.key == key && fault.wanted.contains(wanted));
+    assert!(reported.is_some_and(|fault| fault.line > 1), "{faults:?}");
     assert!(settings::read(EXAMPLE).expect("fit").council.is_none(), "off by default");
 }
 
@@ -167,29 +172,29 @@
     EXAMPLE.replace("[iax2]\n", &format!("{tables}[iax2]\n"))
 }
 
-fn subscriber(file: &str) -> SubscriberPlan {
-    let plan = settings::read(file).expect("fit").distribution.expect("told");
-    let DistributionRole::Subscriber(subscriber) = plan.role else { panic!("{plan:?}") };
+fn subscriber(file: &str) -> SubscriberSettings {
+    let parsed = settings::read(file).expect("fit").distribution.expect("told");
+    let DistributionRole::Subscriber(subscriber) = parsed.role else { panic!("{parsed:?}") };
     subscriber
 }
 
 #[test]
 fn a_subscriber_names_its_scopes_and_control_machines() {
-    let plan = subscriber(&with(SUBSCRIBER));
+    let parsed = subscriber(&with(SUBSCRIBER));
     let scopes = [Scope::All, Scope::Region(1), Scope::Zone(7), Scope::Service(70_000)];
-    assert_eq!(Vec::from_iter(plan.scopes), scopes);
-    let controls: Vec<(&str, u16)> = plan.controls.iter().map(|of| (&of.name[..], of.region)).collect();
-    assert_eq!((controls, plan.region), (vec![("p1", 0), ("p2", 1)], 1));
-    assert_eq!(plan.file, Path::new("frostthread-state/distribution"));
+    assert_eq!(Vec::from_iter(parsed.scopes), scopes);
+    let controls: Vec<(&str, u16)> = parsed.controls.iter().map(|of| (&of.name[..], of.region)).collect();
+    assert_eq!((controls, parsed.region), (vec![("p1", 0), ("p2", 1)], 1));
+    assert_eq!(parsed.file, Path::new("frostthread-state/distribution"));
     assert!(settings::read(EXAMPLE).expect("fit").distribution.is_none(), "off by default");
 }
 
 #[test]
 fn the_subscriber_of_the_example_is_fit_too() {
     let start = EXAMPLE.find("#   listen = ").expect("there");
-    let rows = EXAMPLE[start..].lines().map_while(|line| line.strip_prefix("#   "));
-    let rows: Vec<&str> = rows.collect();
-    let table = format!("[distribution]\nrole = \"subscriber\"\n{}\n", rows.join("\n"));
+    let lines = EXAMPLE[start..].lines().map_while(|line| line.strip_prefix("#   "));
+    let lines: Vec<&str> = lines.collect();
+    let table = format!("[distribution]\nrole = \"subscriber\"\n{}\n", lines.join("\n"));
     assert_eq!(subscriber(&with(&table)).controls.len(), 1);
 }
 
@@ -222,6 +227,6 @@
 )]
 fn what_is_wrong_with_distribution_is_told(#[case] table: String, #[case] key: &str, #[case] wanted: &str) {
     let faults = settings::read(&with(&table)).expect_err("unfit");
-    let told = faults.iter().find(|fault| fault.key == key && fault.wanted.contains(wanted));
-    assert!(told.is_some_and(|fault| fault.line > 1), "{faults:?}");
+    let reported = faults.iter().find(|fault| fault.key == key && fault.wanted.contains(wanted));
+    assert!(reported.is_some_and(|fault| fault.line > 1), "{faults:?}");
 }
