--- a/daemon/src/backlog.rs
+++ b/daemon/src/backlog.rs
@@ -1,19 +1,20 @@
-//! Datagrams that found their socket's buffer full. They wait in order behind the others of the same
-//! socket, and one full socket holds up no other: [`Backlog::send`], and [`Backlog::flush`] when there may
-//! be room again.
+//! A bounded queue of datagrams whose socket buffer was full. Each socket's datagrams stay in order, and a
+//! full socket does not delay the others. [`Backlog::send`] sends or queues, [`Backlog::flush`] retries.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
 use border::{Outbound, Side};
 
-/// The socket that a datagram leaves by: servers have one each.
+/// Identifies the socket that a datagram is sent by: each server has its own.
 pub type SocketKey = (Side, Option<SocketAddr>);
 
+/// Returns the socket that a datagram is sent by.
 pub fn socket_key(datagram: &Outbound) -> SocketKey {
     (datagram.side, (datagram.side == Side::Servers).then_some(datagram.peer))
 }
 
+/// Datagrams waiting for space in their socket's buffer.
 pub struct Backlog {
     waiting: BTreeMap<SocketKey, VecDeque<Outbound>>,
     length: usize,
@@ -22,12 +23,12 @@
 }
 
 impl Backlog {
-    /// Keeps at most so many datagrams, over all sockets; what comes on top is dropped and counted.
+    /// Creates a backlog of at most `max` datagrams over all sockets; further ones are dropped and counted.
     pub fn new(max: usize) -> Self {
         Self { waiting: BTreeMap::new(), length: 0, max, dropped: 0 }
     }
 
-    /// `try_send` gives false where there was no room.
+    /// Sends a datagram, or queues it where others wait or `try_send` returns false: the buffer is full.
     pub fn send(&mut self, datagram: Outbound, try_send: impl FnOnce(&Outbound) -> bool) {
         let key = socket_key(&datagram);
         if !self.waiting.contains_key(&key) && try_send(&datagram) {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Tries each socket's first again, and what follows while there is room.
+    /// Sends each socket's queued datagrams until `try_send` returns false for that socket.
     pub fn flush(&mut self, mut try_send: impl FnMut(&Outbound) -> bool) {
         let length = &mut self.length;
         self.waiting.retain(|_, queue| {
@@ -53,11 +54,12 @@
         });
     }
 
-    /// A socket that something waits for.
+    /// Returns one socket that has queued datagrams.
     pub fn first(&self) -> Option<SocketKey> {
         self.waiting.keys().next().copied()
     }
 
+    /// Returns how many datagrams were dropped.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
--- a/daemon/src/changelog_client.rs
+++ b/daemon/src/changelog_client.rs
@@ -1,6 +1,6 @@
-//! Follows the change log over HTTP for as long as the proxy lives: asked again whenever it breaks or says
-//! nothing. [`AppliedSeq`] says what has been taken in, from which on each call asks: what a call has read and
-//! nobody has taken in is told again by the next.
+//! Follows the change log over HTTP for as long as the proxy runs, reconnecting whenever the connection fails
+//! or is silent. Each request starts after [`AppliedSeq`], the last event that was applied: an event that was
+//! read but not applied is sent again in the next response.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -23,28 +23,30 @@
 
 use crate::backoff::Backoff;
 
-/// For the connection and for the head of the answer.
+/// How long connecting may take, and then the head of the response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A comment is due each second.
+/// Longest silence on an open connection; the server sends a comment each second.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Gaps between two calls, in milliseconds.
+/// First and maximum bounds of the wait between two requests, in milliseconds.
 const FIRST_BACKOFF_MS: f64 = 50.0;
 const MAX_BACKOFF_MS: f64 = 500.0;
 
-/// The number of the last event that was taken in.
+/// The sequence number of the last event that was applied.
 #[derive(Clone)]
 pub struct AppliedSeq(Rc<(Cell<u64>, Notify)>);
 
 impl AppliedSeq {
+    /// Creates it with the number of the last event known at the start.
     pub fn new(last: u64) -> Self {
         Self(Rc::new((Cell::new(last), Notify::new())))
     }
 
+    /// Records the last event that was applied.
     pub fn set(&self, last: u64) {
         self.0.0.set(last);
     }
 
-    /// What came can't be taken in: the present call is of no more use.
+    /// An event could not be applied: the current request is abandoned and a new one is made.
     pub fn request_again(&self) {
         self.0.1.notify_one();
     }
@@ -58,7 +60,7 @@
     }
 }
 
-/// `address` may change while the proxy runs; the events' numbers go on.
+/// Sends updates for as long as the proxy runs. `address` may change meanwhile; events keep their numbering.
 pub async fn follow(
     mut address: watch::Receiver<SocketAddr>,
     applied_seq: AppliedSeq,
@@ -72,7 +74,7 @@
         let current = *address.borrow_and_update();
         let failure = tokio::select! {
             failure = request_changes(current, &applied_seq, &updates) => failure,
-            () = applied_seq.refused() => Err(anyhow!("what it told can't be taken in")),
+            () = applied_seq.refused() => Err(anyhow!("an event can't be applied")),
             changed = address.changed() => {
                 if changed.is_err() {
                     return;
@@ -95,7 +97,7 @@
     }
 }
 
-/// One call, read until it ends.
+/// Makes one request and reads its response until that fails.
 async fn request_changes(
     address: SocketAddr,
     applied_seq: &AppliedSeq,
@@ -105,7 +107,7 @@
         tokio::time::timeout(RESPONSE_TIMEOUT, TcpStream::connect(address)).await.context("connecting")??;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let connection = tokio::spawn(connection);
-    // Whatever ends this call ends the connection with it.
+    // The connection ends together with this request.
     let _abort_on_return = AbortOnDrop(connection.abort_handle());
     let mut reader = ChangelogReader::new(applied_seq.last());
     let request = Request::get("/changes")
@@ -113,13 +115,14 @@
         .header(header::ACCEPT, "text/event-stream")
         .header("Last-Event-ID", reader.last_seq())
         .body(Empty::<Bytes>::new())?;
-    let response =
-        tokio::time::timeout(RESPONSE_TIMEOUT, sender.send_request(request)).await.context("asking")??;
-    ensure!(response.status() == StatusCode::OK, "it answered {}", response.status());
+    let response = tokio::time::timeout(RESPONSE_TIMEOUT, sender.send_request(request))
+        .await
+        .context("requesting changes")??;
+    ensure!(response.status() == StatusCode::OK, "status {}, wanted 200 OK", response.status());
     let mut body = response.into_body();
     loop {
         let frame = tokio::time::timeout(SILENCE_TIMEOUT, body.frame()).await.context("silent")?;
-        let Some(frame) = frame else { bail!("the answer ended") };
+        let Some(frame) = frame else { bail!("the response ended") };
         let Ok(data) = frame?.into_data() else { continue };
         for update in reader.read(&data)? {
             updates.send(update).await?;
@@ -127,6 +130,7 @@
     }
 }
 
+/// Aborts a task when dropped.
 struct AbortOnDrop(tokio::task::AbortHandle);
 
 impl Drop for AbortOnDrop {
--- a/daemon/src/connections.rs
+++ b/daemon/src/connections.rs
@@ -1,9 +1,9 @@
-//! Connections of a running border proxy: what is read of them and when, what is still to be written, dials.
-//! Nothing is decided here.
+//! TCP connections of a running border proxy: reads, pending writes and dials.
+//! No decision is made here.
 //!
-//! [`Connections::add`] takes a connection up. An [`ConnectionEvent`] says that one has something to be read;
-//! [`Connections::read`] then gives it, in the order in which it came, and [`Connections::read_now`] gives at any time what
-//! has come by now, whether its arrival was told or not.
+//! [`Connections::add`] registers a connection. A [`ConnectionEvent`] reports that one is readable;
+//! [`Connections::read`] then returns its bytes in order. [`Connections::read_now`] returns what has arrived
+//! so far at any time, whether or not an event has reported it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -19,46 +19,49 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::task::AbortHandle;
 
-/// Bytes read from a connection at a time, so that each gets its turn.
+/// Bytes read from a connection at a time, so that no connection delays the others.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// Bytes that wait for a connection which does not read; past that it is closed.
+/// Unwritten bytes kept for a peer that does not read; a connection that exceeds this is closed.
 const MAX_OUTBOX_BYTES: usize = 256 * 1024;
-/// A connection that was dismissed reads on for so long, and no more than so many bytes, so that what it was
-/// told last is not lost with what it still sends.
+/// After its last write, a closing connection keeps reading and discarding for at most this time and
+/// [`MAX_DISCARDED_BYTES`]: closing with unread bytes would reset the connection and lose that last write.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(2000);
 const MAX_DISCARDED_BYTES: usize = 128 << 20;
 
-/// What the tasks of connections tell; each has one untold arrival of a kind at most, so that they need no
-/// bound.
+/// An event from a connection's tasks. Each connection has at most one unhandled event of a kind, so the
+/// channel needs no bound.
 pub enum ConnectionEvent {
+    /// A dial succeeded.
     Connected(ConnectionId, TcpStream),
-    /// It has something to be read, or has ended.
+    /// The connection has bytes to read, or was closed by the peer.
     Readable(ConnectionId),
-    /// All that was to be written is written.
+    /// All pending bytes have been written.
     OutboxEmpty(ConnectionId),
+    /// A dial failed, or the connection ended.
     Failed(ConnectionId, ConnectionError),
 }
 
-/// What a connection holds.
+/// The result of reading a connection once.
 pub enum ReadResult {
     Bytes(Bytes),
     Nothing,
-    /// Nothing more will come.
+    /// The peer closed the connection, or reading failed.
     End,
 }
 
-/// What is kept of one connection.
+/// One open connection with its tasks.
 struct Connection {
     stream: Rc<TcpStream>,
     outbox: Rc<RefCell<BytesMut>>,
-    /// There is something in the outbox.
+    /// Signals the writing task that the outbox has bytes.
     outbox_filled: Rc<Notify>,
-    /// What was told as readable has been read, or the connection is dismissed.
+    /// Signals the reading task that a reported read was done, or that the connection is closing.
     resume_reading: Rc<Notify>,
+    /// The connection closes once the outbox is written.
     flushing: Rc<Cell<bool>>,
-    /// Attempts that wait until it takes what is written.
+    /// Attempts that wait until the outbox is empty.
     queued_attempts: VecDeque<QueuedAttempt>,
-    /// The attempt whose last bytes are in the outbox.
+    /// The attempt whose last bytes are still in the outbox.
     partial_attempt: Option<QueuedAttempt>,
     tasks: [AbortHandle; 2],
 }
@@ -69,19 +72,22 @@
     }
 }
 
+/// All connections and dials of a proxy.
 pub struct Connections {
     connections: HashMap<ConnectionId, Connection>,
     dials: HashMap<ConnectionId, AbortHandle>,
-    /// Tasks that were told to end, and hold their descriptors until they have a turn.
+    /// Aborted tasks; each holds its file descriptor until the runtime has dropped it.
     aborted_tasks: Vec<AbortHandle>,
     events: mpsc::UnboundedSender<ConnectionEvent>,
 }
 
 impl Connections {
+    /// Creates an empty set that reports to `events`.
     pub fn new(events: mpsc::UnboundedSender<ConnectionEvent>) -> Self {
         Self { connections: HashMap::new(), dials: HashMap::new(), aborted_tasks: Vec::new(), events }
     }
 
+    /// Registers an open connection and starts its tasks.
     pub fn add(&mut self, conn: ConnectionId, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let stream = Rc::new(stream);
@@ -115,7 +121,7 @@
         self.connections.insert(conn, connection);
     }
 
-    /// A dialled connection is up; false where nobody wants it any more.
+    /// Registers a dialled connection; false if the dial was closed meanwhile.
     pub fn connected(&mut self, conn: ConnectionId, stream: TcpStream) -> bool {
         let wanted = self.dials.remove(&conn).is_some();
         if wanted {
@@ -124,6 +130,7 @@
         wanted
     }
 
+    /// Closes a connection or cancels its dial.
     pub fn close(&mut self, conn: ConnectionId) {
         if let Some(connection) = self.connections.remove(&conn) {
             self.aborted_tasks.extend(connection.tasks.clone());
@@ -134,7 +141,7 @@
         }
     }
 
-    /// Waits until what was closed holds no descriptor any more.
+    /// Waits until closed connections have released their file descriptors.
     pub async fn wait_closed(&mut self) {
         loop {
             self.aborted_tasks.retain(|task| !task.is_finished());
@@ -145,7 +152,7 @@
         }
     }
 
-    /// What was told as readable; to be called once for each such arrival.
+    /// Reads once; call exactly once per [`ConnectionEvent::Readable`].
     pub fn read(&mut self, conn: ConnectionId) -> ReadResult {
         let Some(connection) = self.connections.get(&conn) else { return ReadResult::Nothing };
         connection.resume_reading.notify_one();
@@ -155,14 +162,14 @@
         let mut buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
         match connection.stream.try_read_buf(&mut buffer) {
             Ok(0) => ReadResult::End,
-            // Copied, so that no buffer is held while the connection is idle.
+            // Copied, so that an idle connection holds no buffer.
             Ok(_) => ReadResult::Bytes(Bytes::copy_from_slice(&buffer)),
             Err(error) if error.kind() == ErrorKind::WouldBlock => ReadResult::Nothing,
             Err(_) => ReadResult::End,
         }
     }
 
-    /// What has come by now, asked of the system itself.
+    /// Reads what has arrived so far straight from the socket, without waiting for an event.
     pub fn read_now(&self, conn: ConnectionId) -> ReadResult {
         let connection = self.connections.get(&conn).filter(|connection| !connection.flushing.get());
         let Some(connection) = connection else { return ReadResult::Nothing };
@@ -177,7 +184,7 @@
         }
     }
 
-    /// False where the connection takes no more.
+    /// Writes or queues bytes; false if [`MAX_OUTBOX_BYTES`] would be exceeded.
     #[must_use]
     pub fn write(&mut self, conn: ConnectionId, mut bytes: Bytes) -> bool {
         let Some(connection) = self.connections.get(&conn) else { return true };
@@ -186,7 +193,7 @@
             match connection.stream.try_write(&bytes) {
                 Ok(n) => bytes.advance(n),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
-                // The reader hears of it too.
+                // The reading task reports the failure.
                 Err(_) => return true,
             }
         }
@@ -201,39 +208,41 @@
         true
     }
 
-    /// Whether something is still to be written.
+    /// Whether a connection has bytes still to be written.
     pub fn has_unwritten(&self, conn: ConnectionId) -> bool {
         self.connections.get(&conn).is_some_and(|connection| !connection.outbox.borrow().is_empty())
     }
 
+    /// Whether any connection has bytes still to be written.
     pub fn any_unwritten(&self) -> bool {
         self.connections.values().any(|connection| !connection.outbox.borrow().is_empty())
     }
 
-    /// An attempt waits until the connection takes what is written.
+    /// Queues an attempt until the connection's outbox is empty.
     pub fn queue_attempt(&mut self, queued: QueuedAttempt) {
         if let Some(connection) = self.connections.get_mut(&queued.conn) {
             connection.queued_attempts.push_back(queued);
         }
     }
 
-    /// An attempt has been written, whole or in part.
+    /// Notes that an attempt was passed to [`Connections::write`], and is partly unwritten if the outbox
+    /// holds bytes.
     pub fn attempt_written(&mut self, queued: QueuedAttempt) {
         if let Some(connection) = self.connections.get_mut(&queued.conn) {
             connection.partial_attempt = (!connection.outbox.borrow().is_empty()).then_some(queued);
         }
     }
 
-    /// Whether the last bytes of an attempt are still to be written.
+    /// Whether the last bytes of an attempt are still in the outbox.
     pub fn is_partially_written(&self, queued: QueuedAttempt) -> bool {
         self.connections
             .get(&queued.conn)
             .is_some_and(|connection| connection.partial_attempt == Some(queued))
     }
 
-    /// The connection has taken all that was written; gives the attempts that waited for that.
+    /// Takes the attempts that waited for the outbox to empty.
     pub fn outbox_emptied(&mut self, conn: ConnectionId) -> VecDeque<QueuedAttempt> {
-        // Where more was written since, that comes first.
+        // Bytes written since the event come first: the attempts go on waiting.
         let is_empty = |connection: &&mut Connection| connection.outbox.borrow().is_empty();
         let Some(connection) = self.connections.get_mut(&conn).filter(is_empty) else {
             return VecDeque::new();
@@ -242,6 +251,7 @@
         std::mem::take(&mut connection.queued_attempts)
     }
 
+    /// Starts a dial; its result arrives as an event.
     pub fn dial(&mut self, conn: ConnectionId, address: SocketAddr, timeout_ms: f64) {
         let events = self.events.clone();
         let dial = tokio::task::spawn_local(async move {
@@ -259,7 +269,7 @@
         self.dials.insert(conn, dial.abort_handle());
     }
 
-    /// The connection ends once it has nothing more to send.
+    /// Closes a connection once its outbox is written.
     pub fn flush_and_close(&mut self, conn: ConnectionId) {
         let Some(connection) = self.connections.get(&conn) else { return };
         connection.flushing.set(true);
@@ -267,9 +277,9 @@
         connection.resume_reading.notify_one();
     }
 
-    /// Says on all connections that nothing more will be sent, and gives up what is on its way; what still
-    /// comes is read and let fall, since a connection that is closed with bytes unread takes back what was
-    /// just sent.
+    /// Cancels all dials and shuts down the writing side of all connections. Incoming bytes are read and
+    /// discarded for at most `timeout` in all, since closing a connection with unread bytes resets it and
+    /// loses what was just sent.
     pub async fn shut_down(&mut self, timeout: Duration) {
         self.dials.drain().for_each(|(_, dial)| dial.abort());
         for connection in self.connections.values() {
@@ -284,7 +294,7 @@
     }
 }
 
-/// Tells when a connection can be read, once for each time that it has been.
+/// Reports a connection as readable, once after each read.
 async fn watch_readable(
     conn: ConnectionId,
     stream: Rc<TcpStream>,
@@ -310,7 +320,7 @@
     let _ = events.send(ConnectionEvent::Failed(conn, ConnectionError::Closed));
 }
 
-/// Reads and lets fall what comes, until the other end closes or has sent too much.
+/// Reads and discards bytes until the peer closes or [`MAX_DISCARDED_BYTES`] is exceeded.
 async fn discard(stream: &TcpStream) {
     let mut discarded = 0;
     while stream.readable().await.is_ok() {
@@ -327,7 +337,7 @@
     }
 }
 
-/// Writes what found no room at once; a dismissed connection says no more after that.
+/// Writes the outbox as the socket accepts it; then shuts down a closing connection's writing side.
 async fn write_outbox(
     conn: ConnectionId,
     stream: Rc<TcpStream>,
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -1,4 +1,4 @@
-//! The control socket: a Unix socket that takes a word a line and answers with JSON a line.
+//! The control socket: a Unix socket that takes one request per line and answers each with one line of JSON.
 
 use std::path::Path;
 
@@ -12,48 +12,52 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::{mpsc, oneshot};
 
-const COMMANDS: &str = "status, members, suspicions, gossip, limits, council, outs, distribution, changes, a wish, rekey or stop";
-/// What a proxy without gossip says of it.
+const COMMANDS: &str = "status, members, suspicions, gossip, limits, council, outs, distribution, changes, a JSON command, rekey or stop";
+/// The error of requests that need gossip, at a proxy without it.
 pub const NO_GOSSIP: &str = "this proxy has no [gossip]";
 const NO_FLEET: &str = "this proxy has no [fleet]";
 const NO_COUNCIL: &str = "this proxy has no [council]";
 const NO_DISTRIBUTION: &str = "this proxy has no [distribution]";
-const NO_CHANGES: &str = "this proxy is no control machine: one of those knows who has what";
+const NO_CHANGES: &str = "this proxy is not a control machine; ask one of those";
 
-/// What an operator asks for, with where the answer goes.
+/// An operator's request, with the channel for its response.
 #[derive(Debug)]
 pub enum Request {
+    /// Servers, conversations and counters.
     Status(oneshot::Sender<Box<Status>>),
-    /// None where there is no gossip.
+    /// Members, suspicions and counters; none without gossip.
     Gossip(oneshot::Sender<Option<GossipStatus>>),
-    /// None where there are no limits of the fleet.
+    /// None without fleet limits.
     Limits(oneshot::Sender<Option<LimitsStatus>>),
-    /// None where nothing is decided for all.
+    /// None without a council.
     Council(oneshot::Sender<Option<CouncilStatus>>),
+    /// Drains, unavailable proxies and the release; none without a council.
     Availability(oneshot::Sender<Option<AvailabilityStatus>>),
-    /// None where nothing is distributed by scope.
+    /// None without distribution by scope.
     Distribution(oneshot::Sender<Option<DistributionStatus>>),
-    /// None where this proxy serves no subscribers.
+    /// None if this proxy serves no subscribers.
     Changes(oneshot::Sender<Option<Vec<ChangeStatus>>>),
-    /// Have something decided, or see what it would come to.
+    /// Submit a command to the council, or predict its outcome.
     Command(CommandRequest, oneshot::Sender<Result<CommandOutcome, String>>),
-    /// Read the key files again; what is wrong with them, if anything.
+    /// Read the key files again; an error says what is wrong with them.
     Rekey(oneshot::Sender<Result<(), String>>),
+    /// Stop the proxy.
     Stop,
 }
 
-/// What an operator wants decided.
+/// An operator's command, as a line of JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CommandRequest {
+    /// The command itself.
     #[serde(rename = "wish")]
     pub command: OperatorCommand,
-    /// Only what it would come to by what this proxy knows.
+    /// Only predict the outcome, by what this proxy knows.
     #[serde(rename = "dry", default)]
     pub dry_run: bool,
 }
 
-/// Takes operators' connections until the proxy is gone.
+/// Accepts operators' connections until the listener fails.
 pub async fn serve(listener: UnixListener, requests: mpsc::Sender<Request>) {
     while let Ok((stream, _)) = listener.accept().await {
         let requests = requests.clone();
@@ -112,7 +116,7 @@
                 status_json(reply_receiver.await?, NO_CHANGES)?
             }
             request if request.starts_with('{') => match serde_json::from_str(request) {
-                Err(error) => serde_json::json!({ "error": format!("wish: {error}") }).to_string(),
+                Err(error) => serde_json::json!({ "error": format!("command: {error}") }).to_string(),
                 Ok(command) => {
                     let (reply, reply_receiver) = oneshot::channel();
                     requests.send(Request::Command(command, reply)).await?;
@@ -134,7 +138,8 @@
                 requests.send(Request::Stop).await?;
                 "{\"stopping\":true}".to_owned()
             }
-            other => serde_json::json!({ "error": format!("no use for {other:?}; {COMMANDS}") }).to_string(),
+            other => serde_json::json!({ "error": format!("unknown command {other:?}, wanted {COMMANDS}") })
+                .to_string(),
         };
         response.push('\n');
         writer.write_all(response.as_bytes()).await?;
@@ -143,6 +148,7 @@
     Ok(())
 }
 
+/// Formats a status as JSON, or the error `absent` if there is none.
 fn status_json(status: Option<impl Serialize>, absent: &str) -> Result<String> {
     Ok(match status {
         None => serde_json::json!({ "error": absent }).to_string(),
@@ -150,7 +156,7 @@
     })
 }
 
-/// Asks a running proxy something, by its word.
+/// Sends one request line to a running proxy and parses its response.
 pub async fn request<T: DeserializeOwned>(socket: &Path, word: &str) -> Result<T> {
     #[derive(serde::Deserialize)]
     struct Refusal {
--- a/daemon/src/council.rs
+++ b/daemon/src/council.rs
@@ -1,5 +1,5 @@
-//! Keeps on the disk what a proxy must not forget of the decisions. `agree::disk` says what; this reads it
-//! once, and writes and syncs what is handed to it, away from the loop. A lock beside the file keeps a second
+//! The file that persists a council member's state. `agree::disk` defines its content; this module reads it
+//! once, then writes and syncs what it is given on a blocking thread. A lock file beside it keeps a second
 //! process out.
 
 use std::fs::{self, File, OpenOptions};
@@ -11,7 +11,7 @@
 use anyhow::{Context, Result, bail};
 use tokio::sync::mpsc;
 
-/// The file, while this process has it.
+/// The state file, locked by this process.
 pub struct CouncilFile {
     path: PathBuf,
     file: Arc<Mutex<Option<File>>>,
@@ -20,18 +20,17 @@
 }
 
 impl CouncilFile {
-    /// Reads what the file holds, and keeps other processes from it. What each write came to is told over
-    /// `told`.
+    /// Locks and reads the file. The result of each later write is sent to `results`.
     pub fn open(
         path: &Path,
         results: mpsc::Sender<io::Result<()>>,
     ) -> Result<(Self, Result<PersistedState, RecoveryError>)> {
-        let folder = path.parent().context("a file in a folder wanted")?;
+        let folder = path.parent().context("the path has no parent directory")?;
         fs::create_dir_all(folder)?;
         let lock =
             OpenOptions::new().create(true).truncate(false).write(true).open(path.with_extension("lock"))?;
         if lock.try_lock().is_err() {
-            bail!("another process has it");
+            bail!("another process has locked it");
         }
         let recovered = match fs::read(path) {
             Ok(bytes) => recover(&bytes),
@@ -39,7 +38,7 @@
             Err(error) => return Err(error.into()),
         };
         if let Err(lost @ (RecoveryError::Damaged { .. } | RecoveryError::Inconsistent)) = &recovered {
-            // Kept for whoever wants to look; this proxy has no vote by it any more.
+            // Kept aside for inspection; the proxy has no vote based on it any more.
             let damaged_copy = path.with_extension("damaged");
             tracing::error!(aside = %damaged_copy.display(), "council.state_lost: {lost}");
             fs::rename(path, damaged_copy)?;
@@ -48,7 +47,7 @@
         Ok((Self { path: path.to_owned(), file, results, _lock: lock }, recovered))
     }
 
-    /// Begins to write and sync.
+    /// Starts a write with its sync.
     pub fn write(&self, write: DiskWrite) {
         let (path, file, results) = (self.path.clone(), self.file.clone(), self.results.clone());
         tokio::task::spawn_blocking(move || {
@@ -63,7 +62,7 @@
     }
 }
 
-/// A whole new file in the place of the old one, or the old one still.
+/// Replaces the file atomically: after a crash either the new file or the old one is there.
 fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<File> {
     let folder = path.parent().unwrap_or(Path::new("."));
     let mut temporary = tempfile::NamedTempFile::new_in(folder)?;
@@ -74,8 +73,9 @@
     Ok(file)
 }
 
+/// Appends to the file and syncs it.
 fn append(file: &Option<File>, bytes: &[u8]) -> io::Result<()> {
-    let mut file = file.as_ref().ok_or_else(|| io::Error::other("nothing was written yet"))?;
+    let mut file = file.as_ref().ok_or_else(|| io::Error::other("the file was not written yet"))?;
     file.write_all(bytes)?;
     file.sync_data()
 }
--- a/daemon/src/distribution.rs
+++ b/daemon/src/distribution.rs
@@ -1,5 +1,5 @@
-//! Distribution of decided state in the daemon: its keys, and the file that a subscriber keeps what it holds
-//! in.
+//! Distribution of decided state in the daemon: its keys, and the file in which a subscriber persists its
+//! scopes.
 
 use std::fs;
 use std::io::ErrorKind;
@@ -24,6 +24,7 @@
 /// The file of a subscriber's state.
 pub struct StateFile {
     path: PathBuf,
+    /// State that is still to be written.
     unwritten: Option<Vec<u8>>,
     write_at: f64,
 }
@@ -33,7 +34,7 @@
         Self { path, unwritten: None, write_at: 0.0 }
     }
 
-    /// What was kept; nothing where there is no file that can be read.
+    /// Reads the saved state; none if there is no readable file.
     fn read(&self) -> Option<Vec<u8>> {
         match fs::read(&self.path) {
             Ok(bytes) => Some(bytes),
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Keeps what the proxy holds now, at most once in [`STATE_WRITE_INTERVAL`].
+    /// Writes the proxy's state if it has changed, at most once per [`STATE_WRITE_INTERVAL`].
     pub fn turn(&mut self, now: f64, proxy: &mut BorderProxy<impl Decisions>) {
         if let Some(bytes) = proxy.distribution_state_to_save() {
             self.unwritten = Some(bytes);
@@ -58,14 +59,14 @@
         }
     }
 
-    /// Writes what waits, as the proxy stops.
+    /// Writes pending state when the proxy stops.
     pub fn finish(&mut self) {
         if let Some(bytes) = self.unwritten.take() {
             self.write(&bytes);
         }
     }
 
-    /// When [`StateFile::turn`] has something to write.
+    /// Returns when [`StateFile::turn`] has something to write, in milliseconds.
     pub fn due(&self) -> f64 {
         if self.unwritten.is_some() { self.write_at } else { f64::INFINITY }
     }
@@ -77,7 +78,7 @@
     }
 }
 
-/// Where a subscriber listens.
+/// Returns a subscriber's settings; none if this proxy is not a subscriber.
 pub fn subscriber_settings(settings: &ProxySettings) -> Option<&SubscriberSettings> {
     match &settings.distribution.as_ref()?.role {
         DistributionRole::Subscriber(subscriber) => Some(subscriber),
@@ -85,8 +86,8 @@
     }
 }
 
-/// Lets the proxy take part in the distribution by its settings, if it does. A control machine has to decide
-/// with others before. Gives the file that a subscriber keeps.
+/// Starts this proxy's part in the distribution, if its settings give it one. A control machine must have
+/// joined the council before. Returns a subscriber's state file.
 pub fn start(
     proxy: &mut BorderProxy<impl Decisions>,
     settings: &ProxySettings,
@@ -154,6 +155,7 @@
     Ok(Subscription::new(terms, FleetKeys { secrets, roster }, seed, now, unix_ms))
 }
 
+/// Finds a member of a roster; `key` is the settings key for the error.
 fn roster_id(roster: &Roster, key: &str, name: &str) -> Result<Id> {
     let id = roster.ids().find(|&id| roster.name(id) == Some(name));
     id.with_context(|| format!("distribution.{key}: {name}: not in the roster"))
@@ -163,7 +165,7 @@
 ///
 /// # Errors
 ///
-/// What is wrong with them; the proxy goes on with the former ones then.
+/// What is wrong with them; the proxy then continues with the previous ones.
 pub fn rekey(proxy: &mut BorderProxy<impl Decisions>, settings: &ProxySettings) -> Result<()> {
     let Some(distribution) = &settings.distribution else { return Ok(()) };
     let (secrets, roster) = match (&distribution.role, &settings.gossip) {
--- a/daemon/src/feed.rs
+++ b/daemon/src/feed.rs
@@ -1,4 +1,4 @@
-//! The subscription to the pool list: asked for again with growing gaps whenever it breaks.
+//! The subscription to the pool list, renewed with a growing backoff whenever it fails.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,11 +13,11 @@
 
 use crate::backoff::Backoff;
 
-/// A feed that does not answer the call for a connection.
+/// How long connecting to the feed may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Follows the feed for as long as the proxy lives. `have` tells the version that the proxy has; it is set
-/// back to none when news did not fit, which has the feed asked for the whole list at once.
+/// Follows the feed for as long as the proxy runs. `known_version` is the version that the proxy has; it is
+/// reset to none when an update could not be applied, and the whole list is then requested at once.
 pub async fn follow(
     feed: SocketAddr,
     seed: u64,
@@ -41,6 +41,7 @@
     }
 }
 
+/// Connects, and passes on updates until the subscription fails.
 async fn subscribe(
     feed: SocketAddr,
     updates: &mpsc::Sender<PoolUpdates>,
@@ -55,18 +56,18 @@
     let mut reader = BufReader::new(reader);
     let mut line = Vec::new();
     loop {
-        // What of a line was read before `have` changed stays in it.
+        // A partly read line stays in `line` when `known_version` changes.
         let mut bounded = (&mut reader).take(MAX_LINE_BYTES as u64);
         tokio::select! {
             read = bounded.read_until(b'\n', &mut line) => {
                 if read? == 0 {
-                    bail!("the feed closed");
+                    bail!("the feed closed the connection");
                 }
             }
             changed = known_version.changed() => {
                 changed?;
                 if known_version.borrow_and_update().is_none() {
-                    bail!("news did not fit; the whole list is wanted");
+                    bail!("an update could not be applied; requesting the whole list");
                 }
                 continue;
             }
@@ -74,7 +75,7 @@
         if line.last() != Some(&b'\n') {
             bail!("a line longer than {MAX_LINE_BYTES} bytes, or cut off");
         }
-        let text = std::str::from_utf8(&line).context("a line that is no text")?;
+        let text = std::str::from_utf8(&line).context("a line that is not UTF-8")?;
         updates.send(PoolUpdates::read(text)?).await?;
         line.clear();
     }
--- a/daemon/src/journal.rs
+++ b/daemon/src/journal.rs
@@ -1,6 +1,6 @@
-//! Keeps the records' journal on the disk. Each life of a proxy writes segments of its own and never
-//! appends to a former one, so that a torn tail stays where it is. `records::commit` says when to sync and
-//! what waits.
+//! The journal of call records on disk. Each process writes segments of its own and never appends to those of
+//! a previous process, so that a torn tail stays where it is. `records::commit` decides when to sync and what
+//! waits for it.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -14,10 +14,10 @@
 
 use crate::settings::RecordsSettings;
 
-/// What was not written because the disk refused is kept up to so many bytes; past that it is counted as
-/// lost.
+/// Bytes of entries kept for another try after a failed write; further entries are counted as lost.
 const MAX_PENDING_BYTES: usize = 4 << 20;
 
+/// The journal of one process.
 pub struct Journal {
     folder: PathBuf,
     author: Author,
@@ -32,7 +32,8 @@
 }
 
 impl Journal {
-    /// Begins a life's journal. What is told over `synced` is to be given to [`Journal::sync_results`].
+    /// Opens this process's journal. Results sent to `sync_results` must be passed to
+    /// [`Journal::sync_completed`].
     pub fn open(
         settings: &RecordsSettings,
         author: Author,
@@ -53,14 +54,15 @@
             commit,
             sync_results,
         };
-        // A disk that refuses from the start is told of before anything is taken.
+        // A disk that fails from the start is reported before any call is accepted.
         journal.write(now, std::iter::empty());
         match journal.commit.admit(now) {
             Admission::Accept => Ok(journal),
-            Admission::Refuse { .. } => Err(io::Error::other("the first segment cannot be written")),
+            Admission::Refuse { .. } => Err(io::Error::other("the first segment can't be written")),
         }
     }
 
+    /// Returns the current segment, or starts the next if it is full.
     fn open_segment(&mut self) -> io::Result<Arc<File>> {
         if let Some(segment) = self.segment.as_ref().filter(|_| self.size < self.max_segment_bytes) {
             return Ok(segment.clone());
@@ -74,7 +76,7 @@
         let mut head = Vec::new();
         journal::write(&mut head, &Entry::GenerationStarted(self.author.clone()));
         (&file).write_all(&head)?;
-        // The folder too, lest a power cut takes the whole segment.
+        // The folder is synced too: otherwise a power loss could remove the whole segment.
         File::open(&self.folder)?.sync_all()?;
         self.size = head.len() as u64;
         let file = Arc::new(file);
@@ -82,7 +84,7 @@
         Ok(file)
     }
 
-    /// Hands entries to the system, with those that it refused before.
+    /// Writes entries, together with those whose write failed before.
     pub fn write(&mut self, now: f64, entries: impl Iterator<Item = Entry>) {
         for entry in entries {
             if self.pending.len() < MAX_PENDING_BYTES {
@@ -103,13 +105,13 @@
             Err(error) => {
                 tracing::error!(lost = self.lost, "records.unwritten: {error}");
                 self.commit.disk_failed();
-                // What may be half written is written again in whole, elsewhere.
+                // Entries that may be half written are written again whole, in another segment.
                 self.segment = None;
             }
         }
     }
 
-    /// Begins a sync where one is due.
+    /// Starts a sync if one is due.
     pub fn turn(&mut self, now: f64) {
         let Some(segment) = self.segment.clone().filter(|_| self.commit.due() <= now) else { return };
         self.commit.sync_started(now);
@@ -119,6 +121,7 @@
         });
     }
 
+    /// Records the result of a sync.
     pub fn sync_completed(&mut self, result: io::Result<()>) {
         match result {
             Ok(()) => self.commit.sync_finished(),
@@ -130,25 +133,27 @@
         }
     }
 
+    /// Returns the time of the next turn.
     pub fn due(&self) -> f64 {
         self.commit.due()
     }
 
-    /// What waits for all that is written by now may leave once this position may go.
+    /// Returns the position of all entries written so far, to be passed to [`Journal::may_send`].
     pub fn position(&self) -> u64 {
         self.commit.written()
     }
 
+    /// Whether a datagram that waits for `position` may be sent.
     pub fn may_send(&self, now: f64, position: u64) -> bool {
         self.commit.may_send(now, position)
     }
 
-    /// Whether a conversation that comes now can be recorded as promised.
+    /// Whether a conversation that arrives now can be recorded with the configured durability.
     pub fn admit(&self, now: f64) -> Admission {
         self.commit.admit(now)
     }
 
-    /// The last words of a life: all is written and synced before this returns.
+    /// Writes and syncs the last entries of this process before it returns.
     pub fn finish(&mut self, now: f64, entries: impl Iterator<Item = Entry>) {
         self.write(now, entries);
         if let Some(Err(error)) = self.segment.as_ref().map(|segment| segment.sync_data()) {
@@ -157,7 +162,7 @@
     }
 }
 
-/// All segments in some folders, each folder's in the order in which they were written.
+/// Lists all segments in some folders, each folder's in the order in which they were written.
 pub fn segments(folders: &[PathBuf]) -> io::Result<Vec<PathBuf>> {
     let mut paths = Vec::new();
     for folder in folders {
@@ -174,7 +179,7 @@
     Ok(paths)
 }
 
-/// What is sound in a segment; what is not is told.
+/// Reads the valid entries of a segment, and prints where it is damaged.
 pub fn read(segment: &Path) -> io::Result<Vec<Entry>> {
     let contents = journal::read(&fs::read(segment)?);
     for damage in &contents.damage {
--- a/daemon/src/keys.rs
+++ b/daemon/src/keys.rs
@@ -1,6 +1,6 @@
-//! Key files: 64 hexadecimal digits in a file that only its owner may read. [`generate`] makes one, [`read`]
-//! reads one, [`Keyring::read`] reads all that a proxy's gossip needs. docs/operating.md tells how they are
-//! rotated.
+//! Key files: 64 hexadecimal digits in a file that only its owner may read. [`generate`] creates one,
+//! [`read`] reads one, [`Keyring::read`] reads all that a proxy needs for gossip. docs/operating.md
+//! describes their rotation.
 
 use std::collections::BTreeMap;
 use std::fs::{self, OpenOptions};
@@ -13,7 +13,7 @@
 
 use crate::settings::{GossipSettings, SubscriberSettings};
 
-/// Bits of a file's mode that let others than its owner at it.
+/// The bits of a file's mode that give access to others than its owner.
 const GROUP_AND_OTHERS_MODE_BITS: u32 = 0o077;
 
 fn decode_key(text: &str) -> Result<[u8; 32]> {
@@ -22,7 +22,7 @@
     Ok(key)
 }
 
-/// Draws a key into a file that must not be there yet; gives the public key that goes with it.
+/// Writes a random key to a file that must not exist yet; returns its public key.
 pub fn generate(file: &Path) -> Result<String> {
     let key: [u8; 32] = rand::random();
     let mut output = OpenOptions::new()
@@ -36,7 +36,7 @@
     public(file)
 }
 
-/// A secret key.
+/// Reads a secret key.
 pub fn read(file: &Path) -> Result<[u8; 32]> {
     let path_text = || file.display().to_string();
     let mode = fs::metadata(file).with_context(path_text)?.permissions().mode();
@@ -49,19 +49,19 @@
     decode_key(&fs::read_to_string(file).with_context(path_text)?).with_context(path_text)
 }
 
-/// The public key of a secret one, as a roster has it.
+/// Returns the public key of a secret key file, as rosters list it.
 pub fn public(file: &Path) -> Result<String> {
     Ok(hex::encode(Secrets::new(read(file)?, vec![[0; 32]])?.public_key()))
 }
 
-/// Where the keys of one proxy stand.
+/// The key files of one proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyFiles<'a> {
-    /// Its own.
+    /// The proxy's own key.
     pub key: &'a Path,
-    /// The fleet's, the one in use first.
+    /// The fleet's keys, the one in use first.
     pub fleet_keys: &'a [PathBuf],
-    /// The public ones of all whom it hears.
+    /// The public keys of all senders that it accepts.
     pub roster: &'a Path,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// Reads a roster: lines of a name and a public key.
+/// Reads a roster, a TOML file of lines `NAME = "KEY"`.
 pub fn read_roster(file: &Path) -> Result<Roster> {
     let roster_path = file.display();
     let text = fs::read_to_string(file).with_context(|| roster_path.to_string())?;
@@ -97,8 +97,7 @@
 }
 
 impl Keyring {
-    /// Reads the files that the settings name. `name` is the proxy's, under which the roster must have its
-    /// key.
+    /// Reads the files that the settings name. The roster must list the proxy's key under `name`.
     pub fn read<'a>(files: impl Into<KeyFiles<'a>>, name: &str) -> Result<Self> {
         let files = files.into();
         let fleet = files.fleet_keys.iter().map(|file| read(file)).collect::<Result<Vec<_>>>()?;
@@ -107,7 +106,7 @@
         let roster_path = files.roster.display();
         match roster.name(secrets.id()) {
             Some(found) if found == name => Ok(Self { secrets, roster }),
-            Some(found) => bail!("{roster_path}: has the key of {name} under the name {found}"),
+            Some(found) => bail!("{roster_path}: lists the key of {name} under the name {found}"),
             None => {
                 bail!("{roster_path}: has no member {name} with key {}", hex::encode(secrets.public_key()))
             }
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,6 +1,6 @@
-//! The border proxy as a daemon: [`settings`] reads and checks its file, [`run`] drives it on sockets,
-//! [`serve`] does the same where the platform's protocol is spoken, [`control`] is the socket that operators
-//! ask.
+//! The border proxy as a daemon. [`settings`] reads and checks its settings file, [`run`] runs it on UDP
+//! sockets, [`serve`] runs it with the platform's protocol, and [`control`] is the socket for operators'
+//! requests.
 
 #![forbid(unsafe_code)]
 
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,5 @@
-//! `frostthread`: runs a border proxy, checks its settings, asks a running one for its status.
+//! The program `frostthread`: runs a border proxy, checks settings, and sends operators' requests to a
+//! running proxy.
 
 use std::fs;
 use std::io::{self, IsTerminal, Read};
@@ -44,47 +45,49 @@
     Run {
         #[arg(long)]
         config: PathBuf,
-        /// How log lines look
+        /// Format of log lines
         #[arg(long, value_enum, default_value_t = LogFormat::Plain)]
         log: LogFormat,
     },
-    /// Run a border proxy as the platform starts it: told by LB_CONFIG, callers on LB_LISTEN, until SIGTERM
+    /// Run a border proxy as the platform starts it, until SIGTERM: LB_CONFIG is the configuration file,
+    /// LB_LISTEN the callers' address
     Serve {
-        /// How log lines look
+        /// Format of log lines
         #[arg(long, value_enum, default_value_t = LogFormat::Plain)]
         log: LogFormat,
     },
-    /// Tell all that is wrong with a settings file (- for standard input); exit code 2 if anything is
+    /// Print all errors in a settings file (- for standard input); exit code 2 if there are any
     Check { file: PathBuf },
-    /// Print a full example of the settings, with a word on each
+    /// Print a full example of the settings, with a comment on each
     Settings,
-    /// Ask a running border proxy who else is there
+    /// Print which other proxies a running border proxy knows
     Members {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Ask a running border proxy which servers are called silent, by whom, and what it believes
+    /// Print which servers are suspected to be silent, by whom, and whether a running border proxy believes
+    /// it
     Suspicions {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Ask a running border proxy where it stands with the limits of the fleet
+    /// Print the fleet limits as a running border proxy applies them
     Limits {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Who decides for all proxies, and how this one stands with it; let a member in, or take one out
+    /// Print the council as a running border proxy sees it; add or remove a member
     Council {
         #[command(subcommand)]
         subcommand: CouncilCommand,
     },
-    /// Have no proxy send a central server anything new, by a decision of the fleet
+    /// Drain a central server by a decision of the fleet: no proxy sends it new calls
     Drain {
         server: String,
         /// Kept with the decision
@@ -93,54 +96,54 @@
         #[command(flatten)]
         options: DecisionOptions,
     },
-    /// Take a drain back
+    /// End a drain
     Undrain {
         server: String,
         #[command(flatten)]
         options: DecisionOptions,
     },
-    /// Replace the proxies of the fleet by a decision, in waves
+    /// Replace the proxies of the fleet in waves, by a decision of the fleet
     Release {
         #[command(subcommand)]
         subcommand: ReleaseCommand,
     },
-    /// Ask a running border proxy who is out by the fleet's decision, since when and why
+    /// Print which servers and proxies are unavailable by the fleet's decision, since when and why
     Outs {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Ask a running border proxy how decided state reaches it by scope, and how old that is
+    /// Print a running border proxy's scopes of distributed state, and how old they are
     Distribution {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Ask a running control machine who of its subscribers has the newest changes, and who lacks them
+    /// Print which subscribers of a running control machine have the newest changes, and which lack them
     Changes {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Have a running border proxy read its key files and roster again
+    /// Make a running border proxy read its key files and roster again
     Rekey {
         #[arg(long)]
         config: PathBuf,
     },
-    /// Look at call detail records
+    /// Print call detail records
     Records {
         #[command(subcommand)]
         subcommand: RecordsCommand,
     },
-    /// Make or look at key files
+    /// Create key files, or print their public keys
     Key {
         #[command(subcommand)]
         subcommand: KeyCommand,
     },
-    /// Ask a running border proxy for its servers, conversations and counters
+    /// Print a running border proxy's servers, conversations and counters
     Status {
         #[arg(long)]
         config: PathBuf,
@@ -151,23 +154,24 @@
 
 #[derive(Subcommand)]
 enum CouncilCommand {
-    /// Print it
+    /// Print the council's state
     State {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Give a proxy of the roster a seat
+    /// Give a proxy of the roster a vote
     Add {
         proxy: String,
-        /// The number of its disk, where no member has heard it: `council state` there has it
+        /// The number of its stored state, needed if no member has heard from it: `council state` there
+        /// prints it
         #[arg(long)]
         life: Option<u64>,
         #[command(flatten)]
         options: DecisionOptions,
     },
-    /// Take a proxy's seat
+    /// Take a proxy's vote
     Remove {
         proxy: String,
         #[command(flatten)]
@@ -177,7 +181,7 @@
 
 #[derive(Subcommand)]
 enum ReleaseCommand {
-    /// Put a file beside this proxy's state, and have all proxies look for it there
+    /// Copy a file into this proxy's state directory, and make all proxies look for it in theirs
     Stage {
         file: PathBuf,
         #[arg(long, value_enum)]
@@ -187,24 +191,24 @@
         #[command(flatten)]
         options: DecisionOptions,
     },
-    /// Replace all proxies in waves, once all are ready; or go on after a halt
+    /// Replace all proxies in waves once all are ready, or continue after a halt
     Start {
         #[command(flatten)]
         options: DecisionOptions,
     },
-    /// Let nobody out for it any more
+    /// Let no further proxy be replaced
     Halt {
         #[arg(long, default_value = "")]
         why: String,
         #[command(flatten)]
         options: DecisionOptions,
     },
-    /// Have all go back that run it, the newest wave first
+    /// Revert all proxies that run the release, the newest wave first
     Back {
         #[command(flatten)]
         options: DecisionOptions,
     },
-    /// A proxy that is out never comes back: it takes up no place any more
+    /// Give up an unavailable proxy: it no longer counts towards those that may be unavailable
     WriteOff {
         proxy: String,
         #[arg(long)]
@@ -212,7 +216,7 @@
         #[command(flatten)]
         options: DecisionOptions,
     },
-    /// Print it
+    /// Print the release's state
     State {
         #[arg(long)]
         config: PathBuf,
@@ -236,12 +240,12 @@
     }
 }
 
-/// How something is asked for. Exit code 3 where it is refused, 1 where it was not decided in time.
+/// How a decision is requested. Exit code 3 if it is refused, 1 if it was not decided in time.
 #[derive(Args)]
 struct DecisionOptions {
     #[arg(long)]
     config: PathBuf,
-    /// Only tell what it would come to, by what the proxy knows
+    /// Only print the predicted outcome, by what the proxy knows
     #[arg(long)]
     dry_run: bool,
     #[arg(long)]
@@ -250,9 +254,9 @@
 
 #[derive(Subcommand)]
 enum KeyCommand {
-    /// Draw a secret key into a new file, and print its public key
+    /// Write a random secret key to a new file, and print its public key
     New { file: PathBuf },
-    /// Print the public key of a secret one, as a roster has it
+    /// Print the public key of a secret key file, as rosters list it
     Public { file: PathBuf },
 }
 
@@ -284,7 +288,7 @@
     }
 }
 
-/// Reads a plan; tells all that is wrong with it.
+/// Reads a settings file; prints its errors and returns none if there are any.
 fn read_settings(file: &Path) -> Result<Option<ProxySettings>> {
     let mut source = String::new();
     if file == Path::new("-") {
@@ -309,7 +313,7 @@
         Command::Settings => print!("{}", settings::EXAMPLE),
         Command::Check { file } => {
             let Some(proxy_settings) = read_settings(&file)? else { return Ok(invalid_settings) };
-            println!("{}: fit to run as {}", file.display(), proxy_settings.name);
+            println!("{}: valid settings of {}", file.display(), proxy_settings.name);
         }
         Command::Serve { log } => {
             log.install();
@@ -328,7 +332,7 @@
             if request::<serde_json::Value>(&config, "rekey")?.is_none() {
                 return Ok(invalid_settings);
             }
-            println!("it goes on with the keys as they are now");
+            println!("keys reloaded");
         }
         Command::Members { config, json } => {
             let Some(gossip) = request::<GossipStatus>(&config, "gossip")? else {
@@ -390,7 +394,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Runs a proxy, and what it is to become by a release; goes on as it is where that can't be run.
+/// Runs a proxy, and replaces it by releases; continues with the current program where a release can't run.
 fn run_with_releases(mut proxy_settings: ProxySettings, config: PathBuf) -> Result<()> {
     fs::create_dir_all(&proxy_settings.state_dir)
         .with_context(|| format!("state directory {}", proxy_settings.state_dir.display()))?;
@@ -425,7 +429,7 @@
         ReleaseCommand::Stage { file, kind, why, options } => {
             let Some(proxy_settings) = read_settings(&options.config)? else { return Ok(ExitCode::from(2)) };
             let sum = release::stage(&proxy_settings.state_dir, &file)?;
-            eprintln!("each proxy looks for it in its state directory as staged/{}", hex::encode(sum));
+            eprintln!("each proxy looks for the file in its state directory as staged/{}", hex::encode(sum));
             submit(OperatorCommand::Stage { kind: kind.into(), sum: hex::encode(sum), why }, &options)
         }
         ReleaseCommand::Start { options } => submit(OperatorCommand::Start, &options),
@@ -444,7 +448,7 @@
     }
 }
 
-/// Has something decided, or tells what it would come to.
+/// Submits a command to the council, or predicts its outcome; prints the result.
 fn submit(operator_command: OperatorCommand, options: &DecisionOptions) -> Result<ExitCode> {
     let request_line = CommandRequest { command: operator_command, dry_run: options.dry_run };
     let Some(outcome) = request::<CommandOutcome>(&options.config, &serde_json::to_string(&request_line)?)?
@@ -454,18 +458,19 @@
     print_status(options.json, &outcome, || match &outcome {
         CommandOutcome::Done { .. } if options.dry_run => println!("would be decided"),
         CommandOutcome::Done { decision } => println!("decided, as decision {decision}"),
-        CommandOutcome::Already => println!("it is so already"),
+        CommandOutcome::Already => println!("already in effect"),
         CommandOutcome::Refused { why } => println!("refused: {why}"),
     })?;
     Ok(if matches!(outcome, CommandOutcome::Refused { .. }) { ExitCode::from(3) } else { ExitCode::SUCCESS })
 }
 
-/// Asks the proxy that runs by some settings; nothing where those are unfit.
+/// Sends a request to the proxy that runs with these settings; none if the settings are invalid.
 fn request<T: DeserializeOwned>(config: &Path, word: &str) -> Result<Option<T>> {
     let Some(proxy_settings) = read_settings(config)? else { return Ok(None) };
     runtime()?.block_on(control::request(&proxy_settings.control_socket, word)).map(Some)
 }
 
+/// Prints a status as JSON, or with `show`.
 fn print_status(json: bool, status: &impl Serialize, show: impl FnOnce()) -> Result<()> {
     if json {
         println!("{}", serde_json::to_string(status)?);
--- a/daemon/src/pending_commands.rs
+++ b/daemon/src/pending_commands.rs
@@ -1,4 +1,5 @@
-//! Operators that wait for a decision: each is told what came of it, or that it was not decided in time.
+//! Operators' commands that wait for a decision. Each gets its outcome, or an error if it was not decided in
+//! time.
 
 use std::collections::HashMap;
 
@@ -9,15 +10,17 @@
 use crate::clock::unix_ms;
 use crate::control::CommandRequest;
 
-/// How long an operator waits, in milliseconds.
+/// How long a command may wait for its decision, in milliseconds.
 const DECISION_TIMEOUT_MS: f64 = 10_000.0;
 
+/// Commands waiting for their outcome: by request number, where to reply and until when.
 #[derive(Default)]
 pub struct PendingCommands {
     waiting: HashMap<u64, (Sender<Result<CommandOutcome, String>>, f64)>,
 }
 
 impl PendingCommands {
+    /// Submits a command, and replies at once if it is not to be decided by the council.
     pub fn submit(
         &mut self,
         now: f64,
@@ -32,6 +35,7 @@
         }
     }
 
+    /// Replies to commands that were decided or have timed out.
     pub fn deliver_outcomes(&mut self, now: f64, proxy: &mut BorderProxy<impl Decisions>) {
         while let Some((id, outcome)) = proxy.next_command_outcome() {
             if let Some((reply, _)) = self.waiting.remove(&id) {
@@ -40,7 +44,7 @@
         }
         for (id, (reply, _)) in self.waiting.extract_if(|_, (_, deadline)| now >= *deadline) {
             proxy.forget_command(id);
-            let why = "not decided in ten seconds: no majority is heard; it may still be";
+            let why = "not decided within 10 s: no majority is reachable; it may still be decided later";
             let _ = reply.send(Err(why.to_owned()));
         }
     }
--- a/daemon/src/records.rs
+++ b/daemon/src/records.rs
@@ -1,4 +1,4 @@
-//! `frostthread records`: conversations from the journals of one or more proxies, joined and rated.
+//! The command `frostthread records`: joins and rates conversations from the journals of one or more proxies.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -15,32 +15,37 @@
 
 use crate::journal;
 
+// Not a doc comment: clap would print it as help.
+// The subcommands of `frostthread records`.
 #[derive(Subcommand)]
 pub enum RecordsCommand {
-    /// Print conversations, one JSON object a line
+    /// Print conversations, one JSON object per line
     Show(Selection),
     /// Print counts and amounts by grade and tenant
     Sum(Selection),
 }
 
+// Not a doc comment: clap would print it as help.
+// Which conversations are read, and how they are rated.
 #[derive(Args)]
 pub struct Selection {
-    /// Journal folders, one a proxy
+    /// Journal folders, one per proxy
     #[arg(required = true)]
     folders: Vec<PathBuf>,
-    /// Plans to rate by
+    /// Rating plans
     #[arg(long)]
     plan: Vec<PathBuf>,
-    /// A caller who dials again within so long goes on with the same conversation
+    /// A caller who dials again within this time continues the same conversation
     #[arg(long, default_value = "10 s", value_parser = humantime::parse_duration)]
     redial_gap: std::time::Duration,
-    /// Only conversations of this number, calling or called
+    /// Only conversations with this calling or called number
     #[arg(long)]
     number: Option<String>,
     #[arg(long)]
     tenant: Option<String>,
 }
 
+/// A conversation as printed: its last try, and what all tries come to.
 #[derive(Serialize)]
 struct PrintedConversation<'a> {
     #[serde(flatten)]
@@ -66,7 +71,7 @@
             }
             let (of_folder, orphans) = ledger.tries();
             if orphans > 0 {
-                eprintln!("{}: {orphans} entries without their beginning", folder.display());
+                eprintln!("{}: {orphans} entries whose first entry is missing", folder.display());
             }
             tries.extend(of_folder);
         }
@@ -80,6 +85,7 @@
     }
 }
 
+/// Runs a subcommand.
 pub fn execute(command: &RecordsCommand) -> Result<()> {
     match command {
         RecordsCommand::Show(selection) => {
--- a/daemon/src/release.rs
+++ b/daemon/src/release.rs
@@ -1,9 +1,9 @@
-//! A release at this proxy: the staged file, what is installed, and the change from one to the other by
+//! A release at this proxy: the staged file, the installed release, and the replacement of the process by
 //! `exec`.
 //!
-//! `release.json` in the state directory says which release is installed, and what ran before it. A start by
-//! the usual command goes on with the installed one ([`start`]); one that was not seen well three starts in a
-//! row is given up, and what ran before runs again.
+//! `release.json` in the state directory records which release is installed, and what ran before it. A start
+//! by the usual command continues with the installed one ([`start`]). A release that was not healthy for
+//! three starts in a row is given up, and what ran before runs again.
 
 use std::ffi::OsString;
 use std::fs;
@@ -22,31 +22,35 @@
 use crate::running_release::RunningRelease;
 use crate::settings;
 
-/// Set for a process that runs a release, to its number.
+/// Environment variable with the number of the release that a process runs.
 const RELEASE_ENV: &str = "FROSTTHREAD_RELEASE";
 
-/// What is installed.
+/// The installed release, as `release.json` stores it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Installed {
     release: u64,
     program: PathBuf,
     config: PathBuf,
-    /// Starts since it was last seen well.
+    /// Starts since it was last healthy.
     starts: u32,
+    /// Why it was given up.
     failed: Option<String>,
-    /// What ran before, and whether that was a release too.
+    /// Program and settings file that ran before.
     former: (PathBuf, PathBuf),
+    /// The release that was installed before.
     before: Option<Box<Installed>>,
 }
 
-/// Where a start goes on.
+/// How a start continues.
 pub enum Start {
+    /// With the program that is running.
     Current(RunningRelease),
+    /// With another program or other settings.
     Become(Target),
 }
 
-/// A program to become, with its settings.
+/// A program to replace this process with, and its settings file.
 pub struct Target {
     program: PathBuf,
     config: PathBuf,
@@ -57,7 +61,7 @@
     state.join("release.json")
 }
 
-/// Where a release's file is to be put, by its sum.
+/// Returns the path at which a release's file is staged, by its checksum.
 pub fn staged_path(state: &Path, sum: &[u8; 32]) -> PathBuf {
     state.join("staged").join(hex::encode(sum))
 }
@@ -82,7 +86,7 @@
     Ok(())
 }
 
-/// Looks at what is installed where a process starts.
+/// Decides at the start of a process whether it continues with the installed release.
 pub fn start(state: &Path) -> Result<Start> {
     let Some(mut installed) = read_installed(state)? else {
         return Ok(Start::Current(RunningRelease::default()));
@@ -92,7 +96,7 @@
         return Ok(Start::Current(RunningRelease { release, failed: None }));
     }
     if installed.failed.is_none() && installed.starts >= MAX_STARTS {
-        installed.failed = Some(format!("{MAX_STARTS} starts in a row were not well"));
+        installed.failed = Some(format!("not healthy after {MAX_STARTS} starts in a row"));
         write_installed(state, Some(&installed))?;
     }
     if let Some(why) = installed.failed {
@@ -104,7 +108,7 @@
     Ok(Start::Become(Target { program, config, release }))
 }
 
-/// The release that runs was seen well.
+/// Records that the running release is healthy.
 pub fn mark_healthy(state: &Path) -> Result<()> {
     match read_installed(state)? {
         Some(mut installed) if installed.starts > 0 => {
@@ -115,11 +119,11 @@
     }
 }
 
-/// Installs what a proxy is to become, or what ran before. `config` is the file that it runs by now.
+/// Installs a release, or goes back to what ran before. `config` is the settings file in use now.
 pub fn install(state: &Path, config: &Path, replacement: &Replacement) -> Result<Target> {
     let before = read_installed(state)?;
     if !replacement.forward {
-        let installed = before.context("release.json: nothing is installed")?;
+        let installed = before.context("release.json: no release is installed")?;
         write_installed(state, installed.before.as_deref())?;
         let release = installed.before.map_or(0, |before| before.release);
         let (program, config) = installed.former;
@@ -146,7 +150,7 @@
     Ok(Target { program, config, release })
 }
 
-/// What was to be installed can't be run: what runs now goes on.
+/// Records why the installed release can't run; the current program continues.
 pub fn mark_failed(state: &Path, why: &str) -> Result<()> {
     if let Some(mut installed) = read_installed(state)? {
         installed.failed = Some(why.to_owned());
@@ -156,7 +160,7 @@
 }
 
 impl Target {
-    /// Becomes it, with this process's arguments but for the settings; only comes back where that fails.
+    /// Replaces this process, keeping its arguments except the settings file; returns only on failure.
     pub fn exec(&self) -> io::Error {
         let mut arguments: Vec<OsString> = std::env::args_os().skip(1).collect();
         if let Some(at) = arguments.iter().position(|argument| argument == "--config")
@@ -175,12 +179,12 @@
     }
 }
 
-/// Whether the staged file is here, is what was staged, and is fit for this proxy; none while it is not here.
+/// Checks that the staged file has the right checksum and is valid for this proxy; none while it is missing.
 pub fn check(state: &Path, config: &Path, kind: Kind, sum: &[u8; 32]) -> Option<Result<(), String>> {
     let path = staged_path(state, sum);
     let bytes = fs::read(&path).ok()?;
     if blake3::hash(&bytes) != *sum {
-        return Some(Err("its sum is another".to_owned()));
+        return Some(Err("its checksum differs".to_owned()));
     }
     Some(match kind {
         Kind::Settings => check_settings(&bytes, config, &path.with_extension("toml")),
@@ -188,19 +192,19 @@
     })
 }
 
-/// Tables that are a proxy's own: no release changes them.
+/// Settings tables that differ from proxy to proxy; a release can't change them.
 const PER_PROXY_TABLES: [&str; 4] = ["proxy", "listen", "gossip", "distribution"];
 
-/// A release of settings has the tables that it changes, as they are to stand in the settings of all proxies;
-/// what comes of them here is put into a file of its own.
+/// Checks a release of settings, which consists of the tables that it replaces in the settings of all
+/// proxies. The merged settings of this proxy are written to `output`.
 fn check_settings(bytes: &[u8], config: &Path, output: &Path) -> Result<(), String> {
-    let text = std::str::from_utf8(bytes).map_err(|_| "no text".to_owned())?;
+    let text = std::str::from_utf8(bytes).map_err(|_| "not UTF-8".to_owned())?;
     let read = |text: &str| text.parse::<DocumentMut>().map_err(|error| error.message().to_owned());
     let changes = read(text)?;
     let mut merged = read(&fs::read_to_string(config).map_err(|error| error.to_string())?)?;
     for (key, item) in changes.iter() {
         if PER_PROXY_TABLES.contains(&key) {
-            return Err(format!("{key}: is each proxy's own"));
+            return Err(format!("{key}: belongs to each proxy, a release can't change it"));
         }
         merged[key] = item.clone();
     }
@@ -209,6 +213,7 @@
     fs::write(output, merged).map_err(|error| error.to_string())
 }
 
+/// Checks that a staged program accepts this proxy's settings.
 fn check_program(path: &Path, config: &Path) -> Result<(), String> {
     let accepts = || -> io::Result<bool> {
         fs::set_permissions(path, fs::Permissions::from_mode(0o755))?;
@@ -218,17 +223,17 @@
     };
     match accepts() {
         Ok(true) => Ok(()),
-        Ok(false) => Err("it finds these settings unfit".to_owned()),
+        Ok(false) => Err("it rejects these settings".to_owned()),
         Err(error) => Err(error.to_string()),
     }
 }
 
-/// Puts a file where this proxy looks for it; gives its sum.
+/// Copies a file to this proxy's staging path; returns its checksum.
 pub fn stage(state: &Path, path: &Path) -> Result<[u8; 32]> {
     let bytes = fs::read(path).with_context(|| path.display().to_string())?;
     let sum = *blake3::hash(&bytes).as_bytes();
     let target = staged_path(state, &sum);
-    fs::create_dir_all(target.parent().context("a folder")?)?;
+    fs::create_dir_all(target.parent().context("no parent directory")?)?;
     let mut temporary = tempfile::NamedTempFile::new_in(state)?;
     temporary.write_all(&bytes)?;
     temporary.as_file().sync_all()?;
--- a/daemon/src/release_agent.rs
+++ b/daemon/src/release_agent.rs
@@ -1,5 +1,5 @@
-//! Sees to a proxy's part in a release while it runs: has the staged file checked, notes that it was seen
-//! well, and says when it is to leave for what it is to become.
+//! A running proxy's part in a release: it checks the staged file, notes that the installed release is
+//! healthy, and reports when the proxy is to be replaced.
 
 use std::path::PathBuf;
 use std::sync::mpsc::{Receiver, channel};
@@ -10,24 +10,27 @@
 use crate::release;
 use crate::settings::ProxySettings;
 
-/// A staged file that is not here yet is looked for again after this, in milliseconds.
+/// Interval at which a staged file that is not here yet is checked again, in milliseconds.
 const RECHECK_MS: f64 = 500.0;
 
+/// A staged file's checksum and the result of its check; none while the file is missing.
 type CheckResult = ([u8; 32], Option<Result<(), String>>);
 
+/// This proxy's part in the fleet's release.
 pub struct ReleaseAgent {
     state: PathBuf,
     config: PathBuf,
     release: u64,
-    /// Noted as seen well.
+    /// The running release was noted as healthy.
     noted_healthy: bool,
     check_result: Option<Receiver<CheckResult>>,
     check_at: f64,
-    /// What it is to become once all that it has is over.
+    /// What replaces this process once its conversations have ended.
     pub replacement: Option<Replacement>,
 }
 
 impl ReleaseAgent {
+    /// Creates it for a proxy with these settings.
     pub fn new(settings: &ProxySettings) -> Self {
         let (state, config) = (settings.state_dir.clone(), settings.config_file.clone());
         Self {
@@ -41,7 +44,7 @@
         }
     }
 
-    /// Does what has fallen due; true where it is to leave from now on.
+    /// Performs due work; true if the proxy is to be replaced from now on.
     pub fn turn(&mut self, now: f64, proxy: &mut BorderProxy<impl Decisions>) -> bool {
         let Some(decided) = proxy.decided() else { return false };
         if let Some((sum, valid)) =
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -1,5 +1,5 @@
-//! Drives one border proxy on sockets: datagrams, the pool list, the clock and signals in; datagrams out.
-//! Nothing is decided here.
+//! Runs one border proxy on UDP sockets. Inputs are datagrams, the pool list, the clock and signals; output
+//! is datagrams. No decision is made here.
 
 use std::collections::VecDeque;
 use std::fs;
@@ -40,16 +40,16 @@
 use crate::settings::{CouncilSettings, GossipSettings, ProxySettings};
 use crate::sockets::{Arrival, Sockets, listen};
 
-/// Arrivals that wait to be told; past that they wait in the sockets, and the kernel drops.
+/// Received datagrams queued for the loop; beyond that they wait in the sockets, where the kernel drops them.
 const MAX_QUEUED_ARRIVALS: usize = 4096;
-/// Datagrams kept while sockets' buffers are full.
+/// Outgoing datagrams kept while sockets' buffers are full.
 const MAX_BACKLOG_DATAGRAMS: usize = 4096;
-/// The loop looks at the clock at least this often, to know its own stalls.
+/// The loop reads the clock at least this often, so that it notices its own stalls.
 const MAX_TURN_INTERVAL: Duration = Duration::from_millis(50);
-/// After a stop, how long the last datagrams and their resends are given.
+/// How long, after a stop, the last datagrams and their resends may take.
 const LAST_DATAGRAMS_WAIT: Duration = Duration::from_millis(1500);
 
-/// Writes a file so that it is there whole or not at all.
+/// Replaces a file atomically.
 pub(crate) fn write_atomically(path: &Path, bytes: &[u8]) -> Result<()> {
     let folder = path.parent().context("no folder")?;
     let mut file = tempfile::NamedTempFile::new_in(folder)?;
@@ -58,7 +58,7 @@
     Ok(())
 }
 
-/// The terms of this proxy's gossip, heard at `bound`.
+/// The terms of this proxy's gossip, whose socket is bound to `bound`.
 fn gossip_terms(settings: &GossipSettings, bound: SocketAddr, resend: f64) -> GossipTerms {
     GossipTerms {
         address: settings.advertised_address.unwrap_or(bound),
@@ -70,6 +70,7 @@
     }
 }
 
+/// Reads the cached pool list; none if it is missing or invalid.
 fn read_cached_pool(settings: &ProxySettings) -> Option<PoolUpdates> {
     let text = fs::read_to_string(settings.pool_cache()).ok()?;
     match PoolList::from_cache(&text) {
@@ -81,8 +82,8 @@
     }
 }
 
-/// Lets the proxy take part in what all proxies decide.
-#[allow(clippy::too_many_arguments)] // all that it is made of
+/// Lets the proxy take part in the council's decisions.
+#[allow(clippy::too_many_arguments)] // all inputs of the council
 fn enable_council(
     proxy: &mut BorderProxy<impl Decisions>,
     settings: &CouncilSettings,
@@ -110,7 +111,7 @@
     Ok(council_file)
 }
 
-/// Runs the proxy until it is told to stop, or is to become another by a release.
+/// Runs the proxy until it is stopped, or until a release replaces it; returns that replacement.
 pub async fn run(settings: ProxySettings) -> Result<Option<Replacement>> {
     let proposed_terms = settings.proposed_terms.clone();
     run_with_decisions(settings, |terms, seed, now| {
@@ -119,7 +120,7 @@
     .await
 }
 
-/// The same with something else that decides, made from the terms, a seed and the time.
+/// Like [`run`], with a decision module made by `decide` from the terms, a seed and the time in milliseconds.
 pub async fn run_with_decisions<D: Decisions>(
     settings: ProxySettings,
     decide: impl FnOnce(Terms, u64, f64) -> D,
@@ -190,7 +191,7 @@
     let (synced_in, mut synced) = mpsc::channel(4);
     let mut journal = None;
     if let Some(records) = &settings.records {
-        // Grows with each start; chance keeps two processes of one name apart.
+        // Grows with each start; the random part keeps two processes with one name apart.
         let generation_number = ((unix_ms() as u64) << 20) | rand::rng().random_range(0..1 << 20);
         let author = Author { proxy: settings.name.clone(), generation: generation_number };
         let opened_journal = Journal::open(records, author, clock.now(), synced_in.clone());
@@ -199,7 +200,7 @@
         let (grades, tenants) = settings.names.clone();
         proxy.start_recording(JournalWriter::new(grades, tenants, unix_ms() - clock.now()));
     }
-    // Datagrams to callers that wait for the journal, with the position that they wait for.
+    // Datagrams to callers that wait for the journal, each with the position that must be durable first.
     let mut waiting: VecDeque<(u64, Outbound)> = VecDeque::new();
     let peers_address = peers.as_ref().map(|socket| socket.local_addr()).transpose()?;
     let mut sockets =
@@ -298,7 +299,8 @@
         for arrival in batch {
             match arrival {
                 Arrival::Datagram(side, peer, bytes, received_at) => {
-                    // Whatever the wall clock did meanwhile, it came to a socket of this process.
+                    // The system's timestamp is wall-clock time, which may have stepped; the datagram came
+                    // after the start of this process and before now.
                     let arrived = clock.elapsed_at(received_at).clamp(0.0, now);
                     proxy.receive(now, arrived, side, peer, &bytes);
                 }
@@ -333,7 +335,7 @@
         }
         while let Some(datagram) = proxy.outbound() {
             match &journal {
-                // Voice rests on nothing that is written now: mini frames go at once (RFC 5456, 8.1.2).
+                // Voice frames depend on no journal entry: mini frames are sent at once (RFC 5456, 8.1.2).
                 Some(journal) if datagram.side == Side::Callers && datagram.bytes[0] & 0x80 != 0 => {
                     waiting.push_back((journal.position(), datagram));
                 }
@@ -366,7 +368,11 @@
     }
 }
 
-/// Reads all key files and rosters again; what is wrong with them, if anything.
+/// Reads all key files and rosters again.
+///
+/// # Errors
+///
+/// What is wrong with them.
 fn rekey(proxy: &mut BorderProxy<impl Decisions>, settings: &ProxySettings) -> Result<(), String> {
     let describe = |error: anyhow::Error| format!("{error:#}");
     if let Some(gossip) = &settings.gossip {
@@ -378,7 +384,7 @@
     distribution::rekey(proxy, settings).map_err(describe)
 }
 
-/// Gives the last answers their time to be heard.
+/// Sends the last datagrams and their resends, for at most [`LAST_DATAGRAMS_WAIT`].
 async fn flush_last_datagrams(
     proxy: &mut BorderProxy<impl Decisions>,
     sockets: &mut Sockets,
--- a/daemon/src/running_release.rs
+++ b/daemon/src/running_release.rs
@@ -1,10 +1,11 @@
-//! Which release a process runs. [`crate::release`] finds it at the start, [`crate::settings`] hands it on.
+//! Which release a process runs. [`crate::release`] determines it at the start, [`crate::settings`] passes
+//! it on.
 
 /// The release that this process runs.
 #[derive(Clone, Debug, Default)]
 pub struct RunningRelease {
-    /// The release's number; 0 for none.
+    /// The number of the release; 0 if none is installed.
     pub release: u64,
-    /// The release that this proxy could not become, and why.
+    /// The release that could not be installed or run here, and why.
     pub failed: Option<(u64, String)>,
 }
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -1,5 +1,5 @@
-//! Drives one border proxy where the platform's protocol is spoken: connections, the change log, the clock
-//! and signals in; bytes out. Nothing is decided here. [`serve`] runs it as the platform starts it.
+//! Runs one border proxy with the platform's protocol. Inputs are connections, the change log, the clock and
+//! signals; output is bytes. No decision is made here. [`serve`] is the entry point that the platform starts.
 
 use std::env;
 use std::fs;
@@ -19,30 +19,32 @@
 use crate::clock::{Clock, unix_ms};
 use crate::connections::{ConnectionEvent, Connections, ReadResult};
 
-/// Arrivals told between two decisions, and callers' connections taken on.
+/// Connection events handled in one turn of the loop.
 const MAX_EVENTS_PER_TURN: usize = 128;
+/// Callers' connections accepted in one turn of the loop.
 const MAX_ACCEPTED_PER_TURN: usize = 16;
-/// Between two looks after accepting failed, as it does without descriptors.
+/// Pause after a failed accept, for example when out of file descriptors.
 const ACCEPT_RETRY_MS: f64 = 50.0;
-/// A former process of this proxy may not have let go of the address yet: it is tried again so often, for as long as a
-/// start may take.
+/// The previous process of this proxy may still hold the address: binding is retried at this interval, up to
+/// [`BIND_TIMEOUT`], the time that a start may take.
 const BIND_RETRY: Duration = Duration::from_millis(20);
 const BIND_TIMEOUT: Duration = Duration::from_secs(30);
-/// Between two tries to read a new configuration that can't be read yet.
+/// Pause before a new configuration that could not be read is read again.
 const RELOAD_RETRY_MS: f64 = 100.0;
-/// After SIGTERM set-ups still come for so long.
+/// How long set-ups are still accepted after SIGTERM.
 const STOP_GRACE_MS: f64 = 750.0;
-/// What is owed when that is over, but for answers to set-ups, waits no longer than this: a release is due
-/// within a second, and connections that take nothing are given up.
+/// How long, after [`STOP_GRACE_MS`], a stop waits for pending releases and unwritten bytes: a release is due
+/// within a second, and a connection that takes nothing for so long is given up. Answers to set-ups are
+/// waited for without this limit.
 const UNSENT_WAIT_MS: f64 = 1000.0;
-/// When all is said, connections are read for so long at most before they are closed.
+/// How long, in all, connections are read before they are closed at the end of a stop.
 const LAST_READ_TIMEOUT: Duration = Duration::from_millis(100);
-/// Reads of one connection in one look at it.
+/// Reads of one connection in a row.
 const MAX_READS: usize = 4;
-/// Between two log lines that hold beliefs against sockets.
+/// Interval of the debug log lines that compare the module's state with the sockets.
 const DIAGNOSTICS_INTERVAL_MS: f64 = 1000.0;
 
-/// The signals that mean something, from the first moment on.
+/// The signals that are handled, registered before anything else.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -68,7 +70,7 @@
 }
 
 impl ServedProxy {
-    /// Carries out all that is ordered; what comes of it is told and decided on too.
+    /// Performs all pending actions, and those that follow from what they report.
     fn perform_actions(&mut self) {
         loop {
             let mut reported = false;
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Carries an order out; true where something was told.
+    /// Performs an action; true if something was reported to the border.
     fn perform(&mut self, action: Action) -> bool {
         match action {
             Action::Dial { conn, address, timeout } => self.connections.dial(conn, address, timeout),
@@ -93,7 +95,8 @@
             }
             Action::SendAttempt(queued) => return self.send_attempt(queued),
             Action::Cancel { attempt: queued, bytes } => {
-                // Where part of it is still here, it never reaches the server whole.
+                // A partly written attempt can't be cancelled by a message: the connection is closed, so that
+                // the attempt never reaches the server whole.
                 if self.connections.is_partially_written(queued)
                     || !self.connections.write(queued.conn, bytes)
                 {
@@ -116,13 +119,15 @@
         false
     }
 
+    /// Closes a connection and reports its failure; always true.
     fn fail_connection(&mut self, conn: ConnectionId, error: ConnectionError) -> bool {
         self.connections.close(conn);
         self.border.connection_failed(self.clock.now(), conn, error);
         true
     }
 
-    /// Sends an attempt, unless its connection takes nothing now or its caller turns out to have gone.
+    /// Sends an attempt, unless its connection has unwritten bytes or its caller has gone; true if something
+    /// was reported.
     fn send_attempt(&mut self, queued: QueuedAttempt) -> bool {
         if self.connections.has_unwritten(queued.conn) {
             self.connections.queue_attempt(queued);
@@ -137,7 +142,7 @@
         reported
     }
 
-    /// Tells all that a connection holds by now; false where that is nothing.
+    /// Reads a connection up to [`MAX_READS`] times; true if something was reported.
     fn read_all(&mut self, conn: ConnectionId) -> bool {
         let mut reported = false;
         for _ in 0..MAX_READS {
@@ -150,7 +155,7 @@
         reported
     }
 
-    /// Tells what was found at a connection; false where that is nothing.
+    /// Reports the result of a read; false if there was nothing to report.
     fn handle_read(&mut self, conn: ConnectionId, result: ReadResult) -> bool {
         match result {
             ReadResult::Bytes(bytes) => self.border.receive(self.clock.now(), conn, &bytes),
@@ -187,7 +192,7 @@
         self.connections.add(conn, stream);
     }
 
-    /// Takes on the callers that have connected by now, some at a time; gives how many.
+    /// Accepts waiting callers, up to [`MAX_ACCEPTED_PER_TURN`]; returns how many.
     fn accept_callers(&mut self, listener: &TcpListener) -> io::Result<usize> {
         for accepted in 0..MAX_ACCEPTED_PER_TURN {
             match SockRef::from(listener).accept() {
@@ -197,7 +202,7 @@
                     self.add_caller(TcpStream::from_std(socket.into())?, from);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(accepted),
-                // It was gone before it was taken on.
+                // The caller disconnected before it was accepted.
                 Err(error) if error.kind() == ErrorKind::ConnectionAborted => {}
                 Err(error) => return Err(error),
             }
@@ -205,8 +210,8 @@
         Ok(MAX_ACCEPTED_PER_TURN)
     }
 
-    /// Whether nothing is left to be done: asks each connection itself, since what has come may not have been
-    /// told.
+    /// Whether nothing is left to do. Reads each caller's connection, since arrived bytes may not have been
+    /// reported yet. With `release_wait_over`, pending releases and unwritten bytes no longer count.
     fn is_done(&mut self, listener: &TcpListener, release_wait_over: bool) -> bool {
         let mut reported = self.accept_callers(listener).is_ok_and(|accepted| accepted > 0);
         for conn in self.border.caller_connections() {
@@ -226,13 +231,15 @@
     PlatformConfig::read(&text).with_context(|| path.to_owned())
 }
 
-/// Runs the proxy until SIGTERM, and until what it has taken then is answered.
+/// Runs the proxy until SIGTERM, and then until all accepted set-ups are answered.
 pub async fn serve() -> Result<()> {
     let signals = Signals::new()?;
     let path = env::var("LB_CONFIG").context("LB_CONFIG names the configuration and is not set")?;
     let config = read_configuration(&path)?;
     let listen = match env::var("LB_LISTEN") {
-        Ok(listen) => listen.parse().with_context(|| format!("LB_LISTEN has no use for {listen:?}"))?,
+        Ok(listen) => {
+            listen.parse().with_context(|| format!("LB_LISTEN is {listen:?}, wanted an address and port"))?
+        }
         Err(_) => config.listen,
     };
     LocalSet::new().run_until(run(signals, path, config, listen)).await
@@ -254,6 +261,7 @@
     TcpListener::from_std(socket.into())
 }
 
+/// Binds an address, retrying while another process holds it.
 async fn bind_when_free<T>(address: SocketAddr, bind: fn(SocketAddr) -> io::Result<T>) -> Result<T> {
     let started = Instant::now();
     loop {
@@ -267,7 +275,7 @@
     }
 }
 
-/// The listener, and where there are peers the socket for them and the address of all.
+/// The callers' listener and, if there are peers, the socket for them and their broadcast address.
 type Listeners = (TcpListener, Option<(UdpSocket, SocketAddr)>);
 
 async fn bind_all(listen: SocketAddr, config: &PlatformConfig) -> Result<Listeners> {
@@ -323,7 +331,7 @@
         }
         let now = proxy.clock.now();
         if now >= reload_at {
-            // It may be in the middle of being written.
+            // The file may be half written.
             reload_at = match read_configuration(&path) {
                 Ok(config) => {
                     changelog.send_replace(config.changelog);
--- a/daemon/src/settings/calls.rs
+++ b/daemon/src/settings/calls.rs
@@ -1,4 +1,4 @@
-//! Rules, legs, service grades, tenants and routes.
+//! Reads the tables of rules, legs, service grades, tenants and routes.
 
 use std::collections::HashMap;
 
@@ -8,14 +8,17 @@
 
 use super::reader::{Reader, Section};
 
+/// A service grade as the settings describe it.
 pub(super) struct GradeSettings {
     pub(super) name: String,
+    /// How long a caller waits if its call does not say so, in milliseconds.
     pub(super) caller_timeout: f64,
     pub(super) terms: GradeTerms,
 }
 
 impl Reader<'_> {
-    /// The rules of a table, into `terms`; what is left out stands as in `base`, where there is one.
+    /// Reads a table of rules into `terms`. Missing keys have their value in `base`, if there is one.
+    /// `resend` is the delay of IAX2's resends in milliseconds.
     pub(super) fn rules(
         &mut self,
         section: &mut Section,
@@ -53,6 +56,7 @@
         }
     }
 
+    /// Reads the limits on IAX2 legs.
     pub(super) fn limits(&mut self, top: &mut Section) -> Limits {
         let default = Limits::default();
         let mut section = self.section(top, "iax2", false);
@@ -75,6 +79,7 @@
         limits
     }
 
+    /// Reads the service grades.
     pub(super) fn grades(&mut self, top: &mut Section) -> Vec<GradeSettings> {
         let mut grades = Vec::new();
         for mut section in self.sections(top, "grade") {
@@ -96,7 +101,7 @@
                 });
             let name = self.text(&mut section, "name", None).unwrap_or_default();
             if grades.iter().any(|grade: &GradeSettings| grade.name == name) {
-                self.fault(section.line, section.key("name"), format!("{name:?} again"), "a name of its own");
+                self.fault(section.line, section.key("name"), format!("{name:?} again"), "a unique name");
             }
             grades.push(GradeSettings {
                 name,
@@ -119,6 +124,7 @@
         grades
     }
 
+    /// Reads the tenants: name, terms, and the user names and contexts that identify each.
     pub(super) fn tenants(&mut self, top: &mut Section) -> Vec<(String, TenantTerms, Vec<String>)> {
         let mut tenants = Vec::new();
         for mut section in self.sections(top, "tenant") {
@@ -131,6 +137,7 @@
         tenants
     }
 
+    /// Reads the routes.
     pub(super) fn routes(
         &mut self,
         top: &mut Section,
--- a/daemon/src/settings/distribution.rs
+++ b/daemon/src/settings/distribution.rs
@@ -1,4 +1,4 @@
-//! How decided state is distributed by scope: what this proxy serves, or subscribes to.
+//! Reads `[distribution]`: how this proxy serves decided state by scope, or what it subscribes to.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,25 +9,26 @@
 use super::reader::{Reader, Section};
 use super::{DistributionRole, DistributionSettings, ServiceSettings, SubscriberSettings};
 
-/// What a subscriber gets by its control machines, and so has no table for.
+/// Tables that a subscriber must not have: it receives all of this from its control machines.
 const TABLES_WITHOUT_SUBSCRIBER: [&str; 4] = ["gossip", "fleet", "council", "outs"];
-/// What a subscriber is sent in a second, where nothing is said. After a pause a second may hold twice as
-/// much: with the packets around it and its own polls that stays under 8 KB.
+/// Default limit on bytes per second sent to one subscriber. After a pause one second may hold twice as much;
+/// with packet headers and the subscriber's own polls that stays under 8 KB.
 const DEFAULT_SUBSCRIBER_BYTES_PER_SECOND: u32 = 3_000;
+/// The values of `role`, as errors list them.
 const ROLES: &str = "\"control\" or \"subscriber\"";
-/// Scopes of one subscriber at the most.
+/// Maximum number of scopes of one subscriber.
 const MAX_SCOPES: usize = 256;
-/// Control machines that a subscriber chooses among at the most.
+/// Maximum number of control machines that a subscriber chooses from.
 const MAX_CONTROLS: usize = 256;
 
-/// How a role is told.
+/// The value of `role`.
 #[derive(Clone, Copy)]
 enum RoleName {
     Control,
     Subscriber,
 }
 
-/// Reads "all", or the kind of a scope and its number.
+/// Parses "all", or a scope's kind and number.
 fn scope(text: &str) -> Option<Scope> {
     if text == "all" {
         return Some(Scope::All);
@@ -41,6 +42,7 @@
 }
 
 impl Reader<'_> {
+    /// Reads `[distribution]`.
     pub(super) fn distribution(&mut self, top: &mut Section, state: &str) -> Option<DistributionSettings> {
         let mut section = self.section(top, "distribution", false);
         section.table?;
@@ -55,7 +57,7 @@
             Some(RoleName::Subscriber) => {
                 self.subscriber(top, &mut section, state).map(DistributionRole::Subscriber)
             }
-            // Which keys are of use is not known.
+            // Without a role it is not known which keys are valid.
             None => return None,
         };
         self.finish(section);
@@ -63,15 +65,15 @@
     }
 
     fn service(&mut self, top: &Section, section: &mut Section) -> Option<ServiceSettings> {
-        self.require_table(top, section, "gossip", "by which control machines hear of decisions");
+        self.require_table(top, section, "gossip", "which carries decisions to control machines");
         self.require_table(top, section, "council", "whose decisions are distributed");
         let subscribers = self.text(section, "subscribers", None);
         let max_subscribers = self.integer(section, "most_subscribers", 1, 100_000, Some(4096));
-        // An answer to each of a second's polls needs room beside what it carries.
+        // The responses to a second's polls need space besides the data that they carry.
         let min_bytes_per_second = 8 * gossip::wire::MAX_DATAGRAM_BYTES as u32;
         let bytes_per_second =
             self.integer(section, "bytes_per_second", min_bytes_per_second, 1_000_000_000, Some(8_000_000));
-        // A message of changes and its proof need room in each second.
+        // Each second must have space for a message of changes and its proof.
         let min_subscriber_bytes_per_second = 2 * gossip::wire::MAX_DATAGRAM_BYTES as u32;
         let subscriber_bytes_per_second = self.integer(
             section,
@@ -133,7 +135,7 @@
     }
 
     fn scopes(&mut self, section: &mut Section) -> Option<BTreeSet<Scope>> {
-        let wanted = "a list of \"all\", \"region N\", \"zone N\" and \"service N\", one at least";
+        let wanted = "a list of \"all\", \"region N\", \"zone N\" and \"service N\", at least one";
         self.value(section, "scopes", wanted, None, |value| {
             let scopes = value.as_array()?.iter().map(|value| scope(value.as_str()?));
             let scopes: BTreeSet<Scope> = scopes.collect::<Option<_>>()?;
@@ -169,13 +171,13 @@
     }
 }
 
-/// A control machine as a subscriber's settings have it.
+/// A control machine as a subscriber's settings list it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlMachineSettings {
     /// Its name in the roster.
     pub name: String,
-    /// Where it is heard.
+    /// The address of its socket.
     pub address: SocketAddr,
-    /// The region that it is in.
+    /// Its region.
     pub region: u16,
 }
--- a/daemon/src/settings/fleet.rs
+++ b/daemon/src/settings/fleet.rs
@@ -1,4 +1,4 @@
-//! What is agreed with the other proxies: gossip, limits.
+//! Reads the tables of gossip, fleet limits, the council and its availability rules.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,19 +11,20 @@
 use super::reader::{Reader, Section};
 use super::{CouncilSettings, GossipSettings};
 
-/// The parts of a pool's servers and of all proxies that may be out, and how long a proxy has to be well,
-/// where nothing is said.
+/// Default parts of a pool's servers and of all proxies that may be unavailable at once.
 const DEFAULT_POOL_PART: f64 = 0.25;
 const DEFAULT_PROXY_PART: f64 = 0.1;
+/// Default time for which a returned proxy must be healthy, in milliseconds.
 const DEFAULT_HEALTHY_MS: f64 = 5_000.0;
-/// Released proxies are compared with others by spans of this length.
+/// Default length of the periods by which released proxies are compared with the others, in milliseconds.
 const DEFAULT_COMPARISON_MS: f64 = 10_000.0;
-/// A lease is so many beats at the least.
+/// Minimum length of a lease in heartbeats.
 const MIN_LEASE_HEARTBEATS: f64 = 40.0;
-/// How many members of a council are named at first.
+/// Allowed numbers of initial council members.
 pub(super) const COUNCIL_SIZES: [usize; 3] = [3, 5, 7];
 
 impl Reader<'_> {
+    /// Reads `[gossip]`.
     pub(super) fn gossip(&mut self, top: &mut Section) -> Option<GossipSettings> {
         let mut section = self.section(top, "gossip", false);
         section.table?;
@@ -45,7 +46,7 @@
             );
         }
         let roster = self.text(&mut section, "roster", None);
-        // A packet is to fit into the part of the cap that is spent at once.
+        // The part of the cap that may be spent at once must hold a whole packet.
         let min_cap = 8 * gossip::wire::MAX_DATAGRAM_BYTES as u32;
         let cap = self.integer(&mut section, "cap", min_cap, 100_000_000, None);
         let probe_interval = self.time(&mut section, "beat", None);
@@ -64,10 +65,11 @@
         })
     }
 
+    /// Reads `[fleet]`.
     pub(super) fn fleet_limits(&mut self, top: &mut Section) -> Option<LimitTerms> {
         let mut section = self.section(top, "fleet", false);
         let table = section.table?;
-        self.require_table(top, &section, "gossip", "which carries what members say");
+        self.require_table(top, &section, "gossip", "which carries messages between proxies");
         let window = self.time(&mut section, "window", Some(1000.0));
         let interval = self.time(&mut section, "beat", Some(100.0));
         let lease = self.time(&mut section, "lease", Some(2000.0));
@@ -82,7 +84,12 @@
         self.finish(section);
         let (window, interval, lease) = (window?, interval?, lease?);
         if lease < 2.0 * interval {
-            self.fault(line, key, format!("{lease} ms, with a beat of {interval} ms"), "two beats or more");
+            self.fault(
+                line,
+                key,
+                format!("{lease} ms, with a beat of {interval} ms"),
+                "at least two times beat",
+            );
         }
         let loans = LoanTerms { lease, drift: drift?, spread: spread?, floor: floor? };
         Some(LimitTerms {
@@ -93,7 +100,7 @@
         })
     }
 
-    /// Names of the roster, each once, of which there are so many.
+    /// Reads a list of names of the roster, each once; `sizes` are the allowed lengths.
     pub(super) fn roster_names(
         &mut self,
         section: &mut Section,
@@ -115,7 +122,7 @@
         Some(names)
     }
 
-    /// Wants another table beside the one that is read.
+    /// Reports an error if the table `other`, which this one needs, is missing; `why` says what for.
     pub(super) fn require_table(&mut self, top: &Section, section: &Section, other: &str, why: &str) {
         if !top.table.is_some_and(|table| table.contains_key(other)) {
             let wanted = format!("[{other}] beside it, {why}");
@@ -123,13 +130,14 @@
         }
     }
 
+    /// Reads `[council]`.
     pub(super) fn council(&mut self, top: &mut Section, state: &str) -> Option<CouncilSettings> {
         let mut section = self.section(top, "council", false);
         if section.table.is_none() {
             self.availability(top, 0.0);
             return None;
         }
-        self.require_table(top, &section, "gossip", "which carries what members say");
+        self.require_table(top, &section, "gossip", "which carries messages between proxies");
         let line = section.line;
         let members = self.roster_names(&mut section, "members", COUNCIL_SIZES);
         let file = self.text(&mut section, "file", Some(""));
@@ -139,15 +147,17 @@
         let lease_key = section.key("lease");
         self.finish(section);
         let (members, file, heartbeat, lease) = (members?, file?, heartbeat?, lease?);
-        // A new leader has to be found and asked within it.
+        // A new leader must be elected and heard from within a lease.
         if lease < MIN_LEASE_HEARTBEATS * heartbeat {
-            let wanted = format!("{MIN_LEASE_HEARTBEATS} beats or more, in which a leader can be replaced");
+            let wanted =
+                format!("at least {MIN_LEASE_HEARTBEATS} times beat, in which a leader can be replaced");
             self.fault(line, lease_key, format!("{lease} ms, with a beat of {heartbeat} ms"), wanted);
         }
         let file = if file.is_empty() { PathBuf::from(state).join("council") } else { PathBuf::from(file) };
         Some(CouncilSettings { members, file, heartbeat, lease, availability: availability? })
     }
 
+    /// Reads `[outs]`; `lease` is the council's, in milliseconds.
     fn availability(&mut self, top: &mut Section, lease: f64) -> Option<AvailabilityTerms> {
         let mut section = self.section(top, "outs", false);
         if section.table.is_none() {
@@ -163,7 +173,7 @@
                 comparison_period: Some(DEFAULT_COMPARISON_MS),
             });
         }
-        self.require_table(top, &section, "council", "which decides who may be out");
+        self.require_table(top, &section, "council", "which decides who may be unavailable");
         let pool_part = self.fraction(&mut section, "pool_part", DEFAULT_POOL_PART);
         let proxy_part = self.fraction(&mut section, "proxy_part", DEFAULT_PROXY_PART);
         let witnesses = self.integer(&mut section, "witnesses", 1, 100, Some(1));
@@ -184,12 +194,12 @@
         })
     }
 
-    /// A part of all above 0, of which one at least may be out.
+    /// Reads a part above 0 of servers or proxies; at least one of them may always be unavailable.
     fn fraction(&mut self, section: &mut Section, key: &'static str, default: f64) -> Option<f64> {
         let (line, path) = (section.line, section.key(key));
         let fraction = self.number(section, key, 0.0, 1.0, Some(default));
         if fraction == Some(0.0) {
-            self.fault(line, path, "0", "a part above 0: none could ever go");
+            self.fault(line, path, "0", "a part above 0: with 0 none could ever be drained or replaced");
         }
         fraction
     }
--- a/daemon/src/settings/mod.rs
+++ b/daemon/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The settings of one border proxy: a TOML file, read with [`read`], which tells all that is wrong with it
-//! at once. [`EXAMPLE`] is a full one with a word on each key; docs/operating.md says more.
+//! The settings of one border proxy: a TOML file, read by [`read`], which reports all errors at once.
+//! [`EXAMPLE`] is a full file with a comment on each key; docs/operating.md says more.
 
 mod calls;
 mod distribution;
@@ -26,14 +26,19 @@
 
 pub use distribution::ControlMachineSettings;
 
+/// A full settings file with a comment on each key.
 pub const EXAMPLE: &str = include_str!("../example.toml");
 
-/// One thing that is wrong with a settings file.
+/// One error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
+    /// Its line, counted from 1.
     pub line: usize,
+    /// The key with its tables, as `grade[0].limit`.
     pub key: String,
+    /// What the file has there.
     pub found: String,
+    /// What was expected.
     pub wanted: String,
 }
 
@@ -43,147 +48,173 @@
     }
 }
 
-/// What a border proxy runs by.
+/// The settings of a border proxy.
 #[derive(Clone, Debug)]
 pub struct ProxySettings {
+    /// The proxy's name, as in the roster.
     pub name: String,
-    /// The file that it was read from, and what of a release this process runs: by whoever starts it.
+    /// The file that the settings were read from; set by the caller of [`read`].
     pub config_file: PathBuf,
+    /// The release that this process runs; set by the caller of [`read`].
     pub running_release: RunningRelease,
-    /// Directory for what lasts: the cached list, the addresses that it listens on.
+    /// Directory for persistent files, such as the cached pool list and `ready.json`.
     pub state_dir: PathBuf,
+    /// The address on which callers' legs are accepted.
     pub callers_address: SocketAddr,
-    /// The address that servers are called from; a port is given out for each.
+    /// The local address of the sockets to servers, one for each.
     pub server_source: SocketAddr,
+    /// The path of the control socket.
     pub control_socket: PathBuf,
+    /// The address of the pool list's feed.
     pub pool_feed: SocketAddr,
-    /// Milliseconds for which what stands goes on after a stop was asked for.
+    /// How long established conversations continue after a stop was requested, in milliseconds.
     pub stop_grace: f64,
+    /// Size of the sockets' receive buffers in bytes; none for the kernel's default.
     pub receive_buffer: Option<usize>,
+    /// Gossip with the other proxies, if any.
     pub gossip: Option<GossipSettings>,
-    /// Limits that hold for the whole fleet, where there are any.
+    /// Limits that hold for the whole fleet, if any.
     pub fleet_limits: Option<LimitTerms>,
-    /// Decisions of all proxies in one order, where there are any.
+    /// The council, which decides for all proxies in one order, if there is one.
     pub council: Option<CouncilSettings>,
-    /// Decided state by scope, where it is distributed.
+    /// The distribution of decided state by scope, if any.
     pub distribution: Option<DistributionSettings>,
+    /// Call detail records, if any are kept.
     pub records: Option<RecordsSettings>,
-    /// Terms that are watched: what would be decided under them is counted.
+    /// Proposed terms: decisions under them are compared with the actual ones and counted.
     pub proposed_terms: Option<ProposedTerms>,
     /// Names of service grades and tenants, by index.
     pub names: (Vec<String>, Vec<String>),
+    /// The terms of the proxy and its decisions.
     pub terms: ProxyTerms,
 }
 
-/// How a border proxy keeps its records.
+/// How a border proxy keeps its call detail records.
 #[derive(Clone, Debug)]
 pub struct RecordsSettings {
+    /// The folder of the journal.
     pub folder: PathBuf,
+    /// What an answer to a caller waits for.
     pub durability: Durability,
-    /// Milliseconds.
+    /// How long an entry waits for others to share a sync, in milliseconds.
     pub max_sync_delay: f64,
+    /// A sync that takes longer counts as a failure of the disk, in milliseconds.
     pub max_sync_time: f64,
-    /// Bytes.
+    /// The size at which the next segment is started, in bytes.
     pub segment_bytes: u64,
 }
 
-/// How a border proxy gossips.
+/// How a border proxy takes part in gossip.
 #[derive(Clone, Debug)]
 pub struct GossipSettings {
+    /// The local address of the gossip socket.
     pub listen: SocketAddr,
-    /// The address that others are told, where that differs.
+    /// The address that other proxies use, if it differs.
     pub advertised_address: Option<SocketAddr>,
+    /// Addresses of other proxies to contact first.
     pub seeds: Vec<SocketAddr>,
+    /// The file of this proxy's own key.
     pub key: PathBuf,
+    /// The files of the fleet's keys, the one in use first.
     pub fleet_keys: Vec<PathBuf>,
+    /// The file of all proxies' public keys.
     pub roster: PathBuf,
-    /// Bytes a second.
+    /// Limit on sent bytes per second.
     pub max_bytes_per_second: f64,
-    /// Milliseconds.
+    /// Interval between probes of other proxies, in milliseconds.
     pub probe_interval: f64,
+    /// How many proxies may report falsely without effect.
     pub max_faulty: usize,
 }
 
-/// How a border proxy takes part in the decisions of all.
+/// How a border proxy takes part in the council's decisions.
 #[derive(Clone, Debug)]
 pub struct CouncilSettings {
-    /// Who votes at first, by the roster's names.
+    /// The members that vote at first, by their names in the roster.
     pub members: Vec<String>,
+    /// The file of this proxy's council state.
     pub file: PathBuf,
-    /// Milliseconds.
+    /// Interval of the leader's heartbeats, in milliseconds.
     pub heartbeat: f64,
+    /// How long a proxy may act on what it last heard, in milliseconds.
     pub lease: f64,
+    /// How many servers and proxies may be unavailable at once.
     pub availability: AvailabilityTerms,
 }
 
 /// How decided state is distributed by scope, and this proxy's part in it.
 #[derive(Clone, Debug)]
 pub struct DistributionSettings {
-    /// How often a subscriber and its control machine hear of each other, in milliseconds.
+    /// Interval at which a subscriber and its control machine hear from each other, in milliseconds.
     pub heartbeat: f64,
-    /// What this proxy is in it.
+    /// This proxy's role.
     pub role: DistributionRole,
 }
 
-/// What a border proxy is in the distribution of decided state.
+/// A border proxy's role in the distribution of decided state.
 #[derive(Clone, Debug)]
 pub enum DistributionRole {
-    /// It follows the log and serves subscribers.
+    /// Follows the council's log and serves subscribers.
     Control(ServiceSettings),
-    /// It holds the scopes that it uses, by one control machine at a time.
+    /// Holds the scopes that it uses, received from one control machine at a time.
     Subscriber(SubscriberSettings),
 }
 
-/// Whom a control machine serves.
+/// How a control machine serves subscribers.
 #[derive(Clone, Debug)]
 pub struct ServiceSettings {
-    /// The roster of subscribers.
+    /// The file of the subscribers' public keys.
     pub subscribers: PathBuf,
-    /// Subscribers at the most.
+    /// Maximum number of subscribers.
     pub max_subscribers: usize,
-    /// Bytes a second to all subscribers together, and to each of them.
+    /// Limit on bytes per second sent to all subscribers together.
     pub bytes_per_second: f64,
-    /// See [`ServiceSettings::bytes_per_second`].
+    /// Limit on bytes per second sent to each subscriber.
     pub subscriber_bytes_per_second: f64,
-    /// Subscribers that fetch whole scopes at a time.
+    /// Maximum number of subscribers that fetch whole scopes at a time.
     pub snapshots_at_once: usize,
 }
 
-/// What a subscriber subscribes to, and where.
+/// What a subscriber subscribes to, and from which control machines.
 #[derive(Clone, Debug)]
 pub struct SubscriberSettings {
-    /// Where it is heard.
+    /// The local address of its socket.
     pub listen: SocketAddr,
-    /// Its own key.
+    /// The file of its own key.
     pub key: PathBuf,
-    /// The fleet's keys, the one in use first.
+    /// The files of the fleet's keys, the one in use first.
     pub fleet_keys: Vec<PathBuf>,
-    /// Public keys of all control machines, all who may vote, and this proxy.
+    /// The file of the public keys of all control machines, all possible voters and this proxy.
     pub roster: PathBuf,
-    /// The region that it is in, whose control machines it prefers.
+    /// Its region, whose control machines it prefers.
     pub region: u16,
-    /// Who votes at first, by the roster's names.
+    /// The members that vote at first, by their names in the roster.
     pub bootstrap_members: Vec<String>,
-    /// What it holds.
+    /// The scopes that it holds.
     pub scopes: BTreeSet<Scope>,
-    /// Where it keeps what it holds.
+    /// The file in which it persists its scopes.
     pub file: PathBuf,
     /// The control machines.
     pub controls: Vec<ControlMachineSettings>,
 }
 
 impl ProxySettings {
+    /// Returns the path of the cached pool list.
     pub fn pool_cache(&self) -> PathBuf {
         self.state_dir.join("pool.list")
     }
 
-    /// Where the addresses stand once it listens.
+    /// Returns the path of the file with the proxy's addresses, written once it listens.
     pub fn ready_file(&self) -> PathBuf {
         self.state_dir.join("ready.json")
     }
 }
 
-/// Reads a settings file; all that is wrong with it otherwise, in the order of lines.
+/// Reads a settings file.
+///
+/// # Errors
+///
+/// All errors in the file, in the order of lines.
 pub fn read(source: &str) -> Result<ProxySettings, Vec<Fault>> {
     let document = Document::parse(source).map_err(|error| {
         let line = line_of(source, error.span().map_or(0, |span| span.start));
--- a/daemon/src/settings/reader.rs
+++ b/daemon/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a TOML file key by key, and keeps all that is wrong with it.
+//! Reads a TOML file key by key and collects all errors.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -7,12 +7,13 @@
 
 use super::Fault;
 
+/// Reads values and collects errors.
 pub(super) struct Reader<'a> {
     pub(super) source: &'a str,
     pub(super) faults: Vec<Fault>,
 }
 
-/// A table that is being read: which of its keys were asked for.
+/// A table that is being read, with the keys that were read so far.
 pub(super) struct Section<'t> {
     pub(super) path: String,
     pub(super) table: Option<&'t dyn TableLike>,
@@ -21,16 +22,19 @@
 }
 
 impl<'t> Section<'t> {
+    /// Returns a key with its tables, as errors name it.
     pub(super) fn key(&self, key: &str) -> String {
         if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
     }
 }
 
+/// Returns the line of a byte offset, counted from 1.
 pub(super) fn line_of(source: &str, offset: usize) -> usize {
     source.as_bytes()[..offset.min(source.len())].iter().filter(|&&b| b == b'\n').count() + 1
 }
 
 impl Reader<'_> {
+    /// Adds an error.
     pub(super) fn fault(
         &mut self,
         line: usize,
@@ -41,10 +45,12 @@
         self.faults.push(Fault { line, key, found: found.into(), wanted: wanted.into() });
     }
 
+    /// Returns the line of an item.
     pub(super) fn line(&self, item: &Item) -> Option<usize> {
         Some(line_of(self.source, item.span()?.start))
     }
 
+    /// Opens a table; an error if it is missing and `required`.
     pub(super) fn section<'t>(
         &mut self,
         parent: &mut Section<'t>,
@@ -64,6 +70,7 @@
         Section { path, table, line, known_keys: HashSet::new() }
     }
 
+    /// Opens all tables of an array of tables.
     pub(super) fn sections<'t>(&mut self, parent: &mut Section<'t>, key: &'static str) -> Vec<Section<'t>> {
         parent.known_keys.insert(key);
         let Some(item) = parent.table.and_then(|table| table.get(key)) else { return Vec::new() };
@@ -82,18 +89,18 @@
         sections.collect()
     }
 
-    /// Tells of keys that nothing asked for.
+    /// Reports the table's unknown keys: those that were never read.
     pub(super) fn finish(&mut self, section: Section) {
         let Some(table) = section.table else { return };
         for (key, item) in table.iter().filter(|(key, _)| !section.known_keys.contains(key)) {
             let line = self.line(item).unwrap_or(section.line);
             let mut known: Vec<&str> = section.known_keys.iter().copied().collect();
             known.sort_unstable();
-            self.fault(line, section.key(key), "a key of no use", format!("one of {}", known.join(", ")));
+            self.fault(line, section.key(key), "an unknown key", format!("one of {}", known.join(", ")));
         }
     }
 
-    /// The value of a key as `take` reads it; a fault where it is missing or `take` finds it wrong.
+    /// Reads a key with `parse`; an error if it is missing without a default, or if `parse` rejects it.
     pub(super) fn value<T>(
         &mut self,
         section: &mut Section,
@@ -120,6 +127,7 @@
         value
     }
 
+    /// Reads a time above 0; returns milliseconds.
     pub(super) fn time(
         &mut self,
         section: &mut Section,
@@ -132,6 +140,7 @@
         })
     }
 
+    /// Reads a number within bounds.
     pub(super) fn number(
         &mut self,
         section: &mut Section,
@@ -147,6 +156,7 @@
         })
     }
 
+    /// Reads a whole number within bounds.
     pub(super) fn integer(
         &mut self,
         section: &mut Section,
@@ -161,6 +171,7 @@
         })
     }
 
+    /// Reads a boolean.
     pub(super) fn boolean(
         &mut self,
         section: &mut Section,
@@ -170,6 +181,7 @@
         self.value(section, key, "true or false", Some(default), Value::as_bool)
     }
 
+    /// Reads a string.
     pub(super) fn text(
         &mut self,
         section: &mut Section,
@@ -180,6 +192,7 @@
         self.value(section, key, "text", default.map(str::to_owned), parse)
     }
 
+    /// Reads an address and port.
     pub(super) fn address(
         &mut self,
         section: &mut Section,
@@ -192,6 +205,7 @@
         })
     }
 
+    /// Reads a list of strings, empty by default.
     pub(super) fn text_list(&mut self, section: &mut Section, key: &'static str) -> Option<Vec<String>> {
         self.value(section, key, "a list of texts", Some(Vec::new()), |value| {
             value.as_array()?.iter().map(|v| v.as_str().map(str::to_owned)).collect()
--- a/daemon/src/settings/records.rs
+++ b/daemon/src/settings/records.rs
@@ -1,4 +1,4 @@
-//! The journal of records.
+//! Reads `[records]`: the journal of call detail records.
 
 use std::path::PathBuf;
 
@@ -8,6 +8,7 @@
 use super::reader::{Reader, Section};
 
 impl Reader<'_> {
+    /// Reads `[records]`; `state` is the state directory.
     pub(super) fn records(&mut self, top: &mut Section, state: &str) -> Option<RecordsSettings> {
         let mut section = self.section(top, "records", false);
         section.table?;
--- a/daemon/src/sockets.rs
+++ b/daemon/src/sockets.rs
@@ -1,5 +1,5 @@
-//! The sockets of one border proxy: what comes on them is handed to its loop, what it sends goes out or is
-//! told to have found no room.
+//! The UDP sockets of one border proxy. Received datagrams are passed to its loop; sending reports a full
+//! socket buffer.
 
 use std::collections::HashMap;
 use std::io::{self, ErrorKind};
@@ -16,16 +16,16 @@
 use crate::backlog;
 use crate::udp_timestamps;
 
-/// Bytes of the largest datagram that is read.
+/// Size of the receive buffer: the largest UDP datagram.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// A socket that broke is read again after this.
+/// Pause before a socket is read again after an error.
 const READ_RETRY: Duration = Duration::from_millis(50);
 
-/// What came on a socket.
+/// An event on a socket.
 pub enum Arrival {
-    /// With when it came, as the system says.
+    /// A datagram, with its receive time from the kernel.
     Datagram(Side, SocketAddr, Bytes, Instant),
-    /// The network told that nobody listens there.
+    /// The network reported that nothing listens at this address (ICMP port unreachable).
     Refused(Side, SocketAddr),
 }
 
@@ -40,7 +40,8 @@
 }
 
 impl Sockets {
-    /// Those that are there at first; `from` is where servers are called from, each by a socket of its own.
+    /// Creates the set with the callers' and peers' sockets. `server_source` is the local address of the
+    /// sockets to servers, one for each.
     pub fn new(
         callers: Arc<UdpSocket>,
         peers: Option<Arc<UdpSocket>>,
@@ -51,7 +52,7 @@
         Self { callers, peers, servers: HashMap::new(), server_source, receive_buffer, arrivals }
     }
 
-    /// A socket at an address, of which datagrams come with the system's word on when they came.
+    /// Binds a socket with receive timestamps.
     pub fn bind(address: SocketAddr, receive_buffer: Option<usize>) -> io::Result<UdpSocket> {
         let socket = Socket::new(Domain::for_address(address), Type::DGRAM, Some(Protocol::UDP))?;
         if let Some(bytes) = receive_buffer {
@@ -63,7 +64,7 @@
         UdpSocket::from_std(socket.into())
     }
 
-    /// A socket of its own for each server, connected, so that a refusal by the network names its server.
+    /// Returns the server's own socket, connected, so that a refusal by the network identifies its server.
     fn server_socket(&mut self, peer: SocketAddr) -> io::Result<&Arc<UdpSocket>> {
         if !self.servers.contains_key(&peer) {
             let socket = Arc::new(Self::bind(self.server_source, self.receive_buffer)?);
@@ -74,7 +75,7 @@
         Ok(&self.servers[&peer])
     }
 
-    /// False where there was no room.
+    /// Sends a datagram; false if the socket's buffer is full.
     pub fn try_send(&mut self, datagram: &Outbound) -> bool {
         let sent = match datagram.side {
             Side::Callers => self.callers.try_send_to(&datagram.bytes, datagram.peer),
@@ -90,7 +91,7 @@
         match sent {
             Err(error) if error.kind() == ErrorKind::WouldBlock => false,
             Err(error) if error.kind() == ErrorKind::ConnectionRefused && datagram.side == Side::Servers => {
-                // Told of an earlier datagram; this one was not sent.
+                // The error is about an earlier datagram; this one was not sent.
                 let _ = self.arrivals.try_send(Arrival::Refused(Side::Servers, datagram.peer));
                 true
             }
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Waits for room in a socket.
+    /// Waits until a socket is writable; forever if none is given.
     pub async fn wait_writable(&self, key: Option<backlog::SocketKey>) -> io::Result<()> {
         match key {
             None => std::future::pending().await,
@@ -119,7 +120,7 @@
     }
 }
 
-/// Connecting a datagram socket needs no waiting.
+/// Connects a datagram socket, which never blocks.
 trait ConnectNow {
     fn connect_now(&self, peer: SocketAddr) -> io::Result<()>;
 }
@@ -130,7 +131,7 @@
     }
 }
 
-/// Reads a socket for as long as anybody wants its datagrams.
+/// Reads a socket until the receiver of its datagrams is gone.
 pub async fn listen(
     socket: Arc<UdpSocket>,
     side: Side,
--- a/daemon/src/tables.rs
+++ b/daemon/src/tables.rs
@@ -1,4 +1,4 @@
-//! What a running proxy answers, as tables for people.
+//! Prints the status of a running proxy as tables.
 
 use border::decided::{
     AvailabilityStatus, CouncilStatus, DrainStatus, ReleaseStatus, UnavailabilityStatus, VoterStatus,
@@ -7,6 +7,7 @@
 use border::status::{GossipStatus, LimitStatus, LimitsStatus, MemberStatus, Status, SuspicionStatus};
 use tabled::{Table, Tabled, settings::Style};
 
+/// A server's line in [`show`].
 #[derive(Tabled)]
 struct Row {
     server: String,
@@ -18,6 +19,7 @@
     rate: String,
 }
 
+/// Prints the gossip members and counters.
 pub fn show_members(gossip: &GossipStatus) {
     #[derive(Tabled)]
     struct Row<'a> {
@@ -45,6 +47,7 @@
     );
 }
 
+/// Prints the servers suspected to be silent.
 pub fn show_suspicions(gossip: &GossipStatus) {
     #[derive(Tabled)]
     struct Row<'a> {
@@ -70,6 +73,7 @@
     println!("{}", Table::new(gossip.suspicions.iter().map(row)).with(Style::sharp()));
 }
 
+/// Prints the fleet limits and their counters.
 pub fn show_limits(status: &LimitsStatus) {
     #[derive(Tabled)]
     struct Row<'a> {
@@ -109,6 +113,7 @@
     );
 }
 
+/// Prints servers, conversations and counters.
 pub fn show(status: &Status) {
     let row = |server: &border::status::ServerStatus| Row {
         server: server.name.clone(),
@@ -165,6 +170,7 @@
     }
 }
 
+/// Prints the council's members and this proxy's role.
 pub fn show_council(council: &CouncilStatus) {
     #[derive(Tabled)]
     struct Row<'a> {
@@ -182,7 +188,7 @@
     println!("{}", Table::new(council.voters.iter().map(row)).with(Style::sharp()));
     let proved = if council.proved { "" } else { ", not proved yet" };
     println!("votes since decision {}{proved}", council.since);
-    let leader = council.leader.as_deref().unwrap_or("nobody that is heard");
+    let leader = council.leader.as_deref().unwrap_or("no known leader");
     println!(
         "this proxy {:?} with life {}, term {}, led by {leader}",
         council.role, council.generation, council.term
@@ -196,13 +202,17 @@
         council.age_ms.map_or("never".to_owned(), |age| format!("{:.1} s ago", age / 1000.0))
     );
     for voter in &council.non_voters {
-        println!("{} has no vote by its disk: to be let in as {}", voter.name, voter.generation);
+        println!(
+            "{} lost its state and has no vote: admit it again with life {}",
+            voter.name, voter.generation
+        );
     }
     if let Some(stopped) = &council.stopped {
         println!("stopped: {stopped}");
     }
 }
 
+/// Prints drains and unavailable proxies.
 pub fn show_outs(outs: &AvailabilityStatus) {
     #[derive(Tabled)]
     struct Row<'a> {
@@ -231,7 +241,7 @@
     println!("{}", Table::new(outs.drains.iter().map(row)).with(Style::sharp()));
     println!("{}", Table::new(outs.proxies.iter().map(unavailable_row)).with(Style::sharp()));
     println!(
-        "{} of {} proxies that may be out; {} see one well",
+        "{} of at most {} proxies unavailable; {} witnesses to call one healthy",
         outs.proxies.len(),
         outs.max_unavailable,
         outs.witnesses
@@ -242,21 +252,23 @@
     );
 }
 
+/// Prints a release's phase and waves.
 pub fn show_release(release: Option<&ReleaseStatus>) {
-    let Some(release) = release else { return println!("no release was staged") };
+    let Some(release) = release else { return println!("no release is staged") };
     println!(
         "release {} of {:?} {}, by {}: {}",
         release.release, release.kind, release.sum, release.by, release.why
     );
     println!("{:?}; ready {}", release.phase, release.ready);
     for (proxy, why) in &release.rejected {
-        println!("{proxy} finds it unfit: {why}");
+        println!("{proxy} rejects it: {why}");
     }
     for (i, (all, run)) in release.waves.iter().enumerate() {
         println!("wave {i}: {run} of {all} run it");
     }
 }
 
+/// Prints the scopes of distributed state and the channel's counters.
 pub fn show_distribution(status: &DistributionStatus) {
     #[derive(Tabled)]
     struct Row<'a> {
@@ -310,6 +322,7 @@
     println!("{}", counts.join(", "));
 }
 
+/// Prints which subscribers have the newest changes.
 pub fn show_changes(changes: &[ChangeStatus]) {
     #[derive(Tabled)]
     struct Row<'a> {
@@ -337,6 +350,7 @@
     println!("{}", Table::new(changes.iter().map(row)).with(Style::sharp()));
 }
 
+/// Formats milliseconds as seconds.
 fn seconds(ms: f64) -> String {
     format!("{:.1} s", ms / 1000.0)
 }
--- a/daemon/src/udp_timestamps.rs
+++ b/daemon/src/udp_timestamps.rs
@@ -1,5 +1,5 @@
-//! Datagrams with the time at which the system had them: a proxy that had no turn for a while learns how long
-//! each one has waited. [`enable`] has a socket tell it, [`receive`] reads one.
+//! UDP datagrams with the kernel's receive timestamps: a process that was not scheduled for a while learns
+//! how long each datagram has waited. [`enable`] turns timestamps on, [`receive`] reads one datagram.
 
 use std::io::{self, IoSliceMut};
 use std::net::SocketAddr;
@@ -12,11 +12,13 @@
 use tokio::io::Interest;
 use tokio::net::UdpSocket;
 
+/// Turns on receive timestamps for a socket.
 pub fn enable(socket: &Socket) -> io::Result<()> {
     Ok(setsockopt(socket, sockopt::ReceiveTimestampns, &true)?)
 }
 
-/// Waits for a datagram: its length, who sent it, and when it came; now where the system does not say.
+/// Waits for a datagram; returns its length, its sender and when it was received, which is now if the kernel
+/// gave no timestamp.
 pub async fn receive(socket: &UdpSocket, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr, Instant)> {
     socket.async_io(Interest::READABLE, || read(socket, buffer)).await
 }
@@ -40,6 +42,7 @@
     v4.or_else(|| address.as_sockaddr_in6().map(|address| SocketAddr::V6((*address).into())))
 }
 
+/// Converts a kernel timestamp to an instant; now if there is none or it lies in the future.
 fn received_at(timestamp: Option<TimeSpec>) -> Instant {
     let (now, unix_now) = (Instant::now(), SystemTime::now());
     let age =
--- a/daemon/tests/release.rs
+++ b/daemon/tests/release.rs
@@ -195,7 +195,7 @@
     }
     assert!(starts >= 2, "{starts}");
     story.until("halted by the one that could not", |story| {
-        release(story)["phase"]["halted"]["why"].as_str().is_some_and(|why| why.contains("not well"))
+        release(story)["phase"]["halted"]["why"].as_str().is_some_and(|why| why.contains("not healthy"))
     });
     story.until("it is in again", |story| outs(story, dead)["proxies"].as_array().is_some_and(Vec::is_empty));
     assert!(replaced(&story).is_empty(), "all run what they ran");
--- a/daemon/tests/settings.rs
+++ b/daemon/tests/settings.rs
@@ -44,7 +44,7 @@
 #[case::no_toml("[proxy", "TOML")]
 #[case::nothing("", "a table")]
 #[case::quoted_over_limit(&EXAMPLE.replace("limit = \"9 s\"", "limit = \"1 s\""), "at most limit, 1000 ms")]
-#[case::two_of_a_name(&EXAMPLE.replace("name = \"slot\"", "name = \"open\""), "a name of its own")]
+#[case::two_of_a_name(&EXAMPLE.replace("name = \"slot\"", "name = \"open\""), "a unique name")]
 fn what_is_wanted_is_told(#[case] file: &str, #[case] wanted: &str) {
     let faults = settings::read(file).expect_err("unfit");
     assert!(faults.iter().any(|fault| fault.wanted == wanted), "{faults:?}");
@@ -113,7 +113,7 @@
         EXAMPLE.replace("[iax2]\n", "[fleet]\nlease = \"100 ms\"\nbeat = \"80 ms\"\nrate = 3\n[iax2]\n");
     let faults = settings::read(&file).expect_err("unfit");
     let reported: Vec<(&str, &str)> = faults.iter().map(|f| (&f.key[..], &f.wanted[..])).collect();
-    assert!(reported.contains(&("fleet.lease", "two beats or more")), "{reported:?}");
+    assert!(reported.contains(&("fleet.lease", "at least two times beat")), "{reported:?}");
     assert!(reported.iter().any(|(key, _)| *key == "fleet.rate"), "{reported:?}");
     assert!(reported.iter().any(|(_, wanted)| wanted.starts_with("[gossip] beside it")), "{reported:?}");
     assert!(settings::read(EXAMPLE).expect("fit").fleet_limits.is_none(), "off by default");
@@ -126,7 +126,7 @@
 #[case::a_lease_under_the_beats(
     "[council]\nmembers = [\"a\", \"b\", \"c\"]\nbeat = \"1 s\"\nlease = \"2 s\"\n",
     "council.lease",
-    "40 beats or more"
+    "at least 40 times beat"
 )]
 #[case::an_unknown_key("[council]\nmembers = []\nterm = 3\n", "council.term", "one of beat")]
 #[case::budgets_without_a_council("[outs]\n", "outs", "[council] beside it")]
