--- a/daemon/tests/world/mod.rs
+++ b/daemon/tests/cluster/mod.rs
@@ -34,8 +34,8 @@
 
 /// Threads of the test's own, which end with it.
 struct Threads {
-    over: Arc<AtomicBool>,
-    all: Vec<JoinHandle<()>>,
+    stopped: Arc<AtomicBool>,
+    handles: Vec<JoinHandle<()>>,
 }
 
 impl Threads {
@@ -45,11 +45,11 @@
         socket: UdpSocket,
         mut turn: impl FnMut(&UdpSocket, Option<(&[u8], SocketAddr)>) + Send + 'static,
     ) {
-        let over = self.over.clone();
+        let stopped = self.stopped.clone();
         socket.set_read_timeout(Some(Duration::from_millis(1))).expect("set");
-        self.all.push(thread::spawn(move || {
+        self.handles.push(thread::spawn(move || {
             let mut buffer = [0; 4096];
-            while !over.load(Ordering::Relaxed) {
+            while !stopped.load(Ordering::Relaxed) {
                 match socket.recv_from(&mut buffer) {
                     Ok((length, from)) => turn(&socket, Some((&buffer[..length], from))),
                     Err(_) => turn(&socket, None),
@@ -61,82 +61,82 @@
 
 impl Drop for Threads {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
-        self.all.drain(..).for_each(|thread| drop(thread.join()));
+        self.stopped.store(true, Ordering::Relaxed);
+        self.handles.drain(..).for_each(|thread| drop(thread.join()));
     }
 }
 
-fn loopback() -> UdpSocket {
+fn loopback_socket() -> UdpSocket {
     UdpSocket::bind("127.0.0.1:0").expect("a port")
 }
 
-fn millis(since: Instant) -> f64 {
+fn elapsed_ms(since: Instant) -> f64 {
     since.elapsed().as_secs_f64() * 1000.0
 }
 
 /// The one switch between proxies: which of them hears which, and what passed.
 pub struct Switch {
-    fronts: Vec<UdpSocket>,
-    real: Mutex<HashMap<SocketAddr, usize>>,
-    at: Mutex<Vec<Option<SocketAddr>>>,
+    sockets: Vec<UdpSocket>,
+    senders: Mutex<HashMap<SocketAddr, usize>>,
+    addresses: Mutex<Vec<Option<SocketAddr>>>,
     cut: Mutex<[[bool; PROXIES]; PROXIES]>,
-    pub loses: AtomicU64,
+    pub loss_percent: AtomicU64,
     pub bytes: AtomicU64,
 }
 
 impl Switch {
-    fn pass(&self, to: usize, bytes: &[u8], from: SocketAddr) {
-        let Some(&sender) = self.real.lock().expect("whole").get(&from) else { return };
+    fn forward(&self, to: usize, bytes: &[u8], from: SocketAddr) {
+        let Some(&sender) = self.senders.lock().expect("whole").get(&from) else { return };
         let count = self.bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         // Every so many in a hundred are lost, whoever they are of.
-        let lost = count % 100 < self.loses.load(Ordering::Relaxed);
+        let lost = count % 100 < self.loss_percent.load(Ordering::Relaxed);
         if lost || self.cut.lock().expect("whole")[sender][to] {
             return;
         }
-        if let Some(address) = self.at.lock().expect("whole")[to] {
-            let _ = self.fronts[sender].send_to(bytes, address);
+        if let Some(address) = self.addresses.lock().expect("whole")[to] {
+            let _ = self.sockets[sender].send_to(bytes, address);
         }
     }
 }
 
 /// The keys of all proxies and where each is heard, for their settings.
-pub struct Files {
+pub struct KeyFiles {
     folder: PathBuf,
-    fronts: Vec<SocketAddr>,
-    publics: Vec<String>,
+    addresses: Vec<SocketAddr>,
+    public_keys: Vec<String>,
 }
 
-impl Files {
-    fn draw(folder: &Path, fronts: Vec<SocketAddr>) -> Self {
-        let key = |name: &str| {
+impl KeyFiles {
+    fn generate(folder: &Path, addresses: Vec<SocketAddr>) -> Self {
+        let generate_key = |name: &str| {
             let made = frostthread().args(["key", "new"]).arg(folder.join(name)).output().expect("ran");
             assert!(made.status.success(), "{made:?}");
             String::from_utf8(made.stdout).expect("text").trim().to_owned()
         };
-        let publics = (0..PROXIES).map(|i| key(&format!("p{i}.key"))).collect();
-        key("fleet.key");
-        Self { folder: folder.to_owned(), fronts, publics }
+        let public_keys = (0..PROXIES).map(|i| generate_key(&format!("p{i}.key"))).collect();
+        generate_key("fleet.key");
+        Self { folder: folder.to_owned(), addresses, public_keys }
     }
 
-    fn text(&self, name: &str) -> String {
+    fn path_text(&self, name: &str) -> String {
         self.folder.join(name).to_str().expect("text").to_owned()
     }
 
     /// Where a proxy is heard: at the switch.
-    pub fn front(&self, proxy: usize) -> SocketAddr {
-        self.fronts[proxy]
+    pub fn switch_address(&self, proxy: usize) -> SocketAddr {
+        self.addresses[proxy]
     }
 
     /// Writes a roster of some proxies; gives its file.
     pub fn roster(&self, name: &str, proxies: &[usize]) -> String {
-        let row = |i: &usize| format!("p{i} = \"{}\"\n", self.publics[*i]);
+        let row = |i: &usize| format!("p{i} = \"{}\"\n", self.public_keys[*i]);
         fs::write(self.folder.join(name), proxies.iter().map(row).collect::<String>()).expect("written");
-        self.text(name)
+        self.path_text(name)
     }
 
     /// The settings of a proxy's keys.
     pub fn keys(&self, proxy: usize, roster: &str) -> String {
-        let (key, fleet) = (self.text(&format!("p{proxy}.key")), self.text("fleet.key"));
+        let (key, fleet) = (self.path_text(&format!("p{proxy}.key")), self.path_text("fleet.key"));
         format!("key = \"{key}\"\nfleet_keys = [\"{fleet}\"]\nroster = \"{roster}\"\n")
     }
 
@@ -146,14 +146,14 @@
         format!(
             "[gossip]\nlisten = \"127.0.0.1:0\"\naddress = \"{}\"\nseeds = [\"{}\"]\n{}\
              cap = 60000\nbeat = \"50 ms\"\nliars = 0\n",
-            self.front(proxy),
-            self.front((proxy + 1) % members),
+            self.switch_address(proxy),
+            self.switch_address((proxy + 1) % members),
             self.keys(proxy, &self.roster("roster.toml", &all)),
         )
     }
 }
 
-pub struct Story {
+pub struct Cluster {
     folder: tempfile::TempDir,
     pub proxies: Vec<Option<Running>>,
     pub files: Vec<PathBuf>,
@@ -162,35 +162,36 @@
     demand: Arc<Mutex<[f64; PROXIES]>>,
     pub switch: Arc<Switch>,
     /// When set-ups came, by whom, and to which central server.
-    pub came: Arc<Mutex<Vec<(f64, u16, usize)>>>,
-    began: Instant,
+    pub set_ups: Arc<Mutex<Vec<(f64, u16, usize)>>>,
+    started: Instant,
     _threads: Threads,
 }
 
-impl Story {
+impl Cluster {
     /// With so many central servers; all proxies gossip, with tables more in the settings of all of them.
     pub fn new(servers: usize, tables: &str) -> Self {
-        Self::with(servers, |files, proxy| format!("{}\n{tables}\n", files.gossip(proxy, PROXIES)))
+        Self::with_tables(servers, |files, proxy| format!("{}\n{tables}\n", files.gossip(proxy, PROXIES)))
     }
 
     /// With so many central servers, and with tables in the settings of each proxy.
-    pub fn with(servers: usize, tables: impl Fn(&Files, usize) -> String) -> Self {
+    pub fn with_tables(servers: usize, tables: impl Fn(&KeyFiles, usize) -> String) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
-        let began = Instant::now();
-        let mut threads = Threads { over: Arc::default(), all: Vec::new() };
+        let started = Instant::now();
+        let mut threads = Threads { stopped: Arc::default(), handles: Vec::new() };
 
-        let came = Arc::new(Mutex::new(Vec::new()));
-        let entries: Vec<PoolEntry> =
-            (0..servers).map(|server| central(&mut threads, server, began, came.clone())).collect();
+        let set_ups = Arc::new(Mutex::new(Vec::new()));
+        let entries: Vec<PoolEntry> = (0..servers)
+            .map(|server| central_server(&mut threads, server, started, set_ups.clone()))
+            .collect();
 
         let feed = TcpListener::bind("127.0.0.1:0").expect("a port");
         let feed_at = feed.local_addr().expect("bound");
         feed.set_nonblocking(true).expect("set");
-        let over = threads.over.clone();
-        threads.all.push(thread::spawn(move || {
+        let stopped = threads.stopped.clone();
+        threads.handles.push(thread::spawn(move || {
             let line = PoolUpdates { version: 1, whole: true, servers: entries }.write();
             let mut open = Vec::new();
-            while !over.load(Ordering::Relaxed) {
+            while !stopped.load(Ordering::Relaxed) {
                 if let Ok((mut stream, _)) = feed.accept() {
                     let _ = stream.write_all(line.as_bytes());
                     open.push(stream);
@@ -199,21 +200,22 @@
             }
         }));
 
-        let fronts: Vec<UdpSocket> = (0..PROXIES).map(|_| loopback()).collect();
-        let heard: Vec<UdpSocket> = fronts.iter().map(|front| front.try_clone().expect("cloned")).collect();
+        let sockets: Vec<UdpSocket> = (0..PROXIES).map(|_| loopback_socket()).collect();
+        let receivers: Vec<UdpSocket> =
+            sockets.iter().map(|socket| socket.try_clone().expect("cloned")).collect();
         let switch = Arc::new(Switch {
-            fronts,
-            real: Mutex::default(),
-            at: Mutex::new(vec![None; PROXIES]),
+            sockets,
+            senders: Mutex::default(),
+            addresses: Mutex::new(vec![None; PROXIES]),
             cut: Mutex::default(),
-            loses: AtomicU64::new(0),
+            loss_percent: AtomicU64::new(0),
             bytes: AtomicU64::new(0),
         });
-        for (to, front) in heard.into_iter().enumerate() {
+        for (to, socket) in receivers.into_iter().enumerate() {
             let switch = switch.clone();
-            threads.serve(front, move |_, datagram| {
+            threads.serve(socket, move |_, datagram| {
                 if let Some((bytes, from)) = datagram {
-                    switch.pass(to, bytes, from);
+                    switch.forward(to, bytes, from);
                 }
             });
         }
@@ -223,10 +225,10 @@
         for proxy in 0..PROXIES {
             let (callers, demand) = (callers.clone(), demand.clone());
             let mut endpoint = Endpoint::new(Limits::default(), 10 + proxy as u64);
-            let mut next = millis(began);
+            let mut next = elapsed_ms(started);
             let mut number = 0;
-            threads.serve(loopback(), move |socket, datagram| {
-                let now = millis(began);
+            threads.serve(loopback_socket(), move |socket, datagram| {
+                let now = elapsed_ms(started);
                 if let Some((bytes, from)) = datagram {
                     endpoint.receive(now, from, &Bytes::copy_from_slice(bytes));
                 }
@@ -245,41 +247,41 @@
                     }
                 }
                 endpoint.turn(now);
-                while let Some((leg, happening)) = endpoint.next_event() {
-                    if matches!(happening, Event::Answered(_)) {
+                while let Some((leg, event)) = endpoint.next_event() {
+                    if matches!(event, Event::Answered(_)) {
                         endpoint.end(now, leg, &Elements::new().with_cause(16));
                     }
                 }
-                while let Some(out) = endpoint.next_datagram() {
-                    let _ = socket.send_to(&out.bytes, out.peer);
+                while let Some(outgoing) = endpoint.next_datagram() {
+                    let _ = socket.send_to(&outgoing.bytes, outgoing.peer);
                 }
             });
         }
 
-        let mut story = Self {
+        let mut cluster = Self {
             proxies: (0..PROXIES).map(|_| None).collect(),
             files: Vec::new(),
             callers,
             demand,
             switch,
-            came,
-            began,
+            set_ups,
+            started,
             _threads: threads,
             folder,
         };
-        story.settings(feed_at, &tables);
-        (0..PROXIES).for_each(|proxy| story.start(proxy));
-        story
+        cluster.write_settings(feed_at, &tables);
+        (0..PROXIES).for_each(|proxy| cluster.start(proxy));
+        cluster
     }
 
     pub fn path(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
-    fn settings(&mut self, feed: SocketAddr, tables: &impl Fn(&Files, usize) -> String) {
+    fn write_settings(&mut self, feed: SocketAddr, tables: &impl Fn(&KeyFiles, usize) -> String) {
         let text = |path: &Path| path.to_str().expect("text").to_owned();
-        let fronts = self.switch.fronts.iter().map(|front| front.local_addr().expect("bound")).collect();
-        let files = Files::draw(self.folder.path(), fronts);
+        let sockets = self.switch.sockets.iter().map(|socket| socket.local_addr().expect("bound")).collect();
+        let files = KeyFiles::generate(self.folder.path(), sockets);
         for i in 0..PROXIES {
             let tables = tables(&files, i);
             let settings = EXAMPLE
@@ -302,15 +304,15 @@
         let mut command = frostthread();
         command.args(["run", "--config"]).arg(&self.files[proxy]).stderr(Stdio::null());
         self.proxies[proxy] = Some(Running(command.spawn().expect("started")));
-        let end = Instant::now() + Duration::from_secs(20);
-        while !self.follow(proxy) {
-            assert!(Instant::now() < end, "p{proxy} did not get ready");
+        let deadline = Instant::now() + Duration::from_secs(20);
+        while !self.read_addresses(proxy) {
+            assert!(Instant::now() < deadline, "p{proxy} did not get ready");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
     /// Starts it, whatever comes of that.
-    pub fn try_start(&mut self, proxy: usize) {
+    pub fn spawn(&mut self, proxy: usize) {
         let _ = fs::remove_file(self.path(&format!("p{proxy}")).join("ready.json"));
         let mut command = frostthread();
         command.args(["run", "--config"]).arg(&self.files[proxy]).stderr(Stdio::null());
@@ -319,34 +321,37 @@
 
     /// Learns where a proxy listens: by a release it becomes another program, at other ports. False before it
     /// is ready.
-    pub fn follow(&self, proxy: usize) -> bool {
+    pub fn read_addresses(&self, proxy: usize) -> bool {
         let ready = self.path(&format!("p{proxy}")).join("ready.json");
-        let told = fs::read_to_string(&ready).ok();
-        let Some(told) = told.and_then(|text| serde_json::from_str::<serde_json::Value>(&text).ok()) else {
+        let ready_text = fs::read_to_string(&ready).ok();
+        let Some(ready_json) =
+            ready_text.and_then(|text| serde_json::from_str::<serde_json::Value>(&text).ok())
+        else {
             return false;
         };
-        let address =
-            |key: &str| -> SocketAddr { told[key].as_str().expect("text").parse().expect("an address") };
+        let address = |key: &str| -> SocketAddr {
+            ready_json[key].as_str().expect("text").parse().expect("an address")
+        };
         self.callers.lock().expect("whole")[proxy] = Some(address("callers"));
-        self.switch.real.lock().expect("whole").insert(address("peers"), proxy);
-        self.switch.at.lock().expect("whole")[proxy] = Some(address("peers"));
+        self.switch.senders.lock().expect("whole").insert(address("peers"), proxy);
+        self.switch.addresses.lock().expect("whole")[proxy] = Some(address("peers"));
         true
     }
 
     /// Where a proxy takes callers, by its latest word.
-    pub fn takes(&self, proxy: usize) -> SocketAddr {
+    pub fn callers_address(&self, proxy: usize) -> SocketAddr {
         self.callers.lock().expect("whole")[proxy].expect("runs")
     }
 
     /// What a proxy's process was started with.
-    pub fn line(&self, proxy: usize) -> String {
+    pub fn command_line(&self, proxy: usize) -> String {
         let id = self.proxies[proxy].as_ref().expect("runs").0.id();
         fs::read_to_string(format!("/proc/{id}/cmdline")).unwrap_or_default()
     }
 
     pub fn kill(&mut self, proxy: usize) {
         self.callers.lock().expect("whole")[proxy] = None;
-        self.switch.at.lock().expect("whole")[proxy] = None;
+        self.switch.addresses.lock().expect("whole")[proxy] = None;
         self.proxies[proxy] = None;
     }
 
@@ -355,45 +360,50 @@
         assert!(Command::new("kill").args([signal, &id]).status().expect("ran").success());
     }
 
-    pub fn pass(&self, span: f64) {
-        thread::sleep(Duration::from_secs_f64(span / 1000.0));
+    pub fn sleep(&self, duration_ms: f64) {
+        thread::sleep(Duration::from_secs_f64(duration_ms / 1000.0));
     }
 
-    pub fn demand(&self, rates: [f64; PROXIES]) {
+    pub fn set_demand(&self, rates: [f64; PROXIES]) {
         *self.demand.lock().expect("whole") = rates;
     }
 
     /// One way: `to` hears nothing of `from` any more, or again.
-    pub fn cut(&self, from: &[usize], to: &[usize], cut: bool) {
+    pub fn set_cut(&self, from: &[usize], to: &[usize], cut: bool) {
         let mut links = self.switch.cut.lock().expect("whole");
         from.iter().for_each(|&from| to.iter().for_each(|&to| links[from][to] = cut));
     }
 
     pub fn now(&self) -> f64 {
-        millis(self.began)
+        elapsed_ms(self.started)
     }
 
-    pub fn came_since(&self, then: f64) -> usize {
-        self.came.lock().expect("whole").iter().filter(|(at, ..)| *at >= then).count()
+    pub fn set_ups_since(&self, since_ms: f64) -> usize {
+        self.set_ups.lock().expect("whole").iter().filter(|(at, ..)| *at >= since_ms).count()
     }
 
     /// What a command of the program prints of a proxy, as JSON.
-    pub fn told(&self, proxy: usize, words: &[&str]) -> serde_json::Value {
-        let asked = self.ask(proxy, words);
-        serde_json::from_slice(&asked.stdout).unwrap_or_else(|_| panic!("{words:?}: {asked:?}"))
+    pub fn query(&self, proxy: usize, arguments: &[&str]) -> serde_json::Value {
+        let output = self.command(proxy, arguments);
+        serde_json::from_slice(&output.stdout).unwrap_or_else(|_| panic!("{arguments:?}: {output:?}"))
     }
 
-    pub fn ask(&self, proxy: usize, words: &[&str]) -> Output {
-        frostthread().args(words).args(["--json", "--config"]).arg(&self.files[proxy]).output().expect("ran")
+    pub fn command(&self, proxy: usize, arguments: &[&str]) -> Output {
+        frostthread()
+            .args(arguments)
+            .args(["--json", "--config"])
+            .arg(&self.files[proxy])
+            .output()
+            .expect("ran")
     }
 
     /// Waits until something holds.
-    pub fn until(&self, what: &str, holds: impl Fn(&Self) -> bool) {
-        let end = Instant::now() + Duration::from_secs(20);
+    pub fn wait_until(&self, condition: &str, holds: impl Fn(&Self) -> bool) {
+        let deadline = Instant::now() + Duration::from_secs(20);
         while !holds(self) {
-            assert!(Instant::now() < end, "{what}: not within 20 s");
+            assert!(Instant::now() < deadline, "{condition}: not within 20 s");
             (0..PROXIES).filter(|&proxy| self.proxies[proxy].is_some()).for_each(|proxy| {
-                self.follow(proxy);
+                self.read_addresses(proxy);
             });
             thread::sleep(Duration::from_millis(50));
         }
@@ -401,13 +411,13 @@
 }
 
 /// A central server, which answers whatever comes.
-fn central(
+fn central_server(
     threads: &mut Threads,
     server: usize,
-    began: Instant,
-    came: Arc<Mutex<Vec<(f64, u16, usize)>>>,
+    started: Instant,
+    set_ups: Arc<Mutex<Vec<(f64, u16, usize)>>>,
 ) -> PoolEntry {
-    let socket = loopback();
+    let socket = loopback_socket();
     let entry = PoolEntry {
         name: format!("s-{server}"),
         address: socket.local_addr().expect("bound"),
@@ -417,15 +427,15 @@
     };
     let mut endpoint = Endpoint::new(Limits::default(), 1);
     threads.serve(socket, move |socket, datagram| {
-        let now = millis(began);
+        let now = elapsed_ms(started);
         if let Some((bytes, from)) = datagram {
             endpoint.receive(now, from, &Bytes::copy_from_slice(bytes));
         }
         endpoint.turn(now);
-        while let Some((leg, happening)) = endpoint.next_event() {
-            match happening {
+        while let Some((leg, event)) = endpoint.next_event() {
+            match event {
                 Event::Offered { peer, .. } => {
-                    came.lock().expect("whole").push((now, peer.port(), server));
+                    set_ups.lock().expect("whole").push((now, peer.port(), server));
                     endpoint.accept(now, leg, &Elements::new());
                     endpoint.answer(now, leg, &Elements::new());
                 }
@@ -433,8 +443,8 @@
                 _ => {}
             }
         }
-        while let Some(out) = endpoint.next_datagram() {
-            let _ = socket.send_to(&out.bytes, out.peer);
+        while let Some(outgoing) = endpoint.next_datagram() {
+            let _ = socket.send_to(&outgoing.bytes, outgoing.peer);
         }
     });
     entry
--- a/daemon/tests/council.rs
+++ b/daemon/tests/council.rs
@@ -1,164 +1,172 @@
 //! Five processes of the program decide in one order, three of them by their votes, while they are killed,
 //! stopped and cut off, and a disk is lost. What is drained is judged at the central servers' sockets.
 
-mod world;
+mod cluster;
 
 use std::cell::Cell;
 use std::fs;
 
+use cluster::{Cluster, PROXIES};
 use serde_json::Value;
-use world::{PROXIES, Story};
 
 const COUNCIL: &str = "[council]\nmembers = [\"p0\", \"p1\", \"p2\"]\nbeat = \"50 ms\"\nlease = \"2 s\"\n\n[outs]\npool_part = 0.5\n";
 
-fn story() -> Story {
-    let story = Story::new(4, COUNCIL);
-    story.until("a leader that all have heard from", |story| {
-        (0..PROXIES).all(|proxy| state(story, proxy)["age_ms"].is_number())
+fn start_cluster() -> Cluster {
+    let cluster = Cluster::new(4, COUNCIL);
+    cluster.wait_until("a leader that all have heard from", |cluster| {
+        (0..PROXIES).all(|proxy| state(cluster, proxy)["age_ms"].is_number())
     });
-    story
+    cluster
 }
 
-fn state(story: &Story, proxy: usize) -> Value {
-    story.told(proxy, &["council", "state"])
+fn state(cluster: &Cluster, proxy: usize) -> Value {
+    cluster.query(proxy, &["council", "state"])
 }
 
-fn leader(story: &Story, among: &[usize]) -> Option<usize> {
-    among.iter().copied().find(|&proxy| state(story, proxy)["role"] == "leads")
+fn leader(cluster: &Cluster, among: &[usize]) -> Option<usize> {
+    among.iter().copied().find(|&proxy| state(cluster, proxy)["role"] == "leads")
 }
 
 /// The leader, once there is one: a process that is held up for longer than its beats makes way for another.
-fn elected(story: &Story, among: &[usize]) -> usize {
+fn wait_for_leader(cluster: &Cluster, among: &[usize]) -> usize {
     let found = Cell::new(None);
-    story.until("a leader", |story| {
-        found.set(leader(story, among));
+    cluster.wait_until("a leader", |cluster| {
+        found.set(leader(cluster, among));
         found.get().is_some()
     });
     found.get().expect("waited for")
 }
 
-fn drained(story: &Story, proxy: usize) -> Vec<String> {
-    let outs = story.told(proxy, &["outs"]);
+fn drained(cluster: &Cluster, proxy: usize) -> Vec<String> {
+    let outs = cluster.query(proxy, &["outs"]);
     let drains = outs["drains"].as_array().expect("drains");
     drains.iter().map(|drain| drain["server"].as_str().expect("a name").to_owned()).collect()
 }
 
 /// All of them have carried out the same, and the last of it comes to the same.
-fn at_one(story: &Story, among: &[usize]) {
-    story.until("all at one", |story| {
-        let all: Vec<_> = among.iter().map(|&proxy| state(story, proxy)).collect();
+fn wait_for_agreement(cluster: &Cluster, among: &[usize]) {
+    cluster.wait_until("all at one", |cluster| {
+        let all: Vec<_> = among.iter().map(|&proxy| state(cluster, proxy)).collect();
         let same = |a: &Value, b: &Value| a["applied"] == b["applied"] && a["hash"] == b["hash"];
         all.windows(2).all(|pair| same(&pair[0], &pair[1])) && all[0]["applied"].as_u64() > Some(0)
     });
 }
 
-fn came_to(story: &Story, server: usize, since: f64) -> usize {
-    story.came.lock().expect("whole").iter().filter(|(at, _, to)| *to == server && *at >= since).count()
+fn set_ups_at(cluster: &Cluster, server: usize, since: f64) -> usize {
+    cluster.set_ups.lock().expect("whole").iter().filter(|(at, _, to)| *to == server && *at >= since).count()
 }
 
 #[test]
 fn a_drain_asked_for_at_any_proxy_holds_at_all_and_is_taken_back() {
-    let story = story();
-    story.demand([30.0; PROXIES]);
-    story.until("calls at the first server", |story| came_to(story, 0, 0.0) > 20);
-    let dry = story.ask(4, &["drain", "s-0", "--dry-run"]);
-    assert!(dry.status.success() && drained(&story, 4).is_empty(), "{dry:?}");
-    let asked = story.ask(4, &["drain", "s-0", "--why", "disk"]);
-    assert!(asked.status.success(), "{asked:?}");
-    story.until("known to all", |story| (0..PROXIES).all(|proxy| drained(story, proxy) == ["s-0"]));
+    let cluster = start_cluster();
+    cluster.set_demand([30.0; PROXIES]);
+    cluster.wait_until("calls at the first server", |cluster| set_ups_at(cluster, 0, 0.0) > 20);
+    let dry_run = cluster.command(4, &["drain", "s-0", "--dry-run"]);
+    assert!(dry_run.status.success() && drained(&cluster, 4).is_empty(), "{dry_run:?}");
+    let output = cluster.command(4, &["drain", "s-0", "--why", "disk"]);
+    assert!(output.status.success(), "{output:?}");
+    cluster
+        .wait_until("known to all", |cluster| (0..PROXIES).all(|proxy| drained(cluster, proxy) == ["s-0"]));
     // What was under way may still come.
-    story.pass(300.0);
-    let since = story.now();
-    story.pass(1500.0);
-    assert_eq!(came_to(&story, 0, since), 0, "set-ups at a drained server");
-    assert!(came_to(&story, 1, since) > 20, "another has them");
-    let row = &story.told(0, &["outs"])["drains"][0];
+    cluster.sleep(300.0);
+    let since = cluster.now();
+    cluster.sleep(1500.0);
+    assert_eq!(set_ups_at(&cluster, 0, since), 0, "set-ups at a drained server");
+    assert!(set_ups_at(&cluster, 1, since) > 20, "another has them");
+    let row = &cluster.query(0, &["outs"])["drains"][0];
     assert_eq!((&row["by"], &row["why"]), (&"p4".into(), &"disk".into()), "{row}");
 
-    assert!(story.ask(0, &["drain", "s-2"]).status.success());
-    let third = story.ask(1, &["drain", "s-3"]);
+    assert!(cluster.command(0, &["drain", "s-2"]).status.success());
+    let third = cluster.command(1, &["drain", "s-3"]);
     assert_eq!(third.status.code(), Some(3), "half of a pool of four may be out: {third:?}");
     assert!(String::from_utf8_lossy(&third.stdout).contains("2 may be"), "{third:?}");
-    assert!(story.ask(2, &["undrain", "s-0"]).status.success());
-    let since = story.now();
-    story.until("used again", |story| came_to(story, 0, since) > 20);
-    at_one(&story, &[0, 1, 2, 3, 4]);
+    assert!(cluster.command(2, &["undrain", "s-0"]).status.success());
+    let since = cluster.now();
+    cluster.wait_until("used again", |cluster| set_ups_at(cluster, 0, since) > 20);
+    wait_for_agreement(&cluster, &[0, 1, 2, 3, 4]);
 }
 
 #[test]
 fn decisions_outlive_their_leader_and_all_processes_at_once() {
-    let mut story = story();
-    assert!(story.ask(3, &["drain", "s-0"]).status.success());
-    let first = elected(&story, &[0, 1, 2]);
-    story.kill(first);
-    let rest: Vec<usize> = (0..3).filter(|&proxy| proxy != first).collect();
-    story.until("another leader", |story| leader(story, &rest).is_some());
-    assert!(story.ask(4, &["drain", "s-2"]).status.success());
-    story.start(first);
-    at_one(&story, &[0, 1, 2, 3, 4]);
-    (0..PROXIES).for_each(|proxy| story.kill(proxy));
-    (0..PROXIES).for_each(|proxy| story.start(proxy));
-    story.until("known again", |story| (0..PROXIES).all(|proxy| drained(story, proxy) == ["s-0", "s-2"]));
-    at_one(&story, &[0, 1, 2, 3, 4]);
+    let mut cluster = start_cluster();
+    assert!(cluster.command(3, &["drain", "s-0"]).status.success());
+    let first = wait_for_leader(&cluster, &[0, 1, 2]);
+    cluster.kill(first);
+    let others: Vec<usize> = (0..3).filter(|&proxy| proxy != first).collect();
+    cluster.wait_until("another leader", |cluster| leader(cluster, &others).is_some());
+    assert!(cluster.command(4, &["drain", "s-2"]).status.success());
+    cluster.start(first);
+    wait_for_agreement(&cluster, &[0, 1, 2, 3, 4]);
+    (0..PROXIES).for_each(|proxy| cluster.kill(proxy));
+    (0..PROXIES).for_each(|proxy| cluster.start(proxy));
+    cluster.wait_until("known again", |cluster| {
+        (0..PROXIES).all(|proxy| drained(cluster, proxy) == ["s-0", "s-2"])
+    });
+    wait_for_agreement(&cluster, &[0, 1, 2, 3, 4]);
 }
 
 #[test]
 fn without_a_majority_nothing_begins_and_what_was_decided_holds() {
-    let story = story();
-    story.demand([20.0; PROXIES]);
-    assert!(story.ask(0, &["drain", "s-3"]).status.success());
-    story.until("known to all", |story| (0..PROXIES).all(|proxy| drained(story, proxy) == ["s-3"]));
+    let cluster = start_cluster();
+    cluster.set_demand([20.0; PROXIES]);
+    assert!(cluster.command(0, &["drain", "s-3"]).status.success());
+    cluster
+        .wait_until("known to all", |cluster| (0..PROXIES).all(|proxy| drained(cluster, proxy) == ["s-3"]));
     // 0 with 3 on one side; 1, 2 and 4, a majority, on the other.
-    story.cut(&[0, 3], &[1, 2, 4], true);
-    story.cut(&[1, 2, 4], &[0, 3], true);
-    story.until("a leader beyond the cut", |story| leader(story, &[1, 2]).is_some());
+    cluster.set_cut(&[0, 3], &[1, 2, 4], true);
+    cluster.set_cut(&[1, 2, 4], &[0, 3], true);
+    cluster.wait_until("a leader beyond the cut", |cluster| leader(cluster, &[1, 2]).is_some());
     let (here, there) = std::thread::scope(|scope| {
-        let here = scope.spawn(|| story.ask(3, &["undrain", "s-3"]));
-        let there = scope.spawn(|| story.ask(4, &["drain", "s-0"]));
+        let here = scope.spawn(|| cluster.command(3, &["undrain", "s-3"]));
+        let there = scope.spawn(|| cluster.command(4, &["drain", "s-0"]));
         (here.join().expect("ran"), there.join().expect("ran"))
     });
     assert!(there.status.success(), "{there:?}");
     assert_eq!(here.status.code(), Some(1), "{here:?}");
     assert!(String::from_utf8_lossy(&here.stderr).contains("no majority"), "{here:?}");
-    assert_eq!(drained(&story, 0), ["s-3"], "what was decided holds");
-    assert!(state(&story, 3)["age_ms"].as_f64() > Some(2_000.0), "it knows that it knows nothing new");
-    let since = story.now();
-    story.pass(500.0);
-    assert!(came_to(&story, 0, since) + came_to(&story, 1, since) > 0, "calls go on");
-    assert_eq!(came_to(&story, 3, since), 0);
-    story.cut(&[0, 3], &[1, 2, 4], false);
-    story.cut(&[1, 2, 4], &[0, 3], false);
-    at_one(&story, &[0, 1, 2, 3, 4]);
+    assert_eq!(drained(&cluster, 0), ["s-3"], "what was decided holds");
+    assert!(state(&cluster, 3)["age_ms"].as_f64() > Some(2_000.0), "it knows that it knows nothing new");
+    let since = cluster.now();
+    cluster.sleep(500.0);
+    assert!(set_ups_at(&cluster, 0, since) + set_ups_at(&cluster, 1, since) > 0, "calls go on");
+    assert_eq!(set_ups_at(&cluster, 3, since), 0);
+    cluster.set_cut(&[0, 3], &[1, 2, 4], false);
+    cluster.set_cut(&[1, 2, 4], &[0, 3], false);
+    wait_for_agreement(&cluster, &[0, 1, 2, 3, 4]);
 }
 
 #[test]
 fn a_member_whose_disk_is_lost_is_let_in_anew_and_a_stopped_leader_wakes_deposed() {
-    let mut story = story();
-    assert!(story.ask(1, &["drain", "s-1"]).status.success());
-    let lost = (0..3).find(|&proxy| Some(proxy) != leader(&story, &[0, 1, 2])).expect("follows");
-    story.kill(lost);
+    let mut cluster = start_cluster();
+    assert!(cluster.command(1, &["drain", "s-1"]).status.success());
+    let lost = (0..3).find(|&proxy| Some(proxy) != leader(&cluster, &[0, 1, 2])).expect("follows");
+    cluster.kill(lost);
     for file in ["council", "council.lock"] {
-        fs::remove_file(story.path(&format!("p{lost}")).join(file)).expect("was there");
+        fs::remove_file(cluster.path(&format!("p{lost}")).join(file)).expect("was there");
     }
-    story.start(lost);
-    story.until("barred", |story| state(story, lost)["role"] == "barred");
+    cluster.start(lost);
+    cluster.wait_until("barred", |cluster| state(cluster, lost)["role"] == "barred");
     let name = format!("p{lost}");
-    let led = elected(&story, &[0, 1, 2]);
-    story.until("its number heard", |story| {
-        state(story, led)["voteless"]
+    let current_leader = wait_for_leader(&cluster, &[0, 1, 2]);
+    cluster.wait_until("its number heard", |cluster| {
+        state(cluster, current_leader)["voteless"]
             .as_array()
             .is_some_and(|all| all.iter().any(|of| of["name"] == name[..]))
     });
-    story.until("out", |story| story.ask(led, &["council", "remove", &name]).status.success());
-    story.until("in anew", |story| story.ask(led, &["council", "add", &name]).status.success());
-    story.until("it votes", |story| state(story, lost)["role"] == "follows");
-
-    let led = elected(&story, &[0, 1, 2]);
-    story.signal(led, "-STOP");
-    let rest: Vec<usize> = (0..3).filter(|&proxy| proxy != led).collect();
-    story.until("another leader", |story| leader(story, &rest).is_some());
-    assert!(story.ask(4, &["undrain", "s-1"]).status.success(), "the one let in anew votes");
-    story.signal(led, "-CONT");
-    story.until("it knows", |story| drained(story, led).is_empty());
-    at_one(&story, &[0, 1, 2, 3, 4]);
+    cluster.wait_until("out", |cluster| {
+        cluster.command(current_leader, &["council", "remove", &name]).status.success()
+    });
+    cluster.wait_until("in anew", |cluster| {
+        cluster.command(current_leader, &["council", "add", &name]).status.success()
+    });
+    cluster.wait_until("it votes", |cluster| state(cluster, lost)["role"] == "follows");
+
+    let current_leader = wait_for_leader(&cluster, &[0, 1, 2]);
+    cluster.signal(current_leader, "-STOP");
+    let others: Vec<usize> = (0..3).filter(|&proxy| proxy != current_leader).collect();
+    cluster.wait_until("another leader", |cluster| leader(cluster, &others).is_some());
+    assert!(cluster.command(4, &["undrain", "s-1"]).status.success(), "the one let in anew votes");
+    cluster.signal(current_leader, "-CONT");
+    cluster.wait_until("it knows", |cluster| drained(cluster, current_leader).is_empty());
+    wait_for_agreement(&cluster, &[0, 1, 2, 3, 4]);
 }
--- a/daemon/tests/fleet.rs
+++ b/daemon/tests/fleet.rs
@@ -1,119 +1,123 @@
 //! Five processes of the program hold one limit together while links between them fail and they are killed,
 //! stopped and started again. What counts is what came to the central server's socket.
 
-mod world;
+mod cluster;
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use world::{PROXIES, Story};
+use cluster::{Cluster, PROXIES};
 
 /// The limit: whole set-ups over all proxies in any window, in milliseconds.
 const PERMITS: usize = 10;
-const WINDOW: f64 = 500.0;
+const WINDOW_MS: f64 = 500.0;
 const LEASE: Duration = Duration::from_millis(800);
 /// How much later one datagram may be looked at than another, on a machine that does much else.
-const SPREAD: f64 = 400.0;
+const SPREAD_MS: f64 = 400.0;
 
-fn story() -> Story {
+fn start_cluster() -> Cluster {
     let table = format!(
-        "[fleet]\nwindow = \"{WINDOW} ms\"\nbeat = \"40 ms\"\nlease = \"{} ms\"\nspread = \"{SPREAD} ms\"\n\
+        "[fleet]\nwindow = \"{WINDOW_MS} ms\"\nbeat = \"40 ms\"\nlease = \"{} ms\"\nspread = \"{SPREAD_MS} ms\"\n\
          floor = 0.0\nmost = {}\n",
         LEASE.as_millis(),
-        PERMITS as f64 * 1000.0 / WINDOW,
+        PERMITS as f64 * 1000.0 / WINDOW_MS,
     );
-    let story = Story::new(1, &table);
+    let cluster = Cluster::new(1, &table);
     // What earlier processes of these names might have lent is waited out, and everybody knows everybody.
-    story.pass(LEASE.as_secs_f64() * 1000.0 + WINDOW + SPREAD + 500.0);
-    story
+    cluster.sleep(LEASE.as_secs_f64() * 1000.0 + WINDOW_MS + SPREAD_MS + 500.0);
+    cluster
 }
 
 /// No window of the central server's had more set-ups than the limit.
-fn holds(story: &Story) {
-    let came = story.came.lock().expect("whole");
-    assert!(came.len() > 2 * PERMITS, "too few set-ups to tell: {}", came.len());
-    assert!(story.switch.bytes.load(Ordering::Relaxed) > 0, "all went through the switch");
-    for (i, (at, ..)) in came.iter().enumerate() {
-        let within: Vec<_> = came[..=i].iter().filter(|(then, ..)| *then > at - WINDOW).collect();
+fn assert_limit_holds(cluster: &Cluster) {
+    let set_ups = cluster.set_ups.lock().expect("whole");
+    assert!(set_ups.len() > 2 * PERMITS, "too few set-ups to tell: {}", set_ups.len());
+    assert!(cluster.switch.bytes.load(Ordering::Relaxed) > 0, "all went through the switch");
+    for (i, (at, ..)) in set_ups.iter().enumerate() {
+        let in_window: Vec<_> = set_ups[..=i].iter().filter(|(then, ..)| *then > at - WINDOW_MS).collect();
         assert!(
-            within.len() <= PERMITS,
-            "{} set-ups in the window that ends at {at}: {within:?}",
-            within.len()
+            in_window.len() <= PERMITS,
+            "{} set-ups in the window that ends at {at}: {in_window:?}",
+            in_window.len()
         );
     }
 }
 
-fn limits_of(story: &Story, proxy: usize) -> serde_json::Value {
-    story.told(proxy, &["limits"])
+fn limits_at(cluster: &Cluster, proxy: usize) -> serde_json::Value {
+    cluster.query(proxy, &["limits"])
 }
 
 #[test]
 fn all_demand_at_one_proxy_gets_what_the_others_leave_and_then_at_another() {
-    let story = story();
-    story.demand([60.0, 0.0, 0.0, 0.0, 0.0]);
-    story.pass(2500.0);
-    let then = story.now();
-    story.pass(2000.0);
-    let limits = limits_of(&story, 0);
+    let cluster = start_cluster();
+    cluster.set_demand([60.0, 0.0, 0.0, 0.0, 0.0]);
+    cluster.sleep(2500.0);
+    let since = cluster.now();
+    cluster.sleep(2000.0);
+    let limits = limits_at(&cluster, 0);
     let (own, borrowed) = (&limits["limits"][0]["part"], &limits["limits"][0]["borrowed"]);
     assert_eq!(own.as_u64(), Some((PERMITS / PROXIES) as u64), "{limits}");
     assert!(borrowed.as_u64() > Some(2), "{limits}");
     // Its own part alone would be four in two seconds of rests.
-    assert!(story.came_since(then) >= 9, "{} in two seconds: {limits}", story.came_since(then));
-    eprintln!("{} in two seconds: {limits}", story.came_since(then));
-    story.demand([0.0, 0.0, 0.0, 60.0, 0.0]);
-    story.pass(3000.0);
-    let then = story.now();
-    story.pass(2000.0);
-    let all: Vec<_> = (0..PROXIES).map(|proxy| limits_of(&story, proxy)).collect();
-    assert!(story.came_since(then) >= 9, "{} in two seconds elsewhere: {all:?}", story.came_since(then));
-    holds(&story);
+    assert!(cluster.set_ups_since(since) >= 9, "{} in two seconds: {limits}", cluster.set_ups_since(since));
+    eprintln!("{} in two seconds: {limits}", cluster.set_ups_since(since));
+    cluster.set_demand([0.0, 0.0, 0.0, 60.0, 0.0]);
+    cluster.sleep(3000.0);
+    let since = cluster.now();
+    cluster.sleep(2000.0);
+    let all: Vec<_> = (0..PROXIES).map(|proxy| limits_at(&cluster, proxy)).collect();
+    assert!(
+        cluster.set_ups_since(since) >= 9,
+        "{} in two seconds elsewhere: {all:?}",
+        cluster.set_ups_since(since)
+    );
+    assert_limit_holds(&cluster);
 }
 
 #[test]
 fn halves_that_do_not_hear_each_other_keep_within_the_limit_and_heal() {
-    let story = story();
-    story.demand([60.0, 0.0, 60.0, 0.0, 10.0]);
-    story.pass(1500.0);
-    story.cut(&[0, 1], &[2, 3, 4], true);
-    story.cut(&[2, 3, 4], &[0, 1], true);
-    story.pass(2500.0);
-    story.cut(&[0, 1], &[2, 3, 4], false);
+    let cluster = start_cluster();
+    cluster.set_demand([60.0, 0.0, 60.0, 0.0, 10.0]);
+    cluster.sleep(1500.0);
+    cluster.set_cut(&[0, 1], &[2, 3, 4], true);
+    cluster.set_cut(&[2, 3, 4], &[0, 1], true);
+    cluster.sleep(2500.0);
+    cluster.set_cut(&[0, 1], &[2, 3, 4], false);
     // One way only, with losses.
-    story.switch.loses.store(30, Ordering::Relaxed);
-    story.pass(1500.0);
-    story.cut(&[2, 3, 4], &[0, 1], false);
-    story.pass(1500.0);
-    holds(&story);
+    cluster.switch.loss_percent.store(30, Ordering::Relaxed);
+    cluster.sleep(1500.0);
+    cluster.set_cut(&[2, 3, 4], &[0, 1], false);
+    cluster.sleep(1500.0);
+    assert_limit_holds(&cluster);
 }
 
 #[test]
 fn lenders_and_takers_that_are_killed_and_start_at_once_do_not_pass_the_limit() {
-    let mut story = story();
-    story.demand([60.0, 0.0, 0.0, 0.0, 0.0]);
-    story.pass(1500.0);
+    let mut cluster = start_cluster();
+    cluster.set_demand([60.0, 0.0, 0.0, 0.0, 0.0]);
+    cluster.sleep(1500.0);
     // They forget what they lent, and want it themselves.
     for lender in [1, 2] {
-        story.kill(lender);
-        story.start(lender);
+        cluster.kill(lender);
+        cluster.start(lender);
     }
-    story.demand([60.0, 60.0, 60.0, 0.0, 0.0]);
-    story.pass(1500.0);
-    story.kill(0);
-    story.start(0);
-    story.pass(2500.0);
-    holds(&story);
+    cluster.set_demand([60.0, 60.0, 60.0, 0.0, 0.0]);
+    cluster.sleep(1500.0);
+    cluster.kill(0);
+    cluster.start(0);
+    cluster.sleep(2500.0);
+    assert_limit_holds(&cluster);
 }
 
 #[test]
 fn a_proxy_that_was_stopped_wakes_with_a_lapsed_lease_and_does_not_use_it() {
-    let story = story();
-    story.demand([60.0, 0.0, 0.0, 0.0, 0.0]);
-    story.pass(1500.0);
-    story.signal(0, "-STOP");
-    story.demand([60.0, 60.0, 60.0, 0.0, 0.0]);
-    story.pass(2500.0);
-    story.signal(0, "-CONT");
-    story.pass(2000.0);
-    holds(&story);
+    let cluster = start_cluster();
+    cluster.set_demand([60.0, 0.0, 0.0, 0.0, 0.0]);
+    cluster.sleep(1500.0);
+    cluster.signal(0, "-STOP");
+    cluster.set_demand([60.0, 60.0, 60.0, 0.0, 0.0]);
+    cluster.sleep(2500.0);
+    cluster.signal(0, "-CONT");
+    cluster.sleep(2000.0);
+    assert_limit_holds(&cluster);
 }
--- a/daemon/tests/town/mod.rs
+++ b/daemon/tests/network/mod.rs
@@ -15,24 +15,24 @@
 use sip::{Message, Reader, Request, Response, StartLine};
 use socket2::{Domain, Socket, Type};
 
-pub const DESC: &str = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n";
+pub const DESCRIPTION: &str = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n";
 /// No wait of a story is longer.
-const LONGEST: Duration = Duration::from_secs(20);
+const MAX_WAIT: Duration = Duration::from_secs(20);
 /// Past the time that the settings have a release awaited, with the protocol's slack.
-pub const RELEASED: Duration = Duration::from_millis(350);
+pub const RELEASE_WAIT: Duration = Duration::from_millis(350);
 
-pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + LONGEST;
-    while Instant::now() < end {
-        if let Some(found) = look() {
+pub fn wait_for<T>(event: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + MAX_WAIT;
+    while Instant::now() < deadline {
+        if let Some(found) = poll() {
             return found;
         }
         std::thread::sleep(Duration::from_millis(2));
     }
-    panic!("{what} did not come");
+    panic!("{event} did not come");
 }
 
-pub fn id(number: u64) -> String {
+pub fn call_id(number: u64) -> String {
     format!("{number:016x}")
 }
 
@@ -48,7 +48,7 @@
     }
 
     /// One whose connections take little that is not read, and that keeps one connection waiting at most.
-    pub fn narrow(name: &str) -> Self {
+    pub fn with_small_buffer(name: &str) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.set_recv_buffer_size(4096).expect("set");
         socket.set_tcp_mss(536).expect("set");
@@ -62,15 +62,15 @@
     }
 
     /// Connections of the story's own, until no further one comes up before some are accepted.
-    pub fn fill(&self) -> Vec<TcpStream> {
+    pub fn fill_accept_queue(&self) -> Vec<TcpStream> {
         let dial = || TcpStream::connect_timeout(&self.address(), Duration::from_millis(100)).ok();
         std::iter::from_fn(dial).collect()
     }
 
-    pub fn accept(&self) -> Peer {
+    pub fn accept(&self) -> ServerConnection {
         self.listener.set_nonblocking(true).expect("set");
-        let (stream, _) = until("a connection", || self.listener.accept().ok());
-        Peer::of(stream)
+        let (stream, _) = wait_for("a connection", || self.listener.accept().ok());
+        ServerConnection::from_stream(stream)
     }
 
     /// Its line of the list.
@@ -81,39 +81,39 @@
 }
 
 /// A central server's end of a connection.
-pub struct Peer {
+pub struct ServerConnection {
     pub stream: TcpStream,
     reader: Reader,
-    came: VecDeque<Message>,
+    received: VecDeque<Message>,
 }
 
-impl Peer {
-    fn of(stream: TcpStream) -> Self {
+impl ServerConnection {
+    fn from_stream(stream: TcpStream) -> Self {
         stream.set_nonblocking(false).expect("set");
         stream.set_nodelay(true).expect("set");
-        Self { stream, reader: Reader::default(), came: VecDeque::new() }
+        Self { stream, reader: Reader::default(), received: VecDeque::new() }
     }
 
     /// The next message of a method, if one is there by now.
-    fn ready(&mut self, method: &str) -> Option<Message> {
+    fn next_ready(&mut self, method: &str) -> Option<Message> {
         self.stream.set_nonblocking(true).expect("set");
         let mut buffer = [0; 65536];
         while let Ok(read @ 1..) = self.stream.read(&mut buffer) {
             self.reader.feed(&buffer[..read]);
             while let Some(message) = self.reader.message().expect("sound") {
-                self.came.push_back(message);
+                self.received.push_back(message);
             }
         }
         self.stream.set_nonblocking(false).expect("set");
-        let at = self.came.iter().position(|message| message.method == method)?;
-        self.came.remove(at)
+        let at = self.received.iter().position(|message| message.method == method)?;
+        self.received.remove(at)
     }
 
     /// The next message, or none where the connection has ended.
     pub fn next(&mut self) -> Option<Message> {
-        self.stream.set_read_timeout(Some(LONGEST)).expect("set");
+        self.stream.set_read_timeout(Some(MAX_WAIT)).expect("set");
         loop {
-            if let Some(message) = self.came.pop_front() {
+            if let Some(message) = self.received.pop_front() {
                 return Some(message);
             }
             let mut buffer = [0; 65536];
@@ -127,13 +127,13 @@
             }
             self.reader.feed(&buffer[..read]);
             while let Some(message) = self.reader.message().expect("sound") {
-                self.came.push_back(message);
+                self.received.push_back(message);
             }
         }
     }
 
     /// The next message of a method, whatever else comes before it.
-    pub fn next_of(&mut self, method: &str) -> Message {
+    pub fn next_with_method(&mut self, method: &str) -> Message {
         loop {
             let message = self.next().expect("a message");
             if matches!(&message.start, StartLine::Request { method: found, .. } if found == method) {
@@ -142,57 +142,57 @@
         }
     }
 
-    pub fn set_up(&mut self) -> Message {
-        self.next_of("INVITE")
+    pub fn next_set_up(&mut self) -> Message {
+        self.next_with_method("INVITE")
     }
 
-    pub fn say(&mut self, bytes: &[u8]) {
+    pub fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("written");
     }
 
-    pub fn answer(&mut self, set_up: &Message, code: u16) {
-        let bytes = answer(set_up, code);
-        self.say(&bytes);
+    pub fn respond(&mut self, set_up: &Message, code: u16) {
+        let bytes = response(set_up, code);
+        self.send(&bytes);
     }
 
     pub fn release(&mut self, call: &str, cause: u8) {
         let reason = format!("Q.850;cause={cause}");
         let headers = &[("Reason", reason.as_str())];
         let bye = Request { method: "BYE", uri: "sip:x@net", call_id: call, number: 9, headers, body: b"" };
-        self.say(&bye.write());
+        self.send(&bye.write());
     }
 }
 
 /// The bytes of an answer to a set-up.
-pub fn answer(set_up: &Message, code: u16) -> Vec<u8> {
-    answer_noted(set_up, code, "ok")
+pub fn response(set_up: &Message, code: u16) -> Vec<u8> {
+    response_with_note(set_up, code, "ok")
 }
 
 /// The same, with a note.
-pub fn answer_noted(set_up: &Message, code: u16, note: &str) -> Vec<u8> {
+pub fn response_with_note(set_up: &Message, code: u16, note: &str) -> Vec<u8> {
     let body: &[u8] = if code == 200 { b"v=0\r\n" } else { b"" };
-    answer_with(set_up, code, note, body)
+    build_response(set_up, code, note, body)
 }
 
 /// A good answer with a long description.
-pub fn answer_long(set_up: &Message, desc: &str) -> Vec<u8> {
-    answer_with(set_up, 200, "ok", desc.as_bytes())
+pub fn response_with_description(set_up: &Message, desc: &str) -> Vec<u8> {
+    build_response(set_up, 200, "ok", desc.as_bytes())
 }
 
-fn answer_with(set_up: &Message, code: u16, note: &str, body: &[u8]) -> Vec<u8> {
+fn build_response(set_up: &Message, code: u16, note: &str, body: &[u8]) -> Vec<u8> {
     let (call_id, number) = (set_up.call_id.as_str(), set_up.number);
     let headers = &[("X-Outcome", note)];
     Response { code, phrase: "x", call_id, number, method: "INVITE", headers, body }.write()
 }
 
 /// The next set-up on any connection of a server, those that come up meanwhile among them; with its connection.
-pub fn next_set_up(server: &Server, peers: &mut Vec<Peer>) -> (usize, Message) {
+pub fn next_set_up(server: &Server, peers: &mut Vec<ServerConnection>) -> (usize, Message) {
     server.listener.set_nonblocking(true).expect("set");
-    until("a set-up", || {
+    wait_for("a set-up", || {
         if let Ok((stream, _)) = server.listener.accept() {
-            peers.push(Peer::of(stream));
+            peers.push(ServerConnection::from_stream(stream));
         }
-        peers.iter_mut().enumerate().find_map(|(which, peer)| Some((which, peer.ready("INVITE")?)))
+        peers.iter_mut().enumerate().find_map(|(which, peer)| Some((which, peer.next_ready("INVITE")?)))
     })
 }
 
@@ -203,56 +203,56 @@
 }
 
 impl Caller {
-    pub fn new(proxy: SocketAddr) -> Self {
-        Self::on(until("its ear", || TcpStream::connect(proxy).ok()))
+    pub fn new(address: SocketAddr) -> Self {
+        Self::on(wait_for("its ear", || TcpStream::connect(address).ok()))
     }
 
     /// One whose connection takes little that is not read.
-    pub fn narrow(proxy: SocketAddr) -> Self {
+    pub fn with_small_buffer(address: SocketAddr) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.set_recv_buffer_size(4096).expect("set");
         socket.set_tcp_mss(536).expect("set");
-        socket.connect(&proxy.into()).expect("its ear");
+        socket.connect(&address.into()).expect("its ear");
         Self::on(socket.into())
     }
 
     fn on(stream: TcpStream) -> Self {
         stream.set_nodelay(true).expect("set");
-        stream.set_read_timeout(Some(LONGEST)).expect("set");
+        stream.set_read_timeout(Some(MAX_WAIT)).expect("set");
         let lines = BufReader::new(stream.try_clone().expect("one more"));
         Self { stream, lines }
     }
 
-    pub fn say(&mut self, line: &Value) {
+    pub fn send(&mut self, line: &Value) {
         self.stream.write_all(format!("{line}\n").as_bytes()).expect("written");
     }
 
     pub fn offer(&mut self, call: &str) {
-        self.say(&offer(call, 1, DESC));
+        self.send(&offer(call, 1, DESCRIPTION));
     }
 
     /// To a called number of its own.
     pub fn offer_to(&mut self, call: &str, called: u64) {
-        self.say(&offer(call, called, DESC));
+        self.send(&offer(call, called, DESCRIPTION));
     }
 
     /// A set-up that fills most of a message.
-    pub fn offer_much(&mut self, call: &str) {
-        self.say(&offer(call, 1, &"x".repeat(15_000)));
+    pub fn offer_large(&mut self, call: &str) {
+        self.send(&offer(call, 1, &"x".repeat(15_000)));
     }
 
     pub fn end(&mut self, call: &str) {
-        self.say(&json!({"op": "end", "call": call, "with": {}, "why": 16}));
+        self.send(&json!({"op": "end", "call": call, "with": {}, "why": 16}));
     }
 
-    pub fn stands_at(&mut self, call: &str, server: &str) {
+    pub fn declare_established(&mut self, call: &str, server: &str) {
         let with = json!({"class": "voice", "extras": format!("at:{server}")});
-        self.say(&json!({"op": "offer", "call": call, "with": with}));
+        self.send(&json!({"op": "offer", "call": call, "with": with}));
     }
 
     /// Whether a test passes.
-    pub fn test(&mut self) -> bool {
-        self.say(&json!({"op": "test", "call": id(0xfe), "with": {}, "why": 0}));
+    pub fn passes_test(&mut self) -> bool {
+        self.send(&json!({"op": "test", "call": call_id(0xfe), "with": {}, "why": 0}));
         self.line().expect("an answer")["why"] == 1
     }
 
@@ -268,7 +268,7 @@
     }
 
     /// The next line's operation and call.
-    pub fn told(&mut self) -> (String, String) {
+    pub fn next_reply(&mut self) -> (String, String) {
         let line = self.line().expect("a line");
         let text = |field: &str| line[field].as_str().expect("text").to_owned();
         (text("op"), text("call"))
@@ -281,27 +281,27 @@
 }
 
 /// A change log's ear.
-pub struct Log {
+pub struct ChangeLog {
     listener: TcpListener,
 }
 
-impl Default for Log {
+impl Default for ChangeLog {
     fn default() -> Self {
         Self { listener: TcpListener::bind("127.0.0.1:0").expect("a port") }
     }
 }
 
-impl Log {
+impl ChangeLog {
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().expect("bound")
     }
 
     /// Is asked; gives the connection, answered so far that events can follow, and what was asked for.
-    pub fn asked(&self) -> (TcpStream, u64) {
+    pub fn accept_request(&self) -> (TcpStream, u64) {
         self.listener.set_nonblocking(true).expect("set");
-        let (mut stream, _) = until("a call for the list", || self.listener.accept().ok());
+        let (mut stream, _) = wait_for("a call for the list", || self.listener.accept().ok());
         stream.set_nonblocking(false).expect("set");
-        stream.set_read_timeout(Some(LONGEST)).expect("set");
+        stream.set_read_timeout(Some(MAX_WAIT)).expect("set");
         let mut lines = BufReader::new(stream.try_clone().expect("one more")).lines();
         let head: Vec<String> =
             lines.by_ref().map(|line| line.expect("text")).take_while(|line| !line.is_empty()).collect();
@@ -321,17 +321,17 @@
 }
 
 /// One border proxy as a process, and what it was told at its start.
-pub struct Town {
+pub struct TestProxy {
     folder: tempfile::TempDir,
-    pub proxy: SocketAddr,
-    pub log: Log,
+    pub address: SocketAddr,
+    pub changelog: ChangeLog,
     configuration: Value,
     /// How many descriptors the process may hold, where that is not what its configuration says.
     pub descriptors_allowed: Option<u64>,
     running: Option<Child>,
 }
 
-impl Drop for Town {
+impl Drop for TestProxy {
     fn drop(&mut self) {
         if let Some(mut running) = self.running.take() {
             let _ = running.kill();
@@ -340,26 +340,26 @@
     }
 }
 
-impl Town {
+impl TestProxy {
     /// Started, with these central servers known and running.
     pub fn new(servers: &[&Server]) -> Self {
-        let mut town = Self::idle(servers);
-        town.start();
-        town
+        let mut test_proxy = Self::not_started(servers);
+        test_proxy.start();
+        test_proxy
     }
 
     /// Not started yet.
-    pub fn idle(servers: &[&Server]) -> Self {
-        let proxy = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
+    pub fn not_started(servers: &[&Server]) -> Self {
+        let address = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
         let peers = UdpSocket::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
-        let log = Log::default();
+        let changelog = ChangeLog::default();
         let entries: Vec<Value> = servers.iter().map(|server| server.entry("in_service")).collect();
         let profile = json!({"name": "voice", "objective": 2.0, "deadline": 9.0, "worth": 1.0,
             "late_worth": 0.1, "effect": "repeatable", "streamed": true});
         let configuration = json!({
-            "name": "n0", "listen": proxy.to_string(), "seed": "8c1f30d27a5be964",
+            "name": "n0", "listen": address.to_string(), "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 48, "sockets": 1024},
-            "changelog": log.address().to_string(),
+            "changelog": changelog.address().to_string(),
             "peer_listen": peers.to_string(), "peers_all": peers.to_string(),
             "known": {"seq": 1, "results": [
                 {"seq": 1, "fleet": {"index": 1, "snapshot": true, "endpoints": entries}}]},
@@ -374,7 +374,7 @@
             },
         });
         let folder = tempfile::tempdir().expect("a folder");
-        Self { folder, proxy, log, configuration, descriptors_allowed: None, running: None }
+        Self { folder, address, changelog, configuration, descriptors_allowed: None, running: None }
     }
 
     /// Changes a field of the configuration before it is written next.
@@ -400,18 +400,19 @@
     pub fn start(&mut self) {
         self.write(1.0);
         self.spawn();
-        assert!(Caller::new(self.proxy).test(), "ready");
+        assert!(Caller::new(self.address).passes_test(), "ready");
     }
 
     /// A second process of the same proxy, started while this one is there.
-    pub fn beside(&self) -> Self {
+    pub fn start_second(&self) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
-        let (configuration, log) = (self.configuration.clone(), Log::default());
-        let (proxy, descriptors_allowed) = (self.proxy, self.descriptors_allowed);
-        let mut town = Self { folder, proxy, log, configuration, descriptors_allowed, running: None };
-        town.write(1.0);
-        town.spawn();
-        town
+        let (configuration, changelog) = (self.configuration.clone(), ChangeLog::default());
+        let (address, descriptors_allowed) = (self.address, self.descriptors_allowed);
+        let mut test_proxy =
+            Self { folder, address, changelog, configuration, descriptors_allowed, running: None };
+        test_proxy.write(1.0);
+        test_proxy.spawn();
+        test_proxy
     }
 
     /// Started, and in the middle of reading its configuration, from what is given; later it finds a file.
@@ -426,24 +427,24 @@
     }
 
     fn spawn(&mut self) {
-        let told = self.configuration["limits"]["sockets"].as_u64().expect("a number");
-        let sockets = self.descriptors_allowed.unwrap_or(told);
+        let configured = self.configuration["limits"]["sockets"].as_u64().expect("a number");
+        let sockets = self.descriptors_allowed.unwrap_or(configured);
         let run = format!("ulimit -n {sockets}; exec {} serve", env!("CARGO_BIN_EXE_frostthread"));
         let mut command = Command::new("/bin/sh");
         command.args(["-c", &run]).env("LB_CONFIG", self.file()).env_remove("LB_LISTEN");
-        let said = fs::File::create(self.folder.path().join("log")).expect("made");
-        command.env("RUST_LOG", "debug").stdout(said.try_clone().expect("one more")).stderr(said);
+        let log_output = fs::File::create(self.folder.path().join("log")).expect("made");
+        command.env("RUST_LOG", "debug").stdout(log_output.try_clone().expect("one more")).stderr(log_output);
         self.running = Some(command.stdin(Stdio::null()).spawn().expect("started"));
     }
 
-    pub fn said(&self) -> String {
+    pub fn log_text(&self) -> String {
         fs::read_to_string(self.folder.path().join("log")).expect("read")
     }
 
     /// The change log's events that it has looked at, by its log.
-    pub fn taken_in(&self) -> BTreeSet<u64> {
-        let said = self.said();
-        let numbers = said.lines().filter_map(|line| line.split_once("changelog.news version="));
+    pub fn applied_events(&self) -> BTreeSet<u64> {
+        let log_output = self.log_text();
+        let numbers = log_output.lines().filter_map(|line| line.split_once("changelog.news version="));
         numbers.filter_map(|(_, rest)| rest.split(' ').next()?.parse().ok()).collect()
     }
 
@@ -456,26 +457,26 @@
         assert!(Command::new("kill").args([name, &id]).status().expect("ran").success());
     }
 
-    /// The process has no turn until [`Town::go_on`]: all that comes meanwhile crosses.
+    /// The process has no turn until [`TestProxy::resume`]: all that comes meanwhile crosses.
     pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.pid());
-        until("its halt", || fs::read_to_string(&stat).ok().filter(|stat| stat.contains(") T ")));
+        wait_for("its halt", || fs::read_to_string(&stat).ok().filter(|stat| stat.contains(") T ")));
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
     /// How many descriptors the process holds.
-    pub fn descriptors(&self) -> usize {
+    pub fn open_descriptors(&self) -> usize {
         fs::read_dir(format!("/proc/{}/fd", self.pid())).expect("listed").count()
     }
 
     /// Waits for the end of the process, which must be in order.
-    pub fn ended(&mut self) {
+    pub fn wait_for_exit(&mut self) {
         let mut running = self.running.take().expect("running");
-        let status = until("its end", || running.try_wait().expect("asked"));
-        assert!(status.success(), "{status:?}: {}", self.said());
+        let status = wait_for("its end", || running.try_wait().expect("asked"));
+        assert!(status.success(), "{status:?}: {}", self.log_text());
     }
 }
--- /dev/null
+++ b/daemon/tests/races.rs
@@ -0,0 +1,514 @@
+//! What crosses on the sockets of a running proxy: closes, signals, answers and events between two steps of
+//! it. Each crossing is forced, by peers that read or answer only when the story says so, or while the
+//! process has no turn.
+
+mod network;
+
+use std::io::Write;
+use std::net::Shutdown;
+
+use network::{
+    Caller, ChangeLog, DESCRIPTION, RELEASE_WAIT, Server, TestProxy, call_id, event, response,
+    response_with_description, response_with_note, wait_for,
+};
+use rstest::rstest;
+use serde_json::json;
+
+/// How a caller goes.
+#[derive(Clone, Copy)]
+enum CallerExit {
+    Closes,
+    ShutsDownWriting,
+    Cancels,
+}
+
+fn exit_caller(mut caller: Caller, how: CallerExit, call: &str) -> Option<Caller> {
+    match how {
+        CallerExit::Closes => return None,
+        CallerExit::ShutsDownWriting => caller.stream.shutdown(Shutdown::Write).expect("shut"),
+        CallerExit::Cancels => caller.end(call),
+    }
+    Some(caller)
+}
+
+/// A call whose first attempt is out.
+fn start_with_one_attempt() -> (Server, TestProxy, Caller, network::ServerConnection, sip::Message) {
+    let server = Server::new("s-0");
+    let proxy = TestProxy::new(&[&server]);
+    let mut caller = Caller::new(proxy.address);
+    caller.offer(&call_id(1));
+    let mut peer = server.accept();
+    let set_up = peer.next_set_up();
+    assert_eq!(set_up.call_id, call_id(1));
+    (server, proxy, caller, peer, set_up)
+}
+
+/// The next set-up is of this call: none came of another before.
+fn assert_next_set_up(peer: &mut network::ServerConnection, call: &str) {
+    assert_eq!(peer.next_set_up().call_id, call);
+}
+
+#[rstest]
+fn nothing_is_sent_for_a_caller_who_went_before_the_connection_came_up(
+    #[values(CallerExit::Closes, CallerExit::ShutsDownWriting, CallerExit::Cancels)] how: CallerExit,
+) {
+    let server = Server::with_small_buffer("s-0");
+    let fillers = server.fill_accept_queue();
+    let proxy = TestProxy::new(&[&server]);
+    let mut caller = Caller::new(proxy.address);
+    caller.offer(&call_id(1));
+    wait_for("the dial", || proxy.log_text().contains("trunk.dialled").then_some(()));
+    let kept = exit_caller(caller, how, &call_id(1));
+    let mut other = Caller::new(proxy.address);
+    assert!(other.passes_test());
+    for _ in fillers {
+        server.accept();
+    }
+    // The connection that was under way comes up only now; what is sent on it first is another's.
+    other.offer(&call_id(2));
+    let mut peer = server.accept();
+    assert_next_set_up(&mut peer, &call_id(2));
+    drop(kept);
+}
+
+#[rstest]
+fn no_repeat_is_sent_in_the_turn_in_which_the_callers_end_is_yet_to_be_read(
+    #[values(CallerExit::Closes, CallerExit::ShutsDownWriting, CallerExit::Cancels)] how: CallerExit,
+) {
+    let (_server, proxy, caller, mut peer, set_up) = start_with_one_attempt();
+    let mut many_callers: Vec<Caller> = (0..200).map(|_| Caller::new(proxy.address)).collect();
+    assert!(many_callers.iter_mut().all(Caller::passes_test), "all are taken on");
+    proxy.pause();
+    // More than is looked at in one turn lies between the answer and the close.
+    peer.respond(&set_up, 503);
+    many_callers
+        .iter_mut()
+        .for_each(|one| one.send(&json!({"op": "ended", "call": call_id(9), "with": {}, "why": 0})));
+    let kept = exit_caller(caller, how, &call_id(1));
+    proxy.resume();
+    many_callers[0].offer(&call_id(2));
+    assert_next_set_up(&mut peer, &call_id(2));
+    drop(kept);
+}
+
+#[test]
+fn what_a_connection_never_took_is_taken_back_when_its_caller_goes() {
+    const OFFERED: usize = 12;
+    let server = Server::with_small_buffer("s-0");
+    let proxy = TestProxy::new(&[&server]);
+    let mut caller = Caller::new(proxy.address);
+    caller.offer_large(&call_id(1));
+    let mut peer = server.accept();
+    let _fillers = server.fill_accept_queue();
+    for call in 2..=OFFERED as u64 {
+        caller.offer_large(&call_id(call));
+    }
+    let mut other = Caller::new(proxy.address);
+    assert!(other.passes_test());
+    wait_for("all attempts", || {
+        (proxy.log_text().matches("attempt.chosen").count() >= OFFERED).then_some(())
+    });
+    drop(caller);
+    wait_for("the close", || proxy.log_text().contains("caller.gone").then_some(()));
+    // What is written after that comes last, unless the connection is given up with half a set-up on it.
+    other.offer(&call_id(99));
+    let sent = std::iter::from_fn(|| peer.next()).take_while(|message| message.call_id != call_id(99));
+    let sent = sent.filter(|message| message.method == "INVITE").count();
+    assert!(sent < OFFERED, "{sent} of {OFFERED} left");
+}
+
+#[rstest]
+fn what_came_by_the_end_of_the_stop_is_answered(#[values(false, true)] new_connection: bool) {
+    let server = Server::new("s-0");
+    let mut proxy = TestProxy::new(&[&server]);
+    let mut caller = Caller::new(proxy.address);
+    assert!(caller.passes_test());
+    proxy.signal("-TERM");
+    wait_for("the stop", || (!caller.passes_test()).then_some(()));
+    proxy.pause();
+    if new_connection {
+        caller = Caller::new(proxy.address);
+    }
+    caller.offer(&call_id(1));
+    // It wakes when its time is over, and what came before that is still unread.
+    std::thread::sleep(std::time::Duration::from_millis(800));
+    proxy.resume();
+    let mut peer = server.accept();
+    let set_up = peer.next_set_up();
+    peer.respond(&set_up, 200);
+    assert_eq!(caller.next_reply(), ("accept".to_owned(), call_id(1)));
+    proxy.wait_for_exit();
+}
+
+#[test]
+fn signals_that_come_twice_and_together_end_it_once_and_in_order() {
+    let (_server, mut proxy, mut caller, mut peer, set_up) = start_with_one_attempt();
+    proxy.pause();
+    for name in ["-HUP", "-TERM", "-HUP", "-TERM"] {
+        proxy.signal(name);
+    }
+    proxy.resume();
+    wait_for("the stop", || (!Caller::new(proxy.address).passes_test()).then_some(()));
+    peer.respond(&set_up, 200);
+    assert_eq!(caller.next_reply().0, "accept", "what was taken is answered");
+    proxy.wait_for_exit();
+}
+
+#[test]
+fn a_configuration_that_is_read_half_written_is_read_again() {
+    let server = Server::new("s-0");
+    let mut proxy = TestProxy::new(&[&server]);
+    let (_open, _) = proxy.changelog.accept_request();
+    let next = ChangeLog::default();
+    proxy.set("/changelog", json!(next.address().to_string()));
+    proxy.write(0.6);
+    proxy.signal("-HUP");
+    wait_for("a look", || proxy.log_text().contains("configuration.kept").then_some(()));
+    proxy.write(1.0);
+    assert_eq!(next.accept_request().1, 1, "without a further signal");
+}
+
+#[test]
+fn events_read_from_a_log_that_moves_before_they_are_taken_in_are_told_again() {
+    const LAST: u64 = 8000;
+    let server = Server::new("s-0");
+    let mut proxy = TestProxy::new(&[&server]);
+    let (mut open, _) = proxy.changelog.accept_request();
+    let next = ChangeLog::default();
+    let events: Vec<String> = (2..=LAST).map(|seq| event(seq, &[server.entry("in_service")])).collect();
+    proxy.set("/changelog", json!(next.address().to_string()));
+    proxy.write(1.0);
+    let all = events.concat();
+    let told = std::thread::spawn(move || open.write_all(all.as_bytes()));
+    // More has been read by now than is taken in.
+    wait_for("some events", || (proxy.applied_events().len() > 200).then_some(()));
+    proxy.signal("-HUP");
+    let (mut stream, last) = next.accept_request();
+    assert!(last < LAST, "it moved in the midst of them");
+    stream.write_all(events[last as usize - 1..].concat().as_bytes()).expect("written");
+    wait_for("the last event", || proxy.applied_events().contains(&LAST).then_some(()));
+    let applied_events = proxy.applied_events();
+    let lost: Vec<u64> = (2..=LAST).filter(|seq| !applied_events.contains(seq)).collect();
+    assert!(lost.is_empty(), "of {last} that it says it had: {lost:?}");
+    let _ = told.join();
+}
+
+#[rstest]
+#[case::in_the_middle_of_an_event(true)]
+#[case::with_its_connection_up(false)]
+fn a_log_that_stops_is_asked_again_for_what_was_not_whole(#[case] closes: bool) {
+    let (server, late) = (Server::new("s-0"), Server::new("s-1"));
+    let proxy = TestProxy::new(&[&server]);
+    let (mut open, last) = proxy.changelog.accept_request();
+    assert_eq!(last, 1);
+    let next = event(2, &[late.entry("in_service"), server.entry("terminating")]);
+    open.write_all(&next.as_bytes()[..next.len() / 2]).expect("written");
+    let kept = (!closes).then(|| open.try_clone().expect("one more"));
+    drop(open);
+    let (mut stream, last) = proxy.changelog.accept_request();
+    assert_eq!(last, 1);
+    // Bytes one at a time, and every event twice.
+    for byte in format!("{next}{next}").as_bytes() {
+        stream.write_all(&[*byte]).expect("written");
+    }
+    wait_for("the list", || proxy.log_text().contains("central server 0 is Draining").then_some(()));
+    let mut caller = Caller::new(proxy.address);
+    caller.offer(&call_id(1));
+    assert_next_set_up(&mut late.accept(), &call_id(1));
+    drop(kept);
+}
+
+#[rstest]
+#[case::drained("terminating")]
+#[case::gone("terminated")]
+fn a_connection_that_comes_up_after_the_drain_gets_no_set_up(#[case] status: &str) {
+    let (server, other) = (Server::with_small_buffer("s-0"), Server::new("s-1"));
+    let fillers = server.fill_accept_queue();
+    let proxy = TestProxy::new(&[&server]);
+    let (mut log, _) = proxy.changelog.accept_request();
+    let mut caller = Caller::new(proxy.address);
+    caller.offer(&call_id(1));
+    wait_for("the dial", || proxy.log_text().contains("trunk.dialled").then_some(()));
+    log.write_all(event(2, &[server.entry(status), other.entry("in_service")]).as_bytes()).expect("written");
+    let told = if status == "terminating" { "0 is Draining" } else { "0 is Gone" };
+    wait_for("the list", || proxy.log_text().contains(told).then_some(()));
+    for _ in fillers {
+        server.accept();
+    }
+    let mut peer = other.accept();
+    let set_up = peer.next_set_up();
+    peer.respond(&set_up, 200);
+    assert_eq!(caller.next_reply(), ("accept".to_owned(), call_id(1)));
+    assert!(!proxy.log_text().contains("server.lost"));
+}
+
+/// What came instead of a whole answer, and the connection's end after it.
+#[rstest]
+#[case::nothing(0.0)]
+#[case::in_the_head(0.3)]
+#[case::in_the_body(0.98)]
+fn an_answer_that_is_cut_off_is_none_and_the_release_is_awaited(#[case] part: f64) {
+    let (server, _town, mut caller, mut peer, set_up) = start_with_one_attempt();
+    let whole = response(&set_up, 200);
+    peer.send(&whole[..(whole.len() as f64 * part) as usize]);
+    let ended = std::time::Instant::now();
+    drop(peer);
+    let mut peer = server.accept();
+    let again = peer.next_set_up();
+    assert!(ended.elapsed() >= RELEASE_WAIT, "{:?}", ended.elapsed());
+    assert_eq!((again.call_id.as_str(), again.number), (set_up.call_id.as_str(), 2));
+    peer.respond(&again, 200);
+    assert_eq!(caller.next_reply(), ("accept".to_owned(), call_id(1)), "and only this one");
+}
+
+#[test]
+fn a_set_up_that_crosses_the_close_of_an_idle_connection_is_answered() {
+    let (server, proxy, mut caller, mut peer, set_up) = start_with_one_attempt();
+    peer.respond(&set_up, 200);
+    assert_eq!(caller.next_reply(), ("accept".to_owned(), call_id(1)));
+    proxy.pause();
+    // The set-up comes first, so that it is decided on before the close is read.
+    caller.offer(&call_id(2));
+    drop(peer);
+    proxy.resume();
+    let mut peer = server.accept();
+    let set_up = peer.next_set_up();
+    assert_eq!(set_up.call_id, call_id(2));
+    peer.respond(&set_up, 200);
+    assert_eq!(caller.next_reply(), ("accept".to_owned(), call_id(2)));
+    peer.release(&call_id(1), 16);
+    assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(1)), "what stood still stands");
+}
+
+#[test]
+fn who_comes_again_the_moment_it_is_refused_is_answered_each_time_and_once() {
+    let server = Server::new("s-0");
+    let proxy = TestProxy::new(&[&server]);
+    let mut caller = Caller::new(proxy.address);
+    caller.offer(&call_id(1));
+    let mut peer = server.accept();
+    for call in 1..20 {
+        let set_up = peer.next_set_up();
+        assert_eq!(set_up.call_id, call_id(call));
+        peer.send(&response_with_note(&set_up, 486, "engaged"));
+        assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(call)));
+        caller.offer_to(&call_id(call + 1), call + 1);
+    }
+    assert_next_set_up(&mut peer, &call_id(20));
+}
+
+#[test]
+fn a_second_answer_some_milliseconds_later_is_no_second_answer_to_the_caller() {
+    let (_server, _town, mut caller, mut peer, set_up) = start_with_one_attempt();
+    peer.respond(&set_up, 200);
+    assert_eq!(caller.next_reply(), ("accept".to_owned(), call_id(1)));
+    peer.respond(&set_up, 200);
+    assert_eq!((peer.next_with_method("ACK").number, peer.next_with_method("ACK").number), (1, 1));
+    peer.release(&call_id(1), 16);
+    assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(1)), "the call stood");
+}
+
+#[rstest]
+fn an_answer_to_a_caller_who_went_is_let_go(
+    #[values(CallerExit::Closes, CallerExit::Cancels)] how: CallerExit,
+) {
+    let (_server, proxy, caller, mut peer, set_up) = start_with_one_attempt();
+    // The answer is held until it is seen that the caller went.
+    let kept = exit_caller(caller, how, &call_id(1));
+    peer.next_with_method("CANCEL");
+    peer.respond(&set_up, 200);
+    peer.next_with_method("BYE");
+    let mut other = Caller::new(proxy.address);
+    other.offer(&call_id(2));
+    assert_next_set_up(&mut peer, &call_id(2));
+    drop(kept);
+}
+
+#[test]
+fn a_name_that_comes_again_before_its_release_makes_no_second_attempt() {
+    let server = Server::new("s-0");
+    let proxy = TestProxy::new(&[&server]);
+    let (mut caller, mut other) = (Caller::new(proxy.address), Caller::new(proxy.address));
+    caller.offer(&call_id(1));
+    let mut peer = server.accept();
+    peer.next_set_up();
+    other.offer(&call_id(1));
+    assert_eq!(other.next_reply(), ("end".to_owned(), call_id(1)), "open elsewhere");
+    caller.end(&call_id(1));
+    caller.offer(&call_id(1));
+    assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(1)), "given up just now");
+    caller.offer(&call_id(2));
+    assert_next_set_up(&mut peer, &call_id(2));
+}
+
+#[test]
+fn idle_callers_leave_descriptors_for_the_log_the_servers_and_who_asks() {
+    let (server, late) = (Server::new("s-0"), Server::new("s-1"));
+    let mut proxy = TestProxy::not_started(&[&server]);
+    proxy.set("/limits/sockets", json!(128));
+    proxy.start();
+    let (log, _) = proxy.changelog.accept_request();
+    // One that has said something of use asks again while the crowd comes, before it is read.
+    let mut known = Caller::new(proxy.address);
+    assert!(known.passes_test());
+    drop(log);
+    proxy.pause();
+    let many_callers: Vec<Caller> = (0..300).map(|_| Caller::new(proxy.address)).collect();
+    known.offer(&call_id(1));
+    proxy.resume();
+    let mut peer = server.accept();
+    assert_next_set_up(&mut peer, &call_id(1));
+    assert!(proxy.open_descriptors() < 128, "{}", proxy.open_descriptors());
+    let mut caller = Caller::new(proxy.address);
+    caller.offer(&call_id(2));
+    assert_next_set_up(&mut peer, &call_id(2));
+    let (mut log, last) = proxy.changelog.accept_request();
+    log.write_all(event(last + 1, &[server.entry("terminating"), late.entry("in_service")]).as_bytes())
+        .expect("written");
+    wait_for("the list", || proxy.log_text().contains("central server 0 is Draining").then_some(()));
+    caller.offer(&call_id(3));
+    assert_next_set_up(&mut late.accept(), &call_id(3));
+    assert!(!proxy.log_text().contains("accept.failed"), "{}", proxy.log_text());
+    drop(many_callers);
+}
+
+#[test]
+fn who_asks_in_the_moment_of_being_closed_as_idle_is_served() {
+    let server = Server::new("s-0");
+    let mut proxy = TestProxy::not_started(&[&server]);
+    proxy.set("/limits/sockets", json!(100));
+    proxy.start();
+    let mut silent = Caller::new(proxy.address);
+    wait_for("its place", || proxy.log_text().contains("caller.taken_on").then_some(()));
+    proxy.pause();
+    // It is the first to make room, and has asked by then; the crowd came before its word.
+    let many_callers: Vec<Caller> = (0..300).map(|_| Caller::new(proxy.address)).collect();
+    silent.offer(&call_id(1));
+    proxy.resume();
+    let mut peer = server.accept();
+    let set_up = peer.next_set_up();
+    assert_eq!(set_up.call_id, call_id(1));
+    peer.respond(&set_up, 200);
+    assert_eq!(silent.next_reply().0, "accept");
+    drop(many_callers);
+}
+
+#[test]
+fn a_lack_of_descriptors_is_survived_without_haste_and_without_deafness() {
+    let server = Server::new("s-0");
+    let mut proxy = TestProxy::not_started(&[&server]);
+    // Fewer than the configuration says.
+    proxy.descriptors_allowed = Some(40);
+    proxy.start();
+    let mut caller = Caller::new(proxy.address);
+    caller.offer(&call_id(1));
+    let mut peer = server.accept();
+    let set_up = peer.next_set_up();
+    let many_callers: Vec<Caller> = (0..100).map(|_| Caller::new(proxy.address)).collect();
+    wait_for("the lack", || proxy.log_text().contains("accept.failed").then_some(()));
+    let started = std::time::Instant::now();
+    peer.respond(&set_up, 200);
+    assert_eq!(caller.next_reply().0, "accept", "meanwhile all else goes on");
+    let accept_failures = || proxy.log_text().matches("accept.failed").count();
+    wait_for("a second look", || (accept_failures() >= 5).then_some(()));
+    assert!(started.elapsed().as_millis() >= 150, "{} looks in {:?}", accept_failures(), started.elapsed());
+    drop(many_callers);
+    assert!(Caller::new(proxy.address).passes_test());
+}
+
+#[test]
+fn signals_that_come_before_it_has_read_its_configuration_end_nothing() {
+    let server = Server::new("s-0");
+    let mut proxy = TestProxy::not_started(&[&server]);
+    let mut pipe = proxy.start_reading_a_pipe();
+    proxy.signal("-HUP");
+    pipe.write_all(proxy.text().as_bytes()).expect("written");
+    drop(pipe);
+    assert!(Caller::new(proxy.address).passes_test(), "ready");
+}
+
+#[test]
+fn a_call_that_stands_is_released_once_by_the_next_process() {
+    let (server, mut proxy, mut caller, mut peer, set_up) = start_with_one_attempt();
+    peer.respond(&set_up, 200);
+    assert_eq!(caller.next_reply().0, "accept");
+    proxy.signal("-TERM");
+    proxy.wait_for_exit();
+    proxy.start();
+    let mut caller = Caller::new(proxy.address);
+    caller.declare_established(&call_id(1), "s-0");
+    // Its set-up's connection ended with the former process; the release comes on the next one.
+    let mut peer = server.accept();
+    peer.release(&call_id(1), 16);
+    assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(1)));
+    peer.release(&call_id(1), 16);
+    caller.offer(&call_id(2));
+    let set_up = peer.next_set_up();
+    peer.respond(&set_up, 200);
+    assert_eq!(caller.next_reply(), ("accept".to_owned(), call_id(2)), "and no second release");
+}
+
+#[test]
+fn the_next_process_waits_until_the_former_has_let_go_of_the_address() {
+    let server = Server::new("s-0");
+    let mut proxy = TestProxy::new(&[&server]);
+    let mut next = proxy.start_second();
+    wait_for("its wait", || next.log_text().contains("address.in_use").then_some(()));
+    proxy.signal("-TERM");
+    proxy.wait_for_exit();
+    wait_for("its turn", || next.log_text().contains("proxy.ready").then_some(()));
+    assert!(Caller::new(next.address).passes_test());
+    next.signal("-TERM");
+    next.wait_for_exit();
+}
+
+#[test]
+fn answers_that_a_slow_reader_has_not_taken_by_the_end_of_the_stop_are_waited_for() {
+    const CALLS: u64 = 12;
+    let server = Server::new("s-0");
+    let mut proxy = TestProxy::new(&[&server]);
+    let mut caller = Caller::with_small_buffer(proxy.address);
+    for call in 1..=CALLS {
+        caller.offer_to(&call_id(call), call);
+    }
+    let mut peers = vec![server.accept()];
+    for _ in 0..CALLS {
+        let (which, set_up) = network::next_set_up(&server, &mut peers);
+        peers[which].send(&response_with_description(&set_up, &"x".repeat(15_000)));
+    }
+    wait_for("all answers", || {
+        (proxy.log_text().matches("call.stands").count() as u64 == CALLS).then_some(())
+    });
+    proxy.signal("-TERM");
+    proxy.pause();
+    std::thread::sleep(std::time::Duration::from_millis(800));
+    proxy.resume();
+    let told: Vec<_> = (0..CALLS).map(|_| caller.next_reply().0).collect();
+    assert!(told.iter().all(|op| op == "accept"), "{told:?}");
+    proxy.wait_for_exit();
+}
+
+#[test]
+fn a_call_named_while_its_server_is_replaced_is_over_as_soon_as_the_list_says_so() {
+    let (server, late) = (Server::new("s-0"), Server::new("s-1"));
+    let proxy = TestProxy::new(&[&server]);
+    let (mut log, _) = proxy.changelog.accept_request();
+    let mut caller = Caller::new(proxy.address);
+    caller.declare_established(&call_id(1), "s-0");
+    server.accept();
+    log.write_all(event(2, &[server.entry("terminated"), late.entry("in_service")]).as_bytes())
+        .expect("written");
+    assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(1)));
+    caller.declare_established(&call_id(2), "s-0");
+    assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(2)), "nobody has it any more");
+}
+
+#[test]
+fn it_is_ready_while_nobody_else_is_there() {
+    let server = Server::new("s-0");
+    let mut proxy = TestProxy::not_started(&[&server]);
+    let nowhere = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
+    proxy.set("/changelog", json!(nowhere.to_string()));
+    proxy.start();
+    assert!(!proxy.log_text().contains(DESCRIPTION));
+}
