--- a/daemon/src/journal.rs
+++ b/daemon/src/journal.rs
@@ -1,6 +1,6 @@
-//! Keeps the records' journal on the disk. Each life of a proxy writes segments of its own and never
-//! appends to a former one, so that a torn tail stays where it is. `records::commit` says when to sync and
-//! what waits.
+//! The journal of call records on disk. Each process writes segments of its own and never appends to those of
+//! a previous process, so that a torn tail stays where it is. `records::commit` decides when to sync and what
+//! waits for it.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -12,57 +12,59 @@
 use records::journal;
 use tokio::sync::mpsc;
 
-use crate::settings::RecordsPlan;
+use crate::settings::RecordsSettings;
 
-/// What was not written because the disk refused is kept up to so many bytes; past that it is counted as
-/// lost.
-const MOST_PENDING: usize = 4 << 20;
+/// Bytes of entries kept for another try after a failed write; further entries are counted as lost.
+const MAX_PENDING_BYTES: usize = 4 << 20;
 
+/// The journal of one process.
 pub struct Journal {
     folder: PathBuf,
     author: Author,
-    most: u64,
+    max_segment_bytes: u64,
     segment: Option<Arc<File>>,
     number: u32,
     size: u64,
     pending: Vec<u8>,
     lost: u64,
     commit: GroupCommit,
-    synced: mpsc::Sender<io::Result<()>>,
+    sync_results: mpsc::Sender<io::Result<()>>,
 }
 
 impl Journal {
-    /// Begins a life's journal. What is told over `synced` is to be given to [`Journal::synced`].
-    pub fn begin(
-        plan: &RecordsPlan,
+    /// Opens this process's journal. Results sent to `sync_results` must be passed to
+    /// [`Journal::sync_completed`].
+    pub fn open(
+        settings: &RecordsSettings,
         author: Author,
         now: f64,
-        synced: mpsc::Sender<io::Result<()>>,
+        sync_results: mpsc::Sender<io::Result<()>>,
     ) -> io::Result<Self> {
-        fs::create_dir_all(&plan.folder)?;
-        let commit = GroupCommit::new(plan.promise, plan.delay, plan.patience);
+        fs::create_dir_all(&settings.folder)?;
+        let commit = GroupCommit::new(settings.durability, settings.max_sync_delay, settings.max_sync_time);
         let mut journal = Self {
-            folder: plan.folder.clone(),
+            folder: settings.folder.clone(),
             author,
-            most: plan.segment,
+            max_segment_bytes: settings.segment_bytes,
             segment: None,
             number: 0,
             size: 0,
             pending: Vec::new(),
             lost: 0,
             commit,
-            synced,
+            sync_results,
         };
-        // A disk that refuses from the start is told of before anything is taken.
+        // A disk that fails from the start is reported before any call is accepted.
         journal.write(now, std::iter::empty());
         match journal.commit.admit(now) {
             Admission::Accept => Ok(journal),
-            Admission::Refuse { .. } => Err(io::Error::other("the first segment cannot be written")),
+            Admission::Refuse { .. } => Err(io::Error::other("the first segment can't be written")),
         }
     }
 
-    fn open(&mut self) -> io::Result<Arc<File>> {
-        if let Some(segment) = self.segment.as_ref().filter(|_| self.size < self.most) {
+    /// Returns the current segment, or starts the next if it is full.
+    fn open_segment(&mut self) -> io::Result<Arc<File>> {
+        if let Some(segment) = self.segment.as_ref().filter(|_| self.size < self.max_segment_bytes) {
             return Ok(segment.clone());
         }
         if let Some(full) = self.segment.take() {
@@ -74,7 +76,7 @@
         let mut head = Vec::new();
         journal::write(&mut head, &Entry::GenerationStarted(self.author.clone()));
         (&file).write_all(&head)?;
-        // The folder too, lest a power cut takes the whole segment.
+        // The folder is synced too: otherwise a power loss could remove the whole segment.
         File::open(&self.folder)?.sync_all()?;
         self.size = head.len() as u64;
         let file = Arc::new(file);
@@ -82,10 +84,10 @@
         Ok(file)
     }
 
-    /// Hands entries to the system, with those that it refused before.
+    /// Writes entries, together with those whose write failed before.
     pub fn write(&mut self, now: f64, entries: impl Iterator<Item = Entry>) {
         for entry in entries {
-            if self.pending.len() < MOST_PENDING {
+            if self.pending.len() < MAX_PENDING_BYTES {
                 journal::write(&mut self.pending, &entry);
             } else {
                 self.lost += 1;
@@ -94,7 +96,7 @@
         if self.pending.is_empty() && self.segment.is_some() {
             return;
         }
-        match self.open().and_then(|file| (&*file).write_all(&self.pending)) {
+        match self.open_segment().and_then(|file| (&*file).write_all(&self.pending)) {
             Ok(()) => {
                 self.size += self.pending.len() as u64;
                 self.commit.record_write(now, self.pending.len());
@@ -103,23 +105,24 @@
             Err(error) => {
                 tracing::error!(lost = self.lost, "records.unwritten: {error}");
                 self.commit.disk_failed();
-                // What may be half written is written again in whole, elsewhere.
+                // Entries that may be half written are written again whole, in another segment.
                 self.segment = None;
             }
         }
     }
 
-    /// Begins a sync where one is due.
+    /// Starts a sync if one is due.
     pub fn turn(&mut self, now: f64) {
         let Some(segment) = self.segment.clone().filter(|_| self.commit.due() <= now) else { return };
         self.commit.sync_started(now);
-        let synced = self.synced.clone();
+        let sync_results = self.sync_results.clone();
         tokio::task::spawn_blocking(move || {
-            let _ = synced.blocking_send(segment.sync_data());
+            let _ = sync_results.blocking_send(segment.sync_data());
         });
     }
 
-    pub fn synced(&mut self, result: io::Result<()>) {
+    /// Records the result of a sync.
+    pub fn sync_completed(&mut self, result: io::Result<()>) {
         match result {
             Ok(()) => self.commit.sync_finished(),
             Err(error) => {
@@ -130,25 +133,27 @@
         }
     }
 
+    /// Returns the time of the next turn.
     pub fn due(&self) -> f64 {
         self.commit.due()
     }
 
-    /// What waits for all that is written by now may leave once this position may go.
+    /// Returns the position of all entries written so far, to be passed to [`Journal::may_send`].
     pub fn position(&self) -> u64 {
         self.commit.written()
     }
 
-    pub fn may_go(&self, now: f64, position: u64) -> bool {
+    /// Whether a datagram that waits for `position` may be sent.
+    pub fn may_send(&self, now: f64, position: u64) -> bool {
         self.commit.may_send(now, position)
     }
 
-    /// Whether a conversation that comes now can be recorded as promised.
+    /// Whether a conversation that arrives now can be recorded with the configured durability.
     pub fn admit(&self, now: f64) -> Admission {
         self.commit.admit(now)
     }
 
-    /// The last words of a life: all is written and synced before this returns.
+    /// Writes and syncs the last entries of this process before it returns.
     pub fn finish(&mut self, now: f64, entries: impl Iterator<Item = Entry>) {
         self.write(now, entries);
         if let Some(Err(error)) = self.segment.as_ref().map(|segment| segment.sync_data()) {
@@ -157,9 +162,9 @@
     }
 }
 
-/// All segments in some folders, each folder's in the order in which they were written.
+/// Lists all segments in some folders, each folder's in the order in which they were written.
 pub fn segments(folders: &[PathBuf]) -> io::Result<Vec<PathBuf>> {
-    let mut all = Vec::new();
+    let mut paths = Vec::new();
     for folder in folders {
         let mut files = Vec::new();
         for file in fs::read_dir(folder)? {
@@ -169,17 +174,17 @@
             }
         }
         files.sort();
-        all.extend(files);
+        paths.extend(files);
     }
-    Ok(all)
+    Ok(paths)
 }
 
-/// What is sound in a segment; what is not is told.
+/// Reads the valid entries of a segment, and prints where it is damaged.
 pub fn read(segment: &Path) -> io::Result<Vec<Entry>> {
-    let found = journal::read(&fs::read(segment)?);
-    for damage in &found.damage {
-        let what = if damage.torn { "torn tail" } else { "damage" };
-        eprintln!("{}: {what} at byte {}, {} bytes", segment.display(), damage.offset, damage.bytes);
+    let contents = journal::read(&fs::read(segment)?);
+    for damage in &contents.damage {
+        let kind = if damage.torn { "torn tail" } else { "damage" };
+        eprintln!("{}: {kind} at byte {}, {} bytes", segment.display(), damage.offset, damage.bytes);
     }
-    Ok(found.entries)
+    Ok(contents.entries)
 }
--- a/daemon/src/release.rs
+++ b/daemon/src/release.rs
@@ -1,9 +1,9 @@
-//! A release at this proxy: the staged file, what is installed, and the change from one to the other by
+//! A release at this proxy: the staged file, the installed release, and the replacement of the process by
 //! `exec`.
 //!
-//! `release.json` in the state directory says which release is installed, and what ran before it. A start by
-//! the usual command goes on with the installed one ([`start`]); one that was not seen well three starts in a
-//! row is given up, and what ran before runs again.
+//! `release.json` in the state directory records which release is installed, and what ran before it. A start
+//! by the usual command continues with the installed one ([`start`]). A release that was not healthy for
+//! three starts in a row is given up, and what ran before runs again.
 
 use std::ffi::OsString;
 use std::fs;
@@ -22,114 +22,120 @@
 use crate::running_release::RunningRelease;
 use crate::settings;
 
-/// Set for a process that runs a release, to its number.
-const MARK: &str = "FROSTTHREAD_RELEASE";
+/// Environment variable with the number of the release that a process runs.
+const RELEASE_ENV: &str = "FROSTTHREAD_RELEASE";
 
-/// What is installed.
+/// The installed release, as `release.json` stores it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Installed {
     release: u64,
     program: PathBuf,
     config: PathBuf,
-    /// Starts since it was last seen well.
+    /// Starts since it was last healthy.
     starts: u32,
+    /// Why it was given up.
     failed: Option<String>,
-    /// What ran before, and whether that was a release too.
+    /// Program and settings file that ran before.
     former: (PathBuf, PathBuf),
+    /// The release that was installed before.
     before: Option<Box<Installed>>,
 }
 
-/// Where a start goes on.
+/// How a start continues.
 pub enum Start {
-    Here(RunningRelease),
-    Elsewhere(Change),
+    /// With the program that is running.
+    Current(RunningRelease),
+    /// With another program or other settings.
+    Become(Target),
 }
 
-/// A program to become, with its settings.
-pub struct Change {
+/// A program to replace this process with, and its settings file.
+pub struct Target {
     program: PathBuf,
     config: PathBuf,
     release: u64,
 }
 
-fn file(state: &Path) -> PathBuf {
+fn installed_file(state: &Path) -> PathBuf {
     state.join("release.json")
 }
 
-/// Where a release's file is to be put, by its sum.
-pub fn staged(state: &Path, sum: &[u8; 32]) -> PathBuf {
+/// Returns the path at which a release's file is staged, by its checksum.
+pub fn staged_path(state: &Path, sum: &[u8; 32]) -> PathBuf {
     state.join("staged").join(hex::encode(sum))
 }
 
-fn read(state: &Path) -> Result<Option<Installed>> {
-    match fs::read_to_string(file(state)) {
+fn read_installed(state: &Path) -> Result<Option<Installed>> {
+    match fs::read_to_string(installed_file(state)) {
         Ok(text) => Ok(Some(serde_json::from_str(&text).context("release.json")?)),
         Err(error) if error.kind() == ErrorKind::NotFound => Ok(None),
         Err(error) => Err(error).context("release.json"),
     }
 }
 
-fn write(state: &Path, installed: Option<&Installed>) -> Result<()> {
+fn write_installed(state: &Path, installed: Option<&Installed>) -> Result<()> {
     let Some(installed) = installed else {
-        fs::remove_file(file(state))?;
+        fs::remove_file(installed_file(state))?;
         return Ok(());
     };
-    let mut fresh = tempfile::NamedTempFile::new_in(state)?;
-    fresh.write_all(serde_json::to_string(installed)?.as_bytes())?;
-    fresh.as_file().sync_all()?;
-    fresh.persist(file(state))?;
+    let mut temporary = tempfile::NamedTempFile::new_in(state)?;
+    temporary.write_all(serde_json::to_string(installed)?.as_bytes())?;
+    temporary.as_file().sync_all()?;
+    temporary.persist(installed_file(state))?;
     Ok(())
 }
 
-/// Looks at what is installed where a process starts.
+/// Decides at the start of a process whether it continues with the installed release.
 pub fn start(state: &Path) -> Result<Start> {
-    let Some(mut installed) = read(state)? else { return Ok(Start::Here(RunningRelease::default())) };
+    let Some(mut installed) = read_installed(state)? else {
+        return Ok(Start::Current(RunningRelease::default()));
+    };
     let release = installed.release;
-    if std::env::var(MARK).is_ok_and(|mark| mark == release.to_string()) {
-        return Ok(Start::Here(RunningRelease { release, failed: None }));
+    if std::env::var(RELEASE_ENV).is_ok_and(|value| value == release.to_string()) {
+        return Ok(Start::Current(RunningRelease { release, failed: None }));
     }
     if installed.failed.is_none() && installed.starts >= MAX_STARTS {
-        installed.failed = Some(format!("{MAX_STARTS} starts in a row were not well"));
-        write(state, Some(&installed))?;
+        installed.failed = Some(format!("not healthy after {MAX_STARTS} starts in a row"));
+        write_installed(state, Some(&installed))?;
     }
     if let Some(why) = installed.failed {
-        return Ok(Start::Here(RunningRelease { release: 0, failed: Some((release, why)) }));
+        return Ok(Start::Current(RunningRelease { release: 0, failed: Some((release, why)) }));
     }
     installed.starts += 1;
-    write(state, Some(&installed))?;
+    write_installed(state, Some(&installed))?;
     let Installed { program, config, .. } = installed;
-    Ok(Start::Elsewhere(Change { program, config, release }))
+    Ok(Start::Become(Target { program, config, release }))
 }
 
-/// The release that runs was seen well.
-pub fn well(state: &Path) -> Result<()> {
-    match read(state)? {
+/// Records that the running release is healthy.
+pub fn mark_healthy(state: &Path) -> Result<()> {
+    match read_installed(state)? {
         Some(mut installed) if installed.starts > 0 => {
             installed.starts = 0;
-            write(state, Some(&installed))
+            write_installed(state, Some(&installed))
         }
         _ => Ok(()),
     }
 }
 
-/// Installs what a proxy is to become, or what ran before. `config` is the file that it runs by now.
-pub fn install(state: &Path, config: &Path, replace: &Replacement) -> Result<Change> {
-    let before = read(state)?;
-    if !replace.forward {
-        let installed = before.context("release.json: nothing is installed")?;
-        write(state, installed.before.as_deref())?;
+/// Installs a release, or goes back to what ran before. `config` is the settings file in use now.
+pub fn install(state: &Path, config: &Path, replacement: &Replacement) -> Result<Target> {
+    let before = read_installed(state)?;
+    if !replacement.forward {
+        let installed = before.context("release.json: no release is installed")?;
+        write_installed(state, installed.before.as_deref())?;
         let release = installed.before.map_or(0, |before| before.release);
         let (program, config) = installed.former;
-        return Ok(Change { program, config, release });
+        return Ok(Target { program, config, release });
     }
-    let own = (std::env::current_exe()?, fs::canonicalize(config)?);
-    let file = staged(state, &replace.sum);
-    let (program, config) = match replace.kind {
-        Kind::Program => (fs::canonicalize(file)?, own.1.clone()),
-        Kind::Settings => (own.0.clone(), fs::canonicalize(file.with_extension("toml"))?),
+    let current = (std::env::current_exe()?, fs::canonicalize(config)?);
+    let file = staged_path(state, &replacement.sum);
+    let (program, config) = match replacement.kind {
+        Kind::Program => (fs::canonicalize(file)?, current.1.clone()),
+        Kind::Settings => (current.0.clone(), fs::canonicalize(file.with_extension("toml"))?),
     };
-    let release = replace.release;
+    let release = replacement.release;
     let (starts, failed, before) = (1, None, before.map(Box::new));
     let installed = Installed {
         release,
@@ -137,24 +143,24 @@
         config: config.clone(),
         starts,
         failed,
-        former: own,
+        former: current,
         before,
     };
-    write(state, Some(&installed))?;
-    Ok(Change { program, config, release })
+    write_installed(state, Some(&installed))?;
+    Ok(Target { program, config, release })
 }
 
-/// What was to be installed can't be run: what runs now goes on.
-pub fn give_up(state: &Path, why: &str) -> Result<()> {
-    if let Some(mut installed) = read(state)? {
+/// Records why the installed release can't run; the current program continues.
+pub fn mark_failed(state: &Path, why: &str) -> Result<()> {
+    if let Some(mut installed) = read_installed(state)? {
         installed.failed = Some(why.to_owned());
-        write(state, Some(&installed))?;
+        write_installed(state, Some(&installed))?;
     }
     Ok(())
 }
 
-impl Change {
-    /// Becomes it, with this process's arguments but for the settings; only comes back where that fails.
+impl Target {
+    /// Replaces this process, keeping its arguments except the settings file; returns only on failure.
     pub fn exec(&self) -> io::Error {
         let mut arguments: Vec<OsString> = std::env::args_os().skip(1).collect();
         if let Some(at) = arguments.iter().position(|argument| argument == "--config")
@@ -165,20 +171,20 @@
         let mut command = Command::new(&self.program);
         command.args(arguments);
         if self.release > 0 {
-            command.env(MARK, self.release.to_string());
+            command.env(RELEASE_ENV, self.release.to_string());
         } else {
-            command.env_remove(MARK);
+            command.env_remove(RELEASE_ENV);
         }
         command.exec()
     }
 }
 
-/// Whether the staged file is here, is what was staged, and is fit for this proxy; none while it is not here.
+/// Checks that the staged file has the right checksum and is valid for this proxy; none while it is missing.
 pub fn check(state: &Path, config: &Path, kind: Kind, sum: &[u8; 32]) -> Option<Result<(), String>> {
-    let path = staged(state, sum);
+    let path = staged_path(state, sum);
     let bytes = fs::read(&path).ok()?;
     if blake3::hash(&bytes) != *sum {
-        return Some(Err("its sum is another".to_owned()));
+        return Some(Err("its checksum differs".to_owned()));
     }
     Some(match kind {
         Kind::Settings => check_settings(&bytes, config, &path.with_extension("toml")),
@@ -186,50 +192,51 @@
     })
 }
 
-/// Tables that are a proxy's own: no release changes them.
-const OWN: [&str; 4] = ["proxy", "listen", "gossip", "distribution"];
+/// Settings tables that differ from proxy to proxy; a release can't change them.
+const PER_PROXY_TABLES: [&str; 4] = ["proxy", "listen", "gossip", "distribution"];
 
-/// A release of settings has the tables that it changes, as they are to stand in the settings of all proxies;
-/// what comes of them here is put into a file of its own.
-fn check_settings(bytes: &[u8], config: &Path, to: &Path) -> Result<(), String> {
-    let text = std::str::from_utf8(bytes).map_err(|_| "no text".to_owned())?;
+/// Checks a release of settings, which consists of the tables that it replaces in the settings of all
+/// proxies. The merged settings of this proxy are written to `output`.
+fn check_settings(bytes: &[u8], config: &Path, output: &Path) -> Result<(), String> {
+    let text = std::str::from_utf8(bytes).map_err(|_| "not UTF-8".to_owned())?;
     let read = |text: &str| text.parse::<DocumentMut>().map_err(|error| error.message().to_owned());
     let changes = read(text)?;
-    let mut whole = read(&fs::read_to_string(config).map_err(|error| error.to_string())?)?;
+    let mut merged = read(&fs::read_to_string(config).map_err(|error| error.to_string())?)?;
     for (key, item) in changes.iter() {
-        if OWN.contains(&key) {
-            return Err(format!("{key}: is each proxy's own"));
+        if PER_PROXY_TABLES.contains(&key) {
+            return Err(format!("{key}: belongs to each proxy, a release can't change it"));
         }
-        whole[key] = item.clone();
+        merged[key] = item.clone();
     }
-    let whole = whole.to_string();
-    settings::read(&whole).map_err(|faults| faults[0].to_string())?;
-    fs::write(to, whole).map_err(|error| error.to_string())
+    let merged = merged.to_string();
+    settings::read(&merged).map_err(|faults| faults[0].to_string())?;
+    fs::write(output, merged).map_err(|error| error.to_string())
 }
 
+/// Checks that a staged program accepts this proxy's settings.
 fn check_program(path: &Path, config: &Path) -> Result<(), String> {
-    let fit = || -> io::Result<bool> {
+    let accepts = || -> io::Result<bool> {
         fs::set_permissions(path, fs::Permissions::from_mode(0o755))?;
         let mut command = Command::new(path);
         command.arg("check").arg(config).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
         Ok(command.status()?.success())
     };
-    match fit() {
+    match accepts() {
         Ok(true) => Ok(()),
-        Ok(false) => Err("it finds these settings unfit".to_owned()),
+        Ok(false) => Err("it rejects these settings".to_owned()),
         Err(error) => Err(error.to_string()),
     }
 }
 
-/// Puts a file where this proxy looks for it; gives its sum.
+/// Copies a file to this proxy's staging path; returns its checksum.
 pub fn stage(state: &Path, path: &Path) -> Result<[u8; 32]> {
     let bytes = fs::read(path).with_context(|| path.display().to_string())?;
     let sum = *blake3::hash(&bytes).as_bytes();
-    let to = staged(state, &sum);
-    fs::create_dir_all(to.parent().context("a folder")?)?;
-    let mut fresh = tempfile::NamedTempFile::new_in(state)?;
-    fresh.write_all(&bytes)?;
-    fresh.as_file().sync_all()?;
-    fresh.persist(to)?;
+    let target = staged_path(state, &sum);
+    fs::create_dir_all(target.parent().context("no parent directory")?)?;
+    let mut temporary = tempfile::NamedTempFile::new_in(state)?;
+    temporary.write_all(&bytes)?;
+    temporary.as_file().sync_all()?;
+    temporary.persist(target)?;
     Ok(sum)
 }
--- a/daemon/src/settings/mod.rs
+++ b/daemon/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The settings of one border proxy: a TOML file, read with [`read`], which tells all that is wrong with it
-//! at once. [`EXAMPLE`] is a full one with a word on each key; docs/operating.md says more.
+//! The settings of one border proxy: a TOML file, read by [`read`], which reports all errors at once.
+//! [`EXAMPLE`] is a full file with a comment on each key; docs/operating.md says more.
 
 mod calls;
 mod distribution;
@@ -22,18 +22,23 @@
 use toml_edit::Document;
 
 use crate::running_release::RunningRelease;
-use reader::{Reader, Rows, line_of};
+use reader::{Reader, Section, line_of};
 
-pub use distribution::ControlPlan;
+pub use distribution::ControlMachineSettings;
 
+/// A full settings file with a comment on each key.
 pub const EXAMPLE: &str = include_str!("../example.toml");
 
-/// One thing that is wrong with a settings file.
+/// One error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
+    /// Its line, counted from 1.
     pub line: usize,
+    /// The key with its tables, as `grade[0].limit`.
     pub key: String,
+    /// What the file has there.
     pub found: String,
+    /// What was expected.
     pub wanted: String,
 }
 
@@ -43,243 +48,274 @@
     }
 }
 
-/// What a border proxy runs by.
+/// The settings of a border proxy.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ProxySettings {
+    /// The proxy's name, as in the roster.
     pub name: String,
-    /// The file that it was read from, and what of a release this process runs: by whoever starts it.
-    pub config: PathBuf,
-    pub runs: RunningRelease,
-    /// Directory for what lasts: the cached list, the addresses that it listens on.
-    pub state: PathBuf,
-    pub callers: SocketAddr,
-    /// The address that servers are called from; a port is given out for each.
-    pub servers: SocketAddr,
-    pub control: PathBuf,
-    pub feed: SocketAddr,
-    /// Milliseconds for which what stands goes on after a stop was asked for.
-    pub standing: f64,
+    /// The file that the settings were read from; set by the caller of [`read`].
+    pub config_file: PathBuf,
+    /// The release that this process runs; set by the caller of [`read`].
+    pub running_release: RunningRelease,
+    /// Directory for persistent files, such as the cached pool list and `ready.json`.
+    pub state_dir: PathBuf,
+    /// The address on which callers' legs are accepted.
+    pub callers_address: SocketAddr,
+    /// The local address of the sockets to servers, one for each.
+    pub server_source: SocketAddr,
+    /// The path of the control socket.
+    pub control_socket: PathBuf,
+    /// The address of the pool list's feed.
+    pub pool_feed: SocketAddr,
+    /// How long established conversations continue after a stop was requested, in milliseconds.
+    pub stop_grace: f64,
+    /// Size of the sockets' receive buffers in bytes; none for the kernel's default.
     pub receive_buffer: Option<usize>,
-    pub gossip: Option<GossipPlan>,
-    /// Limits that hold for the whole fleet, where there are any.
-    pub fleet: Option<LimitTerms>,
-    /// Decisions of all proxies in one order, where there are any.
-    pub council: Option<CouncilPlan>,
-    /// Decided state by scope, where it is distributed.
-    pub distribution: Option<DistributionPlan>,
-    pub records: Option<RecordsPlan>,
-    /// Terms that are watched: what would be decided under them is counted.
-    pub to_come: Option<ProposedTerms>,
+    /// Gossip with the other proxies, if any.
+    pub gossip: Option<GossipSettings>,
+    /// Limits that hold for the whole fleet, if any.
+    pub fleet_limits: Option<LimitTerms>,
+    /// The council, which decides for all proxies in one order, if there is one.
+    pub council: Option<CouncilSettings>,
+    /// The distribution of decided state by scope, if any.
+    pub distribution: Option<DistributionSettings>,
+    /// Call detail records, if any are kept.
+    pub records: Option<RecordsSettings>,
+    /// Proposed terms: decisions under them are compared with the actual ones and counted.
+    pub proposed_terms: Option<ProposedTerms>,
     /// Names of service grades and tenants, by index.
     pub names: (Vec<String>, Vec<String>),
+    /// The terms of the proxy and its decisions.
     pub terms: ProxyTerms,
 }
 
-/// How a border proxy keeps its records.
+/// How a border proxy keeps its call detail records.
 #[derive(Clone, Debug)]
-pub struct RecordsPlan {
+pub struct RecordsSettings {
+    /// The folder of the journal.
     pub folder: PathBuf,
-    pub promise: Durability,
-    /// Milliseconds.
-    pub delay: f64,
-    pub patience: f64,
-    /// Bytes.
-    pub segment: u64,
+    /// What an answer to a caller waits for.
+    pub durability: Durability,
+    /// How long an entry waits for others to share a sync, in milliseconds.
+    pub max_sync_delay: f64,
+    /// A sync that takes longer counts as a failure of the disk, in milliseconds.
+    pub max_sync_time: f64,
+    /// The size at which the next segment is started, in bytes.
+    pub segment_bytes: u64,
 }
 
-/// How a border proxy gossips.
+/// How a border proxy takes part in gossip.
 #[derive(Clone, Debug)]
-pub struct GossipPlan {
+pub struct GossipSettings {
+    /// The local address of the gossip socket.
     pub listen: SocketAddr,
-    /// The address that others are told, where that differs.
-    pub address: Option<SocketAddr>,
+    /// The address that other proxies use, if it differs.
+    pub advertised_address: Option<SocketAddr>,
+    /// Addresses of other proxies to contact first.
     pub seeds: Vec<SocketAddr>,
+    /// The file of this proxy's own key.
     pub key: PathBuf,
+    /// The files of the fleet's keys, the one in use first.
     pub fleet_keys: Vec<PathBuf>,
+    /// The file of all proxies' public keys.
     pub roster: PathBuf,
-    /// Bytes a second.
-    pub cap: f64,
-    /// Milliseconds.
-    pub beat: f64,
-    pub liars: usize,
+    /// Limit on sent bytes per second.
+    pub max_bytes_per_second: f64,
+    /// Interval between probes of other proxies, in milliseconds.
+    pub probe_interval: f64,
+    /// How many proxies may report falsely without effect.
+    pub max_faulty: usize,
 }
 
-/// How a border proxy takes part in the decisions of all.
+/// How a border proxy takes part in the council's decisions.
 #[derive(Clone, Debug)]
-pub struct CouncilPlan {
-    /// Who votes at first, by the roster's names.
+pub struct CouncilSettings {
+    /// The members that vote at first, by their names in the roster.
     pub members: Vec<String>,
+    /// The file of this proxy's council state.
     pub file: PathBuf,
-    /// Milliseconds.
-    pub beat: f64,
+    /// Interval of the leader's heartbeats, in milliseconds.
+    pub heartbeat: f64,
+    /// How long a proxy may act on what it last heard, in milliseconds.
     pub lease: f64,
-    pub outs: AvailabilityTerms,
+    /// How many servers and proxies may be unavailable at once.
+    pub availability: AvailabilityTerms,
 }
 
 /// How decided state is distributed by scope, and this proxy's part in it.
 #[derive(Clone, Debug)]
-pub struct DistributionPlan {
-    /// How often a subscriber and its control machine hear of each other, in milliseconds.
+pub struct DistributionSettings {
+    /// Interval at which a subscriber and its control machine hear from each other, in milliseconds.
     pub heartbeat: f64,
-    /// What this proxy is in it.
+    /// This proxy's role.
     pub role: DistributionRole,
 }
 
-/// What a border proxy is in the distribution of decided state.
+/// A border proxy's role in the distribution of decided state.
 #[derive(Clone, Debug)]
 pub enum DistributionRole {
-    /// It follows the log and serves subscribers.
-    Control(ServedPlan),
-    /// It holds the scopes that it uses, by one control machine at a time.
-    Subscriber(SubscriberPlan),
+    /// Follows the council's log and serves subscribers.
+    Control(ServiceSettings),
+    /// Holds the scopes that it uses, received from one control machine at a time.
+    Subscriber(SubscriberSettings),
 }
 
-/// Whom a control machine serves.
+/// How a control machine serves subscribers.
 #[derive(Clone, Debug)]
-pub struct ServedPlan {
-    /// The roster of subscribers.
+pub struct ServiceSettings {
+    /// The file of the subscribers' public keys.
     pub subscribers: PathBuf,
-    /// Subscribers at the most.
-    pub most_subscribers: usize,
-    /// Bytes a second to all subscribers together, and to each of them.
+    /// Maximum number of subscribers.
+    pub max_subscribers: usize,
+    /// Limit on bytes per second sent to all subscribers together.
     pub bytes_per_second: f64,
-    /// See [`ServedPlan::bytes_per_second`].
+    /// Limit on bytes per second sent to each subscriber.
     pub subscriber_bytes_per_second: f64,
-    /// Subscribers that fetch whole scopes at a time.
+    /// Maximum number of subscribers that fetch whole scopes at a time.
     pub snapshots_at_once: usize,
 }
 
-/// What a subscriber subscribes to, and where.
+/// What a subscriber subscribes to, and from which control machines.
 #[derive(Clone, Debug)]
-pub struct SubscriberPlan {
-    /// Where it is heard.
+pub struct SubscriberSettings {
+    /// The local address of its socket.
     pub listen: SocketAddr,
-    /// Its own key.
+    /// The file of its own key.
     pub key: PathBuf,
-    /// The fleet's keys, the one in use first.
+    /// The files of the fleet's keys, the one in use first.
     pub fleet_keys: Vec<PathBuf>,
-    /// Public keys of all control machines, all who may vote, and this proxy.
+    /// The file of the public keys of all control machines, all possible voters and this proxy.
     pub roster: PathBuf,
-    /// The region that it is in, whose control machines it prefers.
+    /// Its region, whose control machines it prefers.
     pub region: u16,
-    /// Who votes at first, by the roster's names.
-    pub founders: Vec<String>,
-    /// What it holds.
+    /// The members that vote at first, by their names in the roster.
+    pub bootstrap_members: Vec<String>,
+    /// The scopes that it holds.
     pub scopes: BTreeSet<Scope>,
-    /// Where it keeps what it holds.
+    /// The file in which it persists its scopes.
     pub file: PathBuf,
     /// The control machines.
-    pub controls: Vec<ControlPlan>,
+    pub controls: Vec<ControlMachineSettings>,
 }
 
-impl Plan {
+impl ProxySettings {
+    /// Returns the path of the cached pool list.
     pub fn pool_cache(&self) -> PathBuf {
-        self.state.join("pool.list")
+        self.state_dir.join("pool.list")
     }
 
-    /// Where the addresses stand once it listens.
+    /// Returns the path of the file with the proxy's addresses, written once it listens.
     pub fn ready_file(&self) -> PathBuf {
-        self.state.join("ready.json")
+        self.state_dir.join("ready.json")
     }
 }
 
-/// Reads a settings file; all that is wrong with it otherwise, in the order of lines.
-pub fn read(source: &str) -> Result<Plan, Vec<Fault>> {
+/// Reads a settings file.
+///
+/// # Errors
+///
+/// All errors in the file, in the order of lines.
+pub fn read(source: &str) -> Result<ProxySettings, Vec<Fault>> {
     let document = Document::parse(source).map_err(|error| {
         let line = line_of(source, error.span().map_or(0, |span| span.start));
         let found = error.message().lines().next().unwrap_or_default().to_owned();
         vec![Fault { line, key: "(file)".to_owned(), found, wanted: "TOML".to_owned() }]
     })?;
     let mut reader = Reader { source, faults: Vec::new() };
-    let plan = reader.plan(document.as_table());
+    let settings = reader.proxy_settings(document.as_table());
     reader.faults.sort_by_key(|fault| fault.line);
-    match plan {
-        Some(plan) if reader.faults.is_empty() => Ok(plan),
+    match settings {
+        Some(settings) if reader.faults.is_empty() => Ok(settings),
         _ => Err(reader.faults),
     }
 }
 
 impl Reader<'_> {
-    fn plan(&mut self, table: &toml_edit::Table) -> Option<Plan> {
-        let mut top = Rows { path: String::new(), table: Some(table), line: 1, asked: HashSet::new() };
+    fn proxy_settings(&mut self, table: &toml_edit::Table) -> Option<ProxySettings> {
+        let mut top =
+            Section { path: String::new(), table: Some(table), line: 1, known_keys: HashSet::new() };
 
-        let mut proxy = self.rows(&mut top, "proxy", true);
+        let mut proxy = self.section(&mut top, "proxy", true);
         let name = self.text(&mut proxy, "name", None);
-        let proxies = self.whole(&mut proxy, "proxies", 1, 100_000, None);
+        let proxies = self.integer(&mut proxy, "proxies", 1, 100_000, None);
         let state = self.text(&mut proxy, "state", None);
-        self.done(proxy);
+        self.finish(proxy);
 
-        let mut listen = self.rows(&mut top, "listen", true);
+        let mut listen = self.section(&mut top, "listen", true);
         let callers = self.address(&mut listen, "callers", None);
         let servers = self.address(&mut listen, "servers", Some("127.0.0.1:0"));
         let control = self.text(&mut listen, "control", Some(""));
-        let receive_buffer = self.whole(&mut listen, "receive_buffer", 0, 1 << 30, Some(0));
-        self.done(listen);
+        let receive_buffer = self.integer(&mut listen, "receive_buffer", 0, 1 << 30, Some(0));
+        self.finish(listen);
 
-        let mut pool = self.rows(&mut top, "pool", true);
+        let mut pool = self.section(&mut top, "pool", true);
         let feed = self.address(&mut pool, "feed", None);
-        self.done(pool);
+        self.finish(pool);
 
         let gossip = self.gossip(&mut top);
-        let fleet = self.fleet(&mut top);
+        let fleet_limits = self.fleet_limits(&mut top);
         let council = self.council(&mut top, state.as_deref().unwrap_or_default());
         let distribution = self.distribution(&mut top, state.as_deref().unwrap_or_default());
         let records = self.records(&mut top, state.as_deref().unwrap_or_default());
         let limits = self.limits(&mut top);
-        let mut stop = self.rows(&mut top, "stop", false);
-        let standing = if stop.table.is_some() {
+        let mut stop = self.section(&mut top, "stop", false);
+        let stop_grace = if stop.table.is_some() {
             self.time(&mut stop, "standing", Some(30_000.0))
         } else {
             Some(30_000.0)
         };
-        self.done(stop);
+        self.finish(stop);
 
         let grades = self.grades(&mut top);
         let tenants = self.tenants(&mut top);
-        let parts = Terms {
+        let base_terms = Terms {
             proxies: proxies.unwrap_or(1),
             grades: grades.iter().map(|grade| grade.terms.clone()).collect(),
             tenants: tenants.iter().map(|(_, terms, _)| terms.clone()).collect(),
             ..Terms::default()
         };
-        let mut rules = self.rows(&mut top, "rules", true);
-        let terms = self.rules(&mut rules, parts, limits.resend_delay, None);
+        let mut rules = self.section(&mut top, "rules", true);
+        let terms = self.rules(&mut rules, base_terms, limits.resend_delay, None);
         let answer_lead = self.time(&mut rules, "answer_lead", None);
-        self.done(rules);
-        let mut watch = self.rows(&mut top, "watch", false);
-        let to_come = watch.table.is_some().then(|| ProposedTerms {
+        self.finish(rules);
+        let mut watch = self.section(&mut top, "watch", false);
+        let proposed_terms = watch.table.is_some().then(|| ProposedTerms {
             terms: self.rules(&mut watch, terms.clone(), limits.resend_delay, Some(&terms)),
             share: self.number(&mut watch, "share", 0.0, 1.0, Some(1.0)).unwrap_or(1.0),
         });
-        self.done(watch);
+        self.finish(watch);
 
         let routes = self.routes(&mut top, &grades, &tenants);
-        self.done(top);
-        let state = PathBuf::from(state?);
+        self.finish(top);
+        let state_dir = PathBuf::from(state?);
         let control = control?;
-        Some(Plan {
+        Some(ProxySettings {
             name: name?,
-            config: PathBuf::new(),
-            runs: RunningRelease::default(),
-            control: if control.is_empty() { state.join("control.sock") } else { PathBuf::from(control) },
-            state,
-            callers: callers?,
-            servers: servers?,
-            feed: feed?,
-            standing: standing?,
+            config_file: PathBuf::new(),
+            running_release: RunningRelease::default(),
+            control_socket: if control.is_empty() {
+                state_dir.join("control.sock")
+            } else {
+                PathBuf::from(control)
+            },
+            state_dir,
+            callers_address: callers?,
+            server_source: servers?,
+            pool_feed: feed?,
+            stop_grace: stop_grace?,
             gossip,
-            fleet,
+            fleet_limits,
             council,
             distribution,
             records,
-            to_come,
+            proposed_terms,
             names: (
                 grades.iter().map(|grade| grade.name.clone()).collect(),
                 tenants.iter().map(|(name, ..)| name.clone()).collect(),
             ),
             receive_buffer: receive_buffer.filter(|&bytes| bytes > 0).map(|bytes| bytes as usize),
             terms: ProxyTerms {
-                caller_timeout: grades.iter().map(|grade| grade.patience).collect(),
+                caller_timeout: grades.iter().map(|grade| grade.caller_timeout).collect(),
                 terms,
                 routes,
                 answer_lead: answer_lead?,
