--- a/lab/src/commands/scale.rs
+++ b/lab/src/commands/scale.rs
@@ -76,8 +76,8 @@
         seed: arguments.seed,
         threads: arguments.threads.unwrap_or(cores.div_ceil(2)),
         flat: arguments.flat,
-        most: if arguments.quick { QUICK_MOST } else { MOST },
+        max_wall_time: if arguments.quick { QUICK_MOST } else { MOST },
     };
-    let end = run.script.end() / 1000.0;
-    run.play(&|reached| eprintln!("{:>5.0} of {end:.0} s", reached / 1000.0))
+    let end = run.script.end_ms() / 1000.0;
+    run.execute(&|reached| eprintln!("{:>5.0} of {end:.0} s", reached / 1000.0))
 }
--- a/lab/src/scale/engine.rs
+++ b/lab/src/scale/engine.rs
@@ -171,8 +171,8 @@
         let earliest = f64::from_bits(window.earliest.swap(f64::INFINITY.to_bits(), Ordering::AcqRel));
         let ahead = self.plan.layout.shortest_between_zones().unwrap_or(ALONE);
         let late = self.began.elapsed() >= self.plan.most;
-        window.over.store(earliest >= self.plan.script.end() || late, Ordering::Release);
-        window.end.store((earliest + ahead).min(self.plan.script.end()).to_bits(), Ordering::Release);
+        window.over.store(earliest >= self.plan.script.end_ms() || late, Ordering::Release);
+        window.end.store((earliest + ahead).min(self.plan.script.end_ms()).to_bits(), Ordering::Release);
         window.next.store(0, Ordering::Release);
         window.round.fetch_add(1, Ordering::AcqRel);
         let told = f64::from_bits(window.told.load(Ordering::Acquire));
--- a/lab/src/scale/script.rs
+++ b/lab/src/scale/script.rs
@@ -160,7 +160,7 @@
     }
 
     /// When the run ends, in milliseconds since it began.
-    pub fn end(&self) -> f64 {
+    pub fn end_ms(&self) -> f64 {
         self.at(self.seconds)
     }
 
--- a/lab/src/scale/virtual_run.rs
+++ b/lab/src/scale/virtual_run.rs
@@ -29,7 +29,7 @@
     /// Everybody gossips with everybody, without control machines.
     pub flat: bool,
     /// The run is broken off when it has taken so long by the wall clock.
-    pub most: Duration,
+    pub max_wall_time: Duration,
 }
 
 impl VirtualRun {
@@ -47,7 +47,7 @@
     /// # Errors
     ///
     /// When the machine does not bear it, the layout or the script is not sound, or the time is over first.
-    pub fn play(&self, progress: &(dyn Fn(f64) + Sync)) -> Result<Report> {
+    pub fn execute(&self, progress: &(dyn Fn(f64) + Sync)) -> Result<Report> {
         resources::check(&self.need(), &Free::now())?;
         let layout = Layout::new(self.layout, self.seed)?;
         self.script.check(&layout)?;
@@ -71,11 +71,11 @@
             proposals: &proposals,
             seed: self.seed,
             threads: self.threads,
-            most: self.most,
+            most: self.max_wall_time,
         };
         let played = engine::play(fleet, &plan, progress);
-        let (reached, end) = (played.reached / 1000.0, self.script.end() / 1000.0);
-        ensure!(reached >= end, "broken off after {:?} at {reached:.1} of {end:.1} s", self.most);
+        let (reached, end) = (played.reached / 1000.0, self.script.end_ms() / 1000.0);
+        ensure!(reached >= end, "broken off after {:?} at {reached:.1} of {end:.1} s", self.max_wall_time);
         let in_force = judge::in_force(layout, &self.script, self.seed, (&proposals, &bursts), &played);
         Ok(self.report(layout, in_force, &played))
     }
--- a/lab/tests/scale/engine.rs
+++ b/lab/tests/scale/engine.rs
@@ -173,5 +173,5 @@
     let most = Duration::ZERO;
     let plan = Plan { layout: &layout, script: &script, proposals: &[], seed: 1, threads: 2, most };
     let played = engine::play(&Counters(layout.nodes()), &plan, &|_| {});
-    assert!(played.reached < script.end());
+    assert!(played.reached < script.end_ms());
 }
--- a/lab/tests/scale/flat.rs
+++ b/lab/tests/scale/flat.rs
@@ -16,9 +16,9 @@
         seed: 3,
         threads,
         flat: true,
-        most: Duration::from_secs(120),
+        max_wall_time: Duration::from_secs(120),
     };
-    run.play(&|_| {}).expect("played")
+    run.execute(&|_| {}).expect("played")
 }
 
 #[test]
--- a/lab/tests/scale/tier.rs
+++ b/lab/tests/scale/tier.rs
@@ -17,9 +17,9 @@
         seed: 3,
         threads,
         flat: false,
-        most: Duration::from_secs(120),
+        max_wall_time: Duration::from_secs(120),
     };
-    run.play(&|_| {}).expect("played")
+    run.execute(&|_| {}).expect("played")
 }
 
 #[test]
