--- a/lab/src/capacity/figure.rs
+++ b/lab/src/capacity/figure.rs
@@ -6,11 +6,11 @@
 use super::fit::Fit;
 
 /// Sizes that a fit needs at the least.
-const FEWEST_SIZES: usize = 4;
+const MIN_SIZES: usize = 4;
 /// The operators' target, in proxies.
-const TARGET: f64 = 33_000.0;
+const TARGET_PROXIES: f64 = 33_000.0;
 /// Ten times what runs today, in proxies.
-const NEXT: f64 = 3_000.0;
+const TENFOLD_PROXIES: f64 = 3_000.0;
 
 /// One measured value.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -54,34 +54,38 @@
     /// # Errors
     ///
     /// With fewer than four sizes in the fit, or no sample of the size that is left out.
-    pub fn of(subject: Subject, samples: Vec<Sample>, left_out: f64) -> Result<Self> {
-        let (out, fitted): (Vec<&Sample>, Vec<&Sample>) =
+    pub fn from_samples(subject: Subject, samples: Vec<Sample>, left_out: f64) -> Result<Self> {
+        let (held_out, fitted): (Vec<&Sample>, Vec<&Sample>) =
             samples.iter().partition(|sample| sample.size == left_out);
         let mut sizes: Vec<u64> = fitted.iter().map(|sample| sample.size as u64).collect();
         sizes.sort_unstable();
         sizes.dedup();
-        ensure!(sizes.len() >= FEWEST_SIZES, "{}: {} sizes in the fit", subject.id, sizes.len());
-        ensure!(!out.is_empty(), "{}: nothing measured at {left_out}", subject.id);
+        ensure!(sizes.len() >= MIN_SIZES, "{}: {} sizes in the fit", subject.id, sizes.len());
+        ensure!(!held_out.is_empty(), "{}: nothing measured at {left_out}", subject.id);
         let points: Vec<(f64, f64)> = fitted.iter().map(|sample| (sample.size, sample.value)).collect();
-        let fit = Fit::of(&points).context("sizes that differ")?;
-        let measured = out.iter().map(|sample| sample.value).sum::<f64>() / out.len() as f64;
-        let predicted = fit.at(left_out);
+        let fit = Fit::least_squares(&points).context("sizes that differ")?;
+        let measured = held_out.iter().map(|sample| sample.value).sum::<f64>() / held_out.len() as f64;
+        let predicted = fit.predict(left_out);
         let error = predicted / measured - 1.0;
-        let crossed_at = subject.limit.and_then(|limit| fit.crossing(limit));
+        let crossed_at = subject.limit.and_then(|limit| fit.size_at_limit(limit));
         Ok(Self { subject, left_out, fit, predicted, measured, error, crossed_at, samples })
     }
 
     /// The same, reckoned anew from the raw samples.
-    pub fn anew(&self) -> Result<Self> {
-        Self::of(self.subject.clone(), self.samples.clone(), self.left_out)
+    pub fn recompute(&self) -> Result<Self> {
+        Self::from_samples(self.subject.clone(), self.samples.clone(), self.left_out)
     }
 
     /// Its row on the page.
-    pub fn row(&self) -> String {
+    pub fn markdown_row(&self) -> String {
         let Subject { id, unit, by, mechanism, limit } = &self.subject;
         // A line that falls says nothing of sizes far past those that were measured.
-        let sizes = if by == "members" && self.fit.slope > 0.0 {
-            format!("{} | {}", figure(self.fit.at(NEXT)), figure(self.fit.at(TARGET)))
+        let predictions = if by == "members" && self.fit.slope > 0.0 {
+            format!(
+                "{} | {}",
+                three_digits(self.fit.predict(TENFOLD_PROXIES)),
+                three_digits(self.fit.predict(TARGET_PROXIES))
+            )
         } else {
             "- | -".to_owned()
         };
@@ -91,22 +95,22 @@
             (_, Some(size)) => format!("{size:.0}"),
         };
         format!(
-            "| {id}, {unit} | {} x {by} + {} | {} | {:.0}: {} of {}, {:+.0}% | {sizes} | {} | {crossed} \
+            "| {id}, {unit} | {} x {by} + {} | {} | {:.0}: {} of {}, {:+.0}% | {predictions} | {} | {crossed} \
              | {mechanism} |",
-            figure(self.fit.slope),
-            figure(self.fit.base),
-            figure(self.fit.spread),
+            three_digits(self.fit.slope),
+            three_digits(self.fit.base),
+            three_digits(self.fit.spread),
             self.left_out,
-            figure(self.predicted),
-            figure(self.measured),
+            three_digits(self.predicted),
+            three_digits(self.measured),
             self.error * 100.0,
-            limit.map_or("-".to_owned(), figure),
+            limit.map_or("-".to_owned(), three_digits),
         )
     }
 }
 
 /// Three digits that count.
-fn figure(value: f64) -> String {
+fn three_digits(value: f64) -> String {
     let digits = 2 - value.abs().max(f64::MIN_POSITIVE).log10().floor().clamp(-3.0, 2.0) as i32;
     format!("{value:.*}", digits.max(0) as usize)
 }
--- a/lab/src/capacity/fit.rs
+++ b/lab/src/capacity/fit.rs
@@ -14,7 +14,7 @@
 
 impl Fit {
     /// None where the points are of fewer than two sizes.
-    pub fn of(points: &[(f64, f64)]) -> Option<Self> {
+    pub fn least_squares(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_size = points.iter().map(|(size, _)| size).sum::<f64>() / count;
         let mean_value = points.iter().map(|(_, value)| value).sum::<f64>() / count;
@@ -31,12 +31,12 @@
     }
 
     /// What the line says of a size.
-    pub fn at(&self, size: f64) -> f64 {
+    pub fn predict(&self, size: f64) -> f64 {
         self.slope * size + self.base
     }
 
     /// The size at which a limit is crossed; 0 where it is crossed from the start, none where never.
-    pub fn crossing(&self, limit: f64) -> Option<f64> {
+    pub fn size_at_limit(&self, limit: f64) -> Option<f64> {
         if self.base >= limit {
             return Some(0.0);
         }
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -1,13 +1,13 @@
-//! What the parts of a border proxy cost by the size of the fleet: measured worlds, fits, files of figures.
+//! What the parts of a border proxy cost by the size of the fleet: measured scenarios, fits, files of figures.
 //!
-//! [`measure`] plays the [`worlds`], each a fleet of [`members`] under a virtual clock, fits a line through
+//! [`measure`] runs the [`scenarios`], each a fleet of [`cluster`] under a virtual clock, fits a line through
 //! each figure ([`fit`], [`figure`]) and writes the [`report`] files that docs/CAPACITY.md is made of.
 
+pub mod cluster;
 pub mod figure;
 pub mod fit;
-pub mod members;
 pub mod report;
-pub mod worlds;
+pub mod scenarios;
 
 use std::path::Path;
 use std::thread;
@@ -16,56 +16,55 @@
 
 use figure::{Figure, Sample};
 use report::Report;
-use worlds::{Measured, WORLDS};
+use scenarios::{SCENARIOS, Scenario};
 
 /// Seeds of each size.
 const SEEDS: u64 = 2;
 /// Cores that measuring may take at a time.
-const CORES: usize = 2;
+const MAX_THREADS: usize = 2;
 
-/// Measures all worlds and writes a file for each subsystem into a folder. `quick` takes one seed.
+/// Measures all scenarios and writes a file for each subsystem into a folder. `quick` takes one seed.
 ///
 /// # Errors
 ///
-/// Where a world can't be made, or a file not written.
+/// Where a scenario can't be made, or a file not written.
 pub fn measure(out: &Path, quick: bool, mut progress: impl FnMut(&str)) -> Result<()> {
     let seeds = if quick { 1 } else { SEEDS };
-    for world in &WORLDS {
-        let mut plays: Vec<(usize, u64)> = Vec::new();
-        for &size in world.sizes {
-            plays.extend((0..seeds).map(|seed| (size, seed)));
+    for scenario in &SCENARIOS {
+        let mut runs: Vec<(usize, u64)> = Vec::new();
+        for &size in scenario.sizes {
+            runs.extend((0..seeds).map(|seed| (size, seed)));
         }
         let mut values = Vec::new();
-        for some in plays.chunks(CORES) {
-            values.extend(play_beside(world, some)?);
-            progress(&format!("{}: {} of {} plays", world.subsystem, values.len(), plays.len()));
+        for batch in runs.chunks(MAX_THREADS) {
+            values.extend(run_in_parallel(scenario, batch)?);
+            progress(&format!("{}: {} of {} runs", scenario.subsystem, values.len(), runs.len()));
         }
-        report_of(world, &plays, &values)?.write(out)?;
+        build_report(scenario, &runs, &values)?.write(out)?;
     }
     Ok(())
 }
 
 /// Plays several at once, each on a thread of its own: processor time is counted by thread.
-fn play_beside(world: &Measured, plays: &[(usize, u64)]) -> Result<Vec<Vec<f64>>> {
-    let play = world.play;
+fn run_in_parallel(scenario: &Scenario, runs: &[(usize, u64)]) -> Result<Vec<Vec<f64>>> {
+    let run = scenario.run;
     thread::scope(|scope| {
-        let running: Vec<_> =
-            plays.iter().map(|&(size, seed)| scope.spawn(move || play(size, seed))).collect();
-        running.into_iter().map(|one| one.join().map_err(|_| anyhow!("a world broke off"))?).collect()
+        let handles: Vec<_> = runs.iter().map(|&(size, seed)| scope.spawn(move || run(size, seed))).collect();
+        handles.into_iter().map(|handle| handle.join().map_err(|_| anyhow!("a world broke off"))?).collect()
     })
 }
 
-fn report_of(world: &Measured, plays: &[(usize, u64)], values: &[Vec<f64>]) -> Result<Report> {
+fn build_report(scenario: &Scenario, runs: &[(usize, u64)], values: &[Vec<f64>]) -> Result<Report> {
     let mut figures = Vec::new();
-    for (place, subject) in (world.subjects)().into_iter().enumerate() {
-        let samples = plays.iter().zip(values).map(|(&(size, seed), values)| Sample {
+    for (index, subject) in (scenario.subjects)().into_iter().enumerate() {
+        let samples = runs.iter().zip(values).map(|(&(size, seed), values)| Sample {
             size: size as f64,
             seed,
-            value: values[place],
+            value: values[index],
         });
-        figures.push(Figure::of(subject, samples.collect(), world.left_out as f64)?);
+        figures.push(Figure::from_samples(subject, samples.collect(), scenario.left_out as f64)?);
     }
-    Ok(Report { subsystem: world.subsystem.to_owned(), commit: commit(), machine: machine(), figures })
+    Ok(Report { subsystem: scenario.subsystem.to_owned(), commit: commit(), machine: machine(), figures })
 }
 
 /// The text that is measured, as the caller's environment tells it.
--- a/lab/src/capacity/report.rs
+++ b/lab/src/capacity/report.rs
@@ -9,7 +9,7 @@
 use super::figure::Figure;
 
 /// The head of the page's table.
-const HEAD: &str = "| figure | line | spread | left out: predicted of measured | at 3,000 | at 33,000 \
+const TABLE_HEAD: &str = "| figure | line | spread | left out: predicted of measured | at 3,000 | at 33,000 \
                     | limit | crossed at | by |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 
 /// All figures of a subsystem.
@@ -62,9 +62,9 @@
 ///
 /// Where samples don't bear a fit.
 pub fn table(reports: &[Report]) -> Result<String> {
-    let mut table = HEAD.to_owned();
+    let mut table = TABLE_HEAD.to_owned();
     for figure in reports.iter().flat_map(|report| &report.figures) {
-        table += &figure.anew()?.row();
+        table += &figure.recompute()?.markdown_row();
         table.push('\n');
     }
     Ok(table)
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -33,27 +33,27 @@
     let reports = reports();
     assert!(!reports.is_empty());
     for figure in reports.iter().flat_map(|report| &report.figures) {
-        let anew = figure.anew().expect("samples that bear a fit");
+        let recomputed = figure.recompute().expect("samples that bear a fit");
         let close = |a: f64, b: f64| (a - b).abs() <= 1e-9 * a.abs().max(1.0);
-        assert!(close(anew.fit.slope, figure.fit.slope), "{}", figure.subject.id);
-        assert!(close(anew.predicted, figure.predicted), "{}", figure.subject.id);
-        assert!(close(anew.error, figure.error), "{}", figure.subject.id);
+        assert!(close(recomputed.fit.slope, figure.fit.slope), "{}", figure.subject.id);
+        assert!(close(recomputed.predicted, figure.predicted), "{}", figure.subject.id);
+        assert!(close(recomputed.error, figure.error), "{}", figure.subject.id);
     }
 }
 
 #[test]
 fn a_line_is_found_again() {
-    let fit = Fit::of(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).expect("three sizes");
+    let fit = Fit::least_squares(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)]).expect("three sizes");
     assert!((fit.slope - 2.0).abs() < 1e-9 && (fit.base - 3.0).abs() < 1e-9 && fit.spread < 1e-9);
-    assert_eq!(fit.crossing(13.0).map(f64::round), Some(5.0));
-    assert_eq!(Fit::of(&[(2.0, 7.0), (2.0, 8.0)]), None);
+    assert_eq!(fit.size_at_limit(13.0).map(f64::round), Some(5.0));
+    assert_eq!(Fit::least_squares(&[(2.0, 7.0), (2.0, 8.0)]), None);
 }
 
 #[rstest]
 #[case::four_sizes(&[1.0, 2.0, 3.0, 4.0, 8.0], true)]
 #[case::three_sizes(&[1.0, 2.0, 3.0, 8.0], false)]
 #[case::nothing_left_out(&[1.0, 2.0, 3.0, 4.0], false)]
-fn a_figure_wants_four_sizes_and_one_left_out(#[case] sizes: &[f64], #[case] sound: bool) {
+fn a_figure_wants_four_sizes_and_one_left_out(#[case] sizes: &[f64], #[case] is_valid: bool) {
     let subject = Subject {
         id: "cost".to_owned(),
         unit: "ms".to_owned(),
@@ -62,8 +62,8 @@
         limit: Some(7.0),
     };
     let samples = sizes.iter().map(|&size| Sample { size, seed: 0, value: 2.0 * size + 1.0 }).collect();
-    let figure = Figure::of(subject, samples, 8.0);
-    assert_eq!(figure.is_ok(), sound);
+    let figure = Figure::from_samples(subject, samples, 8.0);
+    assert_eq!(figure.is_ok(), is_valid);
     if let Ok(figure) = figure {
         assert!(figure.error.abs() < 1e-9);
         assert_eq!(figure.crossed_at.map(f64::round), Some(3.0));
