--- a/lab/src/scale/council.rs
+++ b/lab/src/scale/council.rs
@@ -9,46 +9,55 @@
 use gossip::wire::{MemberState, Subsystem};
 use gossip::{GossipTerms, Node as Member};
 
-use super::book;
 use super::keys::{self, SharedKeys};
+use super::kv_machine;
 use super::layout::{Layout, NodeId};
-use super::node::{NewValue, NotNow, Version};
+use super::node::{ConfigChange, NotReady, Version};
 
 /// Bytes a second that a member's gossip may send, and how often it looks at others and the leader speaks, in
 /// milliseconds: the values that the example settings have.
-const CAP: f64 = 16_000.0;
-const PROBE_INTERVAL: f64 = 200.0;
-const HEARTBEAT: f64 = 200.0;
+const MAX_BYTES_PER_SECOND: f64 = 16_000.0;
+const PROBE_INTERVAL_MS: f64 = 200.0;
+const HEARTBEAT_MS: f64 = 200.0;
 /// The same for control machines. The heartbeat is longer than the way to the farthest region and back once
 /// an answer; ten of them without a leader begin an election.
-const CONTROL_CAP: f64 = 1e6;
-const CONTROL_HEARTBEAT: f64 = 100.0;
-const LEASE: f64 = 10_000.0;
-const LIARS: usize = 2;
-const RESEND: f64 = 500.0;
+const CONTROL_MAX_BYTES_PER_SECOND: f64 = 1e6;
+const CONTROL_HEARTBEAT_MS: f64 = 100.0;
+const LEASE_MS: f64 = 10_000.0;
+const MAX_FAULTY: usize = 2;
+const RESEND_INTERVAL_MS: f64 = 500.0;
 /// The wall clock at the start of every run, in Unix milliseconds.
-pub const EPOCH: f64 = 1.7e12;
+pub const EPOCH_UNIX_MS: f64 = 1.7e12;
 
 /// What the nodes that gossip have in common.
-pub struct Terms {
+pub struct CouncilTerms {
     /// Those who gossip.
     pub roster: Arc<Roster>,
     pub voters: Vec<NodeId>,
     /// Bytes a second that gossip may send.
-    pub cap: f64,
+    pub max_bytes_per_second: f64,
     /// Milliseconds between a leader's messages.
     pub heartbeat: f64,
 }
 
-impl Terms {
+impl CouncilTerms {
     /// A fleet's gossip by the example settings.
-    pub fn of_fleet(roster: Roster, voters: Vec<NodeId>) -> Self {
-        Self { roster: Arc::new(roster), voters, cap: CAP, heartbeat: HEARTBEAT }
+    pub fn for_flat_fleet(roster: Roster, voters: Vec<NodeId>) -> Self {
+        Self {
+            roster: Arc::new(roster),
+            voters,
+            max_bytes_per_second: MAX_BYTES_PER_SECOND,
+            heartbeat: HEARTBEAT_MS,
+        }
     }
 
     /// Control machines, which are set aside for this: their gossip may send as much as decisions want.
-    pub fn of_controls(roster: Roster, voters: Vec<NodeId>) -> Self {
-        Self { cap: CONTROL_CAP, heartbeat: CONTROL_HEARTBEAT, ..Self::of_fleet(roster, voters) }
+    pub fn for_controls(roster: Roster, voters: Vec<NodeId>) -> Self {
+        Self {
+            max_bytes_per_second: CONTROL_MAX_BYTES_PER_SECOND,
+            heartbeat: CONTROL_HEARTBEAT_MS,
+            ..Self::for_flat_fleet(roster, voters)
+        }
     }
 }
 
@@ -58,28 +67,43 @@
     agreement: Agreement<M, SharedKeys>,
     file: Vec<u8>,
     /// Changes that were proposed here, by the agreement's request.
-    requests: BTreeMap<u64, (usize, NewValue)>,
+    requests: BTreeMap<u64, (usize, ConfigChange)>,
     decided: VecDeque<(usize, Version)>,
 }
 
 impl<M: Machine> CouncilNode<M> {
-    pub fn start(terms: &Terms, node: NodeId, life: u32, machine: M, disk: &[u8], now: f64) -> Self {
+    pub fn start(
+        terms: &CouncilTerms,
+        node: NodeId,
+        generation: u32,
+        machine: M,
+        disk: &[u8],
+        now: f64,
+    ) -> Self {
         let secrets = keys::secrets(node);
-        let gossip = GossipTerms {
+        let gossip_terms = GossipTerms {
             address: Layout::address(node),
             seeds: terms.voters.iter().copied().map(Layout::address).collect(),
-            max_bytes_per_second: terms.cap,
-            probe_interval: PROBE_INTERVAL,
-            max_faulty: LIARS,
-            resend_interval: RESEND,
+            max_bytes_per_second: terms.max_bytes_per_second,
+            probe_interval: PROBE_INTERVAL_MS,
+            max_faulty: MAX_FAULTY,
+            resend_interval: RESEND_INTERVAL_MS,
         };
-        let seed = node as u64 ^ u64::from(life) << 32;
-        let member = Member::new(gossip, secrets.clone(), (*terms.roster).clone(), seed, now, EPOCH + now);
-        let founders = terms.voters.iter().map(|&voter| keys::secrets(voter).id()).collect();
-        let agreed = AgreementTerms { bootstrap_members: founders, heartbeat: terms.heartbeat, lease: LEASE };
-        let signs = SharedKeys { secrets, roster: terms.roster.clone() };
-        let file = agree::disk::recover(disk);
-        let agreement = Agreement::new(member.id(), agreed, signs, machine, file, seed, now);
+        let seed = node as u64 ^ u64::from(generation) << 32;
+        let member = Member::new(
+            gossip_terms,
+            secrets.clone(),
+            (*terms.roster).clone(),
+            seed,
+            now,
+            EPOCH_UNIX_MS + now,
+        );
+        let bootstrap_members = terms.voters.iter().map(|&voter| keys::secrets(voter).id()).collect();
+        let agreement_terms =
+            AgreementTerms { bootstrap_members, heartbeat: terms.heartbeat, lease: LEASE_MS };
+        let signer = SharedKeys { secrets, roster: terms.roster.clone() };
+        let recovered = agree::disk::recover(disk);
+        let agreement = Agreement::new(member.id(), agreement_terms, signer, machine, recovered, seed, now);
         let agreement = agreement.expect("a snapshot of its own");
         let (requests, decided) = (BTreeMap::new(), VecDeque::new());
         Self { member, agreement, file: disk.to_vec(), requests, decided }
@@ -109,15 +133,15 @@
             self.agreement.set_peers(alive.map(|(id, _)| id).collect::<Vec<Id>>());
             self.agreement.turn(now);
         }
-        self.write(now);
+        self.write_to_disk(now);
         while let Some(out) = self.agreement.outgoing() {
             // What the cap forbids is lost, as on the network: it is said again.
             self.member.send_payload(now, out.to, Subsystem::Agreement, out.bytes);
         }
-        self.take_outcomes(now);
+        self.collect_outcomes(now);
     }
 
-    fn write(&mut self, now: f64) {
+    fn write_to_disk(&mut self, now: f64) {
         while let Some(write) = self.agreement.next_write(now) {
             if write.replaces_file {
                 self.file.clear();
@@ -127,7 +151,7 @@
         }
     }
 
-    fn take_outcomes(&mut self, now: f64) {
+    fn collect_outcomes(&mut self, now: f64) {
         while let Some((request, outcome)) = self.agreement.outcome() {
             let Some((number, change)) = self.requests.remove(&request) else { continue };
             match outcome {
@@ -139,14 +163,15 @@
         }
     }
 
-    pub fn propose(&mut self, now: f64, number: usize, change: &NewValue) -> Result<(), NotNow> {
-        let asked = self.agreement.propose(now, book::PART, book::command(change));
-        let request = asked.map_err(|_| NotNow)?;
+    pub fn propose(&mut self, now: f64, number: usize, change: &ConfigChange) -> Result<(), NotReady> {
+        let proposed =
+            self.agreement.propose(now, kv_machine::CHANGES_PART, kv_machine::encode_command(change));
+        let request = proposed.map_err(|_| NotReady)?;
         self.requests.insert(request, (number, change.clone()));
         Ok(())
     }
 
-    pub fn decided(&mut self) -> Option<(usize, Version)> {
+    pub fn next_decided(&mut self) -> Option<(usize, Version)> {
         self.decided.pop_front()
     }
 
@@ -164,8 +189,8 @@
 
     /// Bytes of what it knows of members and of decisions, written out.
     pub fn state_bytes(&self) -> usize {
-        let of = |statement| postcard::to_stdvec(statement).expect("plain data").len();
-        let statements: usize = self.member.statements().map(of).sum();
+        let encoded_bytes = |statement| postcard::to_stdvec(statement).expect("plain data").len();
+        let statements: usize = self.member.statements().map(encoded_bytes).sum();
         statements + self.member.members.all().count() * MEMBER_BYTES + self.agreement.machine().state().len()
     }
 }
--- a/lab/src/scale/engine/shard.rs
+++ b/lab/src/scale/engine/shard.rs
@@ -6,53 +6,56 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::{Decided, NodePlayed, Plan};
+use super::{DecidedChange, NodeResult, Plan};
 use crate::scale::layout::{Layout, NodeId, Scope};
-use crate::scale::meter::{CameIntoForce, Meter, thread_time};
-use crate::scale::network::{Network, Span, Stall};
-use crate::scale::node::{Fleet, Node, NotNow, Version};
+use crate::scale::meter::{InForceEvent, Meter, thread_cpu_ns};
+use crate::scale::network::{Network, Period, Stall};
+use crate::scale::node::{Fleet, Node, NotReady, Version};
 use crate::scale::script::FaultKind;
 
-/// A change that a node did not take is offered again after so many milliseconds.
-const OFFER_AGAIN: f64 = 50.0;
+/// A change that a node did not take is proposed again after so many milliseconds.
+const PROPOSE_RETRY_MS: f64 = 50.0;
 
 /// Nodes are looked at again after so many milliseconds at the earliest, as a real loop's clock goes on
 /// meanwhile: a due time that rounding puts before its condition would otherwise be now for ever.
-const LEAST_WAIT: f64 = 0.05;
+const MIN_TURN_INTERVAL_MS: f64 = 0.05;
 
 /// A message on its way to another zone.
-pub struct Flight {
-    pub arrives: f64,
+pub struct MessageInTransit {
+    pub arrives_at: f64,
     pub to: NodeId,
     from: NodeId,
     datagram: Vec<u8>,
-    source: usize,
+    source_zone: usize,
     number: u64,
 }
 
-enum What {
-    Arrive { from: NodeId, datagram: Vec<u8> },
-    Look,
+enum EventKind {
+    Arrival { from: NodeId, datagram: Vec<u8> },
+    Turn,
     Start,
     Kill,
     SaveDisk,
-    LoseDisk,
-    Offer { proposal: usize },
+    RestoreOldDisk,
+    Propose { proposal: usize },
 }
 
 /// Ordered by time; at the same time by the zone that it came from, and its number there.
 struct Event {
-    at: f64,
-    source: usize,
+    due_at: f64,
+    source_zone: usize,
     number: u64,
     node: NodeId,
-    what: What,
+    kind: EventKind,
 }
 
 impl Ord for Event {
     fn cmp(&self, other: &Self) -> Ordering {
         // The heap gives the greatest first: the earliest is to be that.
-        other.at.total_cmp(&self.at).then((other.source, other.number).cmp(&(self.source, self.number)))
+        other
+            .due_at
+            .total_cmp(&self.due_at)
+            .then((other.source_zone, other.number).cmp(&(self.source_zone, self.number)))
     }
 }
 
@@ -70,15 +73,15 @@
 
 impl Eq for Event {}
 
-struct Seat<N> {
+struct NodeState<N> {
     node: Option<N>,
-    life: u32,
-    look_at: f64,
+    generation: u32,
+    turn_at: f64,
     disk: Vec<u8>,
     /// An older copy of it, for a node that loses the newer one.
     old_disk: Vec<u8>,
     scopes: Vec<Scope>,
-    /// Versions in force in this life, and ever, by scope.
+    /// Versions in force in this generation, and ever, by scope.
     versions: Vec<Version>,
     newest: Vec<Version>,
     stalls: Vec<Stall>,
@@ -90,40 +93,40 @@
     layout: &'a Layout,
     plan: &'a Plan<'a>,
     zone: usize,
-    ids: Vec<NodeId>,
-    /// The place of each node of the layout here.
-    places: Vec<u32>,
-    seats: Vec<Seat<F::Node>>,
+    node_ids: Vec<NodeId>,
+    /// The index of each node of the layout here.
+    local_indexes: Vec<u32>,
+    states: Vec<NodeState<F::Node>>,
     events: BinaryHeap<Event>,
-    count: u64,
-    chance: Pcg64Mcg,
+    last_event_number: u64,
+    rng: Pcg64Mcg,
     hasher: blake3::Hasher,
-    arrived: u64,
-    sent: Vec<Flight>,
-    decided: Vec<Decided>,
+    messages_arrived: u64,
+    outbox: Vec<MessageInTransit>,
+    decided: Vec<DecidedChange>,
 }
 
-/// What a zone came to.
-pub struct Ended {
+/// EventKind a zone came to.
+pub struct ShardResult {
     pub digest: blake3::Hash,
-    pub arrived: u64,
-    pub decided: Vec<Decided>,
-    pub nodes: Vec<(NodeId, NodePlayed)>,
+    pub messages_arrived: u64,
+    pub decided: Vec<DecidedChange>,
+    pub nodes: Vec<(NodeId, NodeResult)>,
 }
 
 impl<'a, F: Fleet> Shard<'a, F> {
     pub fn new(plan: &'a Plan<'a>, zone: usize) -> Self {
-        let ids = plan.layout.in_zone(zone);
-        let mut places = vec![u32::MAX; plan.layout.nodes()];
-        ids.iter().enumerate().for_each(|(place, &node)| places[node] = place as u32);
-        let from = plan.script.at(0.0);
-        let seats = ids.iter().map(|&node| {
+        let node_ids = plan.layout.nodes_in_zone(zone);
+        let mut local_indexes = vec![u32::MAX; plan.layout.node_count()];
+        node_ids.iter().enumerate().for_each(|(index, &node)| local_indexes[node] = index as u32);
+        let from = plan.script.to_ms(0.0);
+        let states = node_ids.iter().map(|&node| {
             let scopes = plan.layout.scopes(node);
             let none = vec![0; scopes.len()];
-            Seat {
+            NodeState {
                 node: None,
-                life: 0,
-                look_at: f64::INFINITY,
+                generation: 0,
+                turn_at: f64::INFINITY,
                 disk: Vec::new(),
                 old_disk: Vec::new(),
                 scopes,
@@ -137,43 +140,49 @@
             layout: plan.layout,
             plan,
             zone,
-            seats: seats.collect(),
-            places,
+            states: states.collect(),
+            local_indexes,
             events: BinaryHeap::new(),
-            count: 0,
-            chance: Pcg64Mcg::seed_from_u64(plan.seed ^ (zone as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+            last_event_number: 0,
+            rng: Pcg64Mcg::seed_from_u64(plan.seed ^ (zone as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             hasher: blake3::Hasher::new(),
-            arrived: 0,
-            sent: Vec::new(),
+            messages_arrived: 0,
+            outbox: Vec::new(),
             decided: Vec::new(),
-            ids,
+            node_ids,
         };
-        shard.ids.clone().into_iter().for_each(|node| shard.plan_event(0.0, node, What::Start));
-        shard.plan_faults();
-        shard.plan_proposals();
+        shard.node_ids.clone().into_iter().for_each(|node| shard.schedule(0.0, node, EventKind::Start));
+        shard.schedule_faults();
+        shard.schedule_proposals();
         shard
     }
 
-    fn plan_event(&mut self, at: f64, node: NodeId, what: What) {
-        self.count += 1;
-        self.events.push(Event { at, source: self.zone, number: self.count, node, what });
+    fn schedule(&mut self, due_at: f64, node: NodeId, kind: EventKind) {
+        self.last_event_number += 1;
+        self.events.push(Event {
+            due_at,
+            source_zone: self.zone,
+            number: self.last_event_number,
+            node,
+            kind,
+        });
     }
 
-    fn plan_proposals(&mut self) {
+    fn schedule_proposals(&mut self) {
         let plan = self.plan;
-        for (proposal, of) in plan.proposals.iter().enumerate() {
-            if self.layout.site(of.by).zone == self.zone {
-                self.plan_event(of.at, of.by, What::Offer { proposal });
+        for (proposal, proposed) in plan.proposals.iter().enumerate() {
+            if self.layout.site(proposed.proposer).zone == self.zone {
+                self.schedule(proposed.proposed_at, proposed.proposer, EventKind::Propose { proposal });
             }
         }
     }
 
-    fn plan_faults(&mut self) {
+    fn schedule_faults(&mut self) {
         let plan = self.plan;
-        for (place, fault) in plan.script.faults.iter().enumerate() {
-            let (from, until) = (plan.script.at(fault.at), plan.script.at(fault.ends()));
-            let span = Span { from, until };
-            for node in fault.nodes(plan.layout, place, plan.seed) {
+        for (index, fault) in plan.script.faults.iter().enumerate() {
+            let (from, until) = (plan.script.to_ms(fault.at), plan.script.to_ms(fault.ends_at()));
+            let period = Period { from, until };
+            for node in fault.affected_nodes(plan.layout, index, plan.seed) {
                 if self.layout.site(node).zone != self.zone {
                     continue;
                 }
@@ -181,20 +190,20 @@
                     FaultKind::KillProxies { .. }
                     | FaultKind::KillZone { .. }
                     | FaultKind::KillControl { .. } => {
-                        self.plan_event(from, node, What::Kill);
-                        self.plan_event(until, node, What::Start);
+                        self.schedule(from, node, EventKind::Kill);
+                        self.schedule(until, node, EventKind::Start);
                     }
                     FaultKind::OldDisk { older, .. } => {
-                        self.plan_event((from - older * 1000.0).max(0.0), node, What::SaveDisk);
-                        self.plan_event(from, node, What::Kill);
-                        self.plan_event(until, node, What::LoseDisk);
-                        self.plan_event(until, node, What::Start);
+                        self.schedule((from - older * 1000.0).max(0.0), node, EventKind::SaveDisk);
+                        self.schedule(from, node, EventKind::Kill);
+                        self.schedule(until, node, EventKind::RestoreOldDisk);
+                        self.schedule(until, node, EventKind::Start);
                     }
                     FaultKind::PauseProxies { .. } | FaultKind::PauseControl { .. } => {
-                        self.seat(node).stalls.push(Stall::Paused(span));
+                        self.state(node).stalls.push(Stall::Paused(period));
                     }
                     FaultKind::SlowProxies { every, .. } => {
-                        self.seat(node).stalls.push(Stall::Slow(span, every * 1000.0));
+                        self.state(node).stalls.push(Stall::Slow(period, every * 1000.0));
                     }
                     FaultKind::CutZone { .. }
                     | FaultKind::CutRegion { .. }
@@ -205,144 +214,149 @@
         }
     }
 
-    fn seat(&mut self, node: NodeId) -> &mut Seat<F::Node> {
-        &mut self.seats[self.places[node] as usize]
+    fn state(&mut self, node: NodeId) -> &mut NodeState<F::Node> {
+        &mut self.states[self.local_indexes[node] as usize]
     }
 
-    /// Takes what was sent here from another zone.
-    pub fn deliver(&mut self, flights: &mut Vec<Flight>) {
-        for Flight { arrives, to, from, datagram, source, number } in flights.drain(..) {
-            let what = What::Arrive { from, datagram };
-            self.events.push(Event { at: arrives, source, number, node: to, what });
+    /// Takes kind was sent here from another zone.
+    pub fn deliver(&mut self, messages: &mut Vec<MessageInTransit>) {
+        for MessageInTransit { arrives_at, to, from, datagram, source_zone, number } in messages.drain(..) {
+            let kind = EventKind::Arrival { from, datagram };
+            self.events.push(Event { due_at: arrives_at, source_zone, number, node: to, kind });
         }
     }
 
     /// When the next event is due.
     pub fn due(&self) -> f64 {
-        self.events.peek().map_or(f64::INFINITY, |event| event.at)
+        self.events.peek().map_or(f64::INFINITY, |event| event.due_at)
     }
 
-    /// What was sent to other zones.
-    pub fn sent(&mut self) -> Vec<Flight> {
-        std::mem::take(&mut self.sent)
+    /// EventKind was sent to other zones.
+    pub fn take_outbox(&mut self) -> Vec<MessageInTransit> {
+        std::mem::take(&mut self.outbox)
     }
 
     /// Plays all events before the end.
-    pub fn play(&mut self, fleet: &F, network: &Network, end: f64) {
+    pub fn run_until(&mut self, fleet: &F, network: &Network, end: f64) {
         while self.due() < end {
             let event = self.events.pop().expect("just seen");
-            self.happen(fleet, network, event);
+            self.handle(fleet, network, event);
         }
     }
 
-    fn happen(&mut self, fleet: &F, network: &Network, event: Event) {
-        let Event { at: now, node, what, .. } = event;
-        match what {
-            What::Start => self.start(fleet, network, now, node),
-            What::Kill => {
-                let seat = self.seat(node);
-                if let Some(killed) = seat.node.take() {
-                    seat.disk = killed.disk();
+    fn handle(&mut self, fleet: &F, network: &Network, event: Event) {
+        let Event { due_at: now, node, kind, .. } = event;
+        match kind {
+            EventKind::Start => self.start(fleet, network, now, node),
+            EventKind::Kill => {
+                let state = self.state(node);
+                if let Some(killed) = state.node.take() {
+                    state.disk = killed.disk();
                 }
-                seat.look_at = f64::INFINITY;
+                state.turn_at = f64::INFINITY;
             }
-            What::SaveDisk => {
-                let seat = self.seat(node);
-                seat.old_disk = seat.node.as_ref().map_or_else(|| seat.disk.clone(), Node::disk);
+            EventKind::SaveDisk => {
+                let state = self.state(node);
+                state.old_disk = state.node.as_ref().map_or_else(|| state.disk.clone(), Node::disk);
             }
-            What::LoseDisk => {
-                let seat = self.seat(node);
-                seat.disk = std::mem::take(&mut seat.old_disk);
+            EventKind::RestoreOldDisk => {
+                let state = self.state(node);
+                state.disk = std::mem::take(&mut state.old_disk);
             }
-            what @ (What::Arrive { .. } | What::Look | What::Offer { .. }) => {
-                let acts_at = self.seat(node).stalls.iter().fold(now, |at, stall| stall.acts_at(at));
+            kind @ (EventKind::Arrival { .. } | EventKind::Turn | EventKind::Propose { .. }) => {
+                let acts_at =
+                    self.state(node).stalls.iter().fold(now, |acts_at, stall| stall.acts_at(acts_at));
                 if acts_at > now {
-                    return self.plan_event(acts_at, node, what);
+                    return self.schedule(acts_at, node, kind);
                 }
-                self.act(network, now, node, what);
+                self.dispatch(network, now, node, kind);
             }
         }
     }
 
     fn start(&mut self, fleet: &F, network: &Network, now: f64, node: NodeId) {
-        let seat = self.seat(node);
-        let mut started = fleet.start(node, seat.life, &seat.disk, now);
-        seat.life += 1;
-        seat.versions.fill(0);
+        let state = self.state(node);
+        let mut started = fleet.start(node, state.generation, &state.disk, now);
+        state.generation += 1;
+        state.versions.fill(0);
         started.turn(now);
-        seat.node = Some(started);
-        self.settle(network, now, node);
+        state.node = Some(started);
+        self.collect_outputs(network, now, node);
     }
 
-    /// A message arrives, something falls due or a change is offered.
-    fn act(&mut self, network: &Network, now: f64, node: NodeId, what: What) {
+    /// A message arrives_at, something falls due or a change is proposed.
+    fn dispatch(&mut self, network: &Network, now: f64, node: NodeId, kind: EventKind) {
         let plan = self.plan;
-        if let What::Arrive { from, datagram } = &what {
-            self.arrived += 1;
+        if let EventKind::Arrival { from, datagram } = &kind {
+            self.messages_arrived += 1;
             self.hasher.update(&now.to_le_bytes());
             self.hasher.update(&(*from as u64).to_le_bytes());
             self.hasher.update(&(node as u64).to_le_bytes());
             self.hasher.update(datagram);
         }
-        let seat = self.seat(node);
-        let Some(running) = &mut seat.node else { return };
-        let began = thread_time();
-        let mut offer_again = None;
-        match what {
-            What::Arrive { from, datagram } => {
-                seat.meter.received(now, datagram.len());
+        let state = self.state(node);
+        let Some(running) = &mut state.node else { return };
+        let started_at = thread_cpu_ns();
+        let mut retry = None;
+        match kind {
+            EventKind::Arrival { from, datagram } => {
+                state.meter.record_received(now, datagram.len());
                 running.receive(now, Layout::address(from), &datagram);
             }
-            What::Look if now < seat.look_at => return,
-            What::Look => seat.look_at = f64::INFINITY,
-            What::Offer { proposal } => {
-                let offered = running.propose(now, proposal, &plan.proposals[proposal].change);
-                offer_again = (offered == Err(NotNow)).then_some(proposal);
+            EventKind::Turn if now < state.turn_at => return,
+            EventKind::Turn => state.turn_at = f64::INFINITY,
+            EventKind::Propose { proposal } => {
+                let proposed = running.propose(now, proposal, &plan.proposals[proposal].change);
+                retry = (proposed == Err(NotReady)).then_some(proposal);
             }
             _ => unreachable!("handled before"),
         }
         running.turn(now);
-        seat.meter.worked(now, thread_time() - began);
-        if let Some(proposal) = offer_again {
-            self.plan_event(now + OFFER_AGAIN, node, What::Offer { proposal });
+        state.meter.record_cpu(now, thread_cpu_ns() - started_at);
+        if let Some(proposal) = retry {
+            self.schedule(now + PROPOSE_RETRY_MS, node, EventKind::Propose { proposal });
         }
-        self.settle(network, now, node);
+        self.collect_outputs(network, now, node);
     }
 
-    /// Sends what a node has to send, and looks at what has come into force there.
-    fn settle(&mut self, network: &Network, now: f64, node: NodeId) {
-        let place = self.places[node] as usize;
-        let seat = &mut self.seats[place];
-        let Some(running) = &mut seat.node else { return };
-        let began = thread_time();
+    /// Sends kind a node has to send, and looks at kind has come into force there.
+    fn collect_outputs(&mut self, network: &Network, now: f64, node: NodeId) {
+        let index = self.local_indexes[node] as usize;
+        let state = &mut self.states[index];
+        let Some(running) = &mut state.node else { return };
+        let started_at = thread_cpu_ns();
         let mut outgoing = Vec::new();
         while let Some((to, datagram)) = running.outgoing() {
             outgoing.push((to, datagram));
         }
-        seat.meter.worked(now, thread_time() - began);
-        while let Some((number, version)) = running.decided() {
-            self.decided.push(Decided { number, version, at: now });
+        state.meter.record_cpu(now, thread_cpu_ns() - started_at);
+        while let Some((number, version)) = running.next_decided() {
+            self.decided.push(DecidedChange { number, version, decided_at: now });
         }
-        for (slot, &scope) in seat.scopes.iter().enumerate() {
+        for (slot, &scope) in state.scopes.iter().enumerate() {
             let version = running.in_force(scope);
-            if version < seat.versions[slot] {
-                seat.meter.went_back += 1;
+            if version < state.versions[slot] {
+                state.meter.went_back += 1;
             }
-            seat.versions[slot] = version;
-            if version > seat.newest[slot] {
-                seat.newest[slot] = version;
-                seat.meter.came.push(CameIntoForce { at: now, slot: slot as u16, version });
+            state.versions[slot] = version;
+            if version > state.newest[slot] {
+                state.newest[slot] = version;
+                state.meter.in_force_events.push(InForceEvent {
+                    in_force_at: now,
+                    slot: slot as u16,
+                    version,
+                });
                 self.hasher.update(&now.to_le_bytes());
                 self.hasher.update(&version.to_le_bytes());
             }
         }
-        let due = running.due().max(now + LEAST_WAIT);
-        if due < seat.look_at {
-            seat.look_at = due;
-            self.plan_event(due, node, What::Look);
+        let due = running.due().max(now + MIN_TURN_INTERVAL_MS);
+        if due < state.turn_at {
+            state.turn_at = due;
+            self.schedule(due, node, EventKind::Turn);
         }
         for (to, datagram) in outgoing {
-            self.seats[place].meter.sent(now, datagram.len());
+            self.states[index].meter.record_sent(now, datagram.len());
             if let Some(to) = self.layout.node_at(to) {
                 self.send(network, now, node, to, datagram);
             }
@@ -350,28 +364,28 @@
     }
 
     fn send(&mut self, network: &Network, now: f64, from: NodeId, to: NodeId, datagram: Vec<u8>) {
-        let longer = 1.0 + self.layout.terms.jitter * self.chance.random::<f64>();
-        if self.chance.random::<f64>() < network.loss(now, self.layout, from, to) {
+        let jitter_factor = 1.0 + self.layout.terms.jitter * self.rng.random::<f64>();
+        if self.rng.random::<f64>() < network.loss(now, self.layout, from, to) {
             return;
         }
-        let arrives = now + self.layout.delay(from, to) * longer;
+        let arrives_at = now + self.layout.delay(from, to) * jitter_factor;
         if self.layout.site(to).zone == self.zone {
-            return self.plan_event(arrives, to, What::Arrive { from, datagram });
+            return self.schedule(arrives_at, to, EventKind::Arrival { from, datagram });
         }
-        self.count += 1;
-        let (source, number) = (self.zone, self.count);
-        self.sent.push(Flight { arrives, to, from, datagram, source, number });
+        self.last_event_number += 1;
+        let (source_zone, number) = (self.zone, self.last_event_number);
+        self.outbox.push(MessageInTransit { arrives_at, to, from, datagram, source_zone, number });
     }
 
-    pub fn ended(self) -> Ended {
-        let nodes = self.ids.iter().zip(self.seats).map(|(&node, seat)| {
-            let state_bytes = seat.node.as_ref().map_or(0, Node::state_bytes);
-            let (cost, went_back) = (seat.meter.cost(), seat.meter.went_back);
-            (node, NodePlayed { cost, came: seat.meter.came, went_back, state_bytes })
+    pub fn into_result(self) -> ShardResult {
+        let nodes = self.node_ids.iter().zip(self.states).map(|(&node, state)| {
+            let state_bytes = state.node.as_ref().map_or(0, Node::state_bytes);
+            let (cost, went_back) = (state.meter.cost(), state.meter.went_back);
+            (node, NodeResult { cost, in_force_events: state.meter.in_force_events, went_back, state_bytes })
         });
-        Ended {
+        ShardResult {
             digest: self.hasher.finalize(),
-            arrived: self.arrived,
+            messages_arrived: self.messages_arrived,
             decided: self.decided,
             nodes: nodes.collect(),
         }
--- a/lab/src/scale/judge.rs
+++ b/lab/src/scale/evaluation.rs
@@ -4,22 +4,22 @@
 
 use serde::Serialize;
 
-use super::engine::{Decided, NodePlayed, Played, Proposal};
+use super::engine::{DecidedChange, NodeResult, Proposal, RunResult};
 use super::layout::{Layout, NodeId, Scope};
-use super::meter::CameIntoForce;
-use super::network::Span;
+use super::meter::InForceEvent;
+use super::network::Period;
 use super::script::{FaultKind, Script};
 
 /// A change is in force everywhere within so many milliseconds.
-pub const IN_FORCE_WITHIN: f64 = 4_000.0;
+pub const MAX_IN_FORCE_MS: f64 = 4_000.0;
 /// A border proxy spends at most so many bytes in any second, both ways together.
-pub const MOST_BYTES: f64 = 8_000.0;
+pub const MAX_BYTES_PER_SECOND: f64 = 8_000.0;
 /// Of processor time at most so many milliseconds a second.
-pub const MOST_PROCESSOR: f64 = 14.0;
+pub const MAX_PROCESSOR_MS_PER_SECOND: f64 = 14.0;
 /// Of memory at most so many bytes.
-pub const MOST_MEMORY: f64 = 128.0 * 1024.0 * 1024.0;
+pub const MAX_STATE_BYTES: f64 = 128.0 * 1024.0 * 1024.0;
 
-/// Some figures in order: how many, median, 99th of a hundred, largest.
+/// Some values in order: how many, median, 99th of a hundred, largest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Spread {
     pub count: usize,
@@ -30,15 +30,15 @@
 }
 
 impl Spread {
-    pub fn of(mut figures: Vec<f64>) -> Self {
-        figures.sort_by(f64::total_cmp);
-        let at = |part: f64| {
-            let place = (part * figures.len() as f64).ceil() as usize;
-            figures.get(place.saturating_sub(1)).copied().unwrap_or(0.0)
+    pub fn from_values(mut values: Vec<f64>) -> Self {
+        values.sort_by(f64::total_cmp);
+        let quantile = |share: f64| {
+            let index = (share * values.len() as f64).ceil() as usize;
+            values.get(index.saturating_sub(1)).copied().unwrap_or(0.0)
         };
-        let count = figures.len();
-        let mean = figures.iter().fold(0.0, |sum, figure| sum + figure) / count.max(1) as f64;
-        Self { count, mean, median: at(0.5), p99: at(0.99), last: at(1.0) }
+        let count = values.len();
+        let mean = values.iter().fold(0.0, |sum, value| sum + value) / count.max(1) as f64;
+        Self { count, mean, median: quantile(0.5), p99: quantile(0.99), last: quantile(1.0) }
     }
 }
 
@@ -78,8 +78,9 @@
 }
 
 impl RoleCost {
-    pub fn of<'a>(nodes: impl Iterator<Item = &'a NodePlayed> + Clone, seconds: f64) -> Self {
-        let spread = |of: &dyn Fn(&NodePlayed) -> f64| Spread::of(nodes.clone().map(of).collect());
+    pub fn from_nodes<'a>(nodes: impl Iterator<Item = &'a NodeResult> + Clone, seconds: f64) -> Self {
+        let spread =
+            |figure: &dyn Fn(&NodeResult) -> f64| Spread::from_values(nodes.clone().map(figure).collect());
         Self {
             nodes: nodes.clone().count(),
             bytes_per_second: spread(&|node| node.cost.bytes as f64 / seconds),
@@ -94,15 +95,15 @@
 }
 
 /// When a subscriber was kept away by faults.
-fn absences(layout: &Layout, script: &Script, seed: u64) -> BTreeMap<NodeId, Vec<Span>> {
-    let mut absences: BTreeMap<NodeId, Vec<Span>> = BTreeMap::new();
-    for (place, fault) in script.faults.iter().enumerate() {
+fn absences(layout: &Layout, script: &Script, seed: u64) -> BTreeMap<NodeId, Vec<Period>> {
+    let mut absences: BTreeMap<NodeId, Vec<Period>> = BTreeMap::new();
+    for (index, fault) in script.faults.iter().enumerate() {
         if matches!(fault.kind, FaultKind::Burst { .. } | FaultKind::Loss { .. }) {
             continue;
         }
-        let span = Span { from: script.at(fault.at), until: script.at(fault.ends()) };
-        for node in fault.nodes(layout, place, seed) {
-            absences.entry(node).or_default().push(span);
+        let period = Period { from: script.to_ms(fault.at), until: script.to_ms(fault.ends_at()) };
+        for node in fault.affected_nodes(layout, index, seed) {
+            absences.entry(node).or_default().push(period);
         }
     }
     absences
@@ -110,7 +111,7 @@
 
 fn subscribers(layout: &Layout) -> BTreeMap<Scope, Vec<(NodeId, u16)>> {
     let mut subscribers: BTreeMap<Scope, Vec<(NodeId, u16)>> = BTreeMap::new();
-    for node in layout.controls..layout.nodes() {
+    for node in layout.controls..layout.node_count() {
         for (slot, scope) in layout.scopes(node).into_iter().enumerate() {
             subscribers.entry(scope).or_default().push((node, slot as u16));
         }
@@ -119,8 +120,11 @@
 }
 
 /// When a decision came into force at a node.
-fn came(log: &[CameIntoForce], slot: u16, decided: &Decided) -> Option<f64> {
-    log.iter().find(|came| came.slot == slot && came.version >= decided.version).map(|came| came.at)
+fn in_force_at(events: &[InForceEvent], slot: u16, decided: &DecidedChange) -> Option<f64> {
+    events
+        .iter()
+        .find(|event| event.slot == slot && event.version >= decided.version)
+        .map(|event| event.in_force_at)
 }
 
 /// Judges when each change came into force at each subscriber of its scope.
@@ -129,66 +133,78 @@
     script: &Script,
     seed: u64,
     (proposals, bursts): (&[Proposal], &[usize]),
-    played: &Played,
+    result: &RunResult,
 ) -> InForce {
     let (absences, subscribers) = (absences(layout, script, seed), subscribers(layout));
     let (mut all, mut burst, mut back, mut never) = (Vec::new(), Vec::new(), Vec::new(), 0);
-    for decided in &played.decided {
+    for decided in &result.decided {
         let proposal = &proposals[decided.number];
         for &(node, slot) in subscribers.get(&proposal.change.scope).into_iter().flatten() {
-            let Some(at) = came(&played.nodes[node].came, slot, decided) else {
+            let Some(at) = in_force_at(&result.nodes[node].in_force_events, slot, decided) else {
                 never += 1;
                 continue;
             };
-            let kept_away = absences.get(&node).into_iter().flatten();
-            let until = kept_away.filter(|span| span.from < at && span.until > proposal.at);
-            let since = until.map(|span| span.until).fold(proposal.at, f64::max);
+            let absent = absences.get(&node).into_iter().flatten();
+            let until = absent.filter(|period| period.from < at && period.until > proposal.proposed_at);
+            let since = until.map(|period| period.until).fold(proposal.proposed_at, f64::max);
             let took = (at - since).max(0.0);
             all.push(took);
             if bursts.contains(&decided.number) {
                 burst.push(took);
             }
-            if since > proposal.at {
+            if since > proposal.proposed_at {
                 back.push(took);
             }
         }
     }
-    let decisions = played.decided.iter().map(|of| of.at - proposals[of.number].at).collect();
+    let decisions = result
+        .decided
+        .iter()
+        .map(|decided| decided.decided_at - proposals[decided.number].proposed_at)
+        .collect();
     InForce {
         changes: proposals.len(),
-        decided: played.decided.len(),
-        decision_ms: Spread::of(decisions),
-        all_ms: Spread::of(all),
-        burst_ms: Spread::of(burst),
-        back_ms: Spread::of(back),
+        decided: result.decided.len(),
+        decision_ms: Spread::from_values(decisions),
+        all_ms: Spread::from_values(all),
+        burst_ms: Spread::from_values(burst),
+        back_ms: Spread::from_values(back),
         never,
-        went_back: played.nodes.iter().map(|node| node.went_back).sum(),
+        went_back: result.nodes.iter().map(|node| node.went_back).sum(),
     }
 }
 
 /// Limits that were not kept, the first one first.
 pub fn misses(in_force: &InForce, proxy: &RoleCost) -> Vec<String> {
     let mut misses = Vec::new();
-    let mut hold = |kept: bool, miss: String| {
+    let mut check = |kept: bool, miss: String| {
         if !kept {
             misses.push(miss);
         }
     };
     let (made, decided) = (in_force.changes, in_force.decided);
-    hold(decided == made, format!("{decided} of {made} changes were decided"));
-    hold(in_force.never == 0, format!("{} subscribers lack a change at the end", in_force.never));
+    check(decided == made, format!("{decided} of {made} changes were decided"));
+    check(in_force.never == 0, format!("{} subscribers lack a change at the end", in_force.never));
     let last = in_force.all_ms.last;
-    hold(
-        last <= IN_FORCE_WITHIN,
-        format!("a change in force after {last:.0} ms, limit {IN_FORCE_WITHIN:.0}"),
+    check(
+        last <= MAX_IN_FORCE_MS,
+        format!("a change in force after {last:.0} ms, limit {MAX_IN_FORCE_MS:.0}"),
     );
-    hold(in_force.went_back == 0, format!("a version in force went back {} times", in_force.went_back));
+    check(in_force.went_back == 0, format!("a version in force went back {} times", in_force.went_back));
     let bytes = proxy.worst_second_bytes.last;
-    hold(bytes <= MOST_BYTES, format!("{bytes:.0} bytes in a proxy's worst second, limit {MOST_BYTES:.0}"));
+    check(
+        bytes <= MAX_BYTES_PER_SECOND,
+        format!("{bytes:.0} bytes in a proxy's worst second, limit {MAX_BYTES_PER_SECOND:.0}"),
+    );
     let processor = proxy.processor_ms_per_second.last;
-    let line = format!("{processor:.1} ms of processor time a second at a proxy, limit {MOST_PROCESSOR:.0}");
-    hold(processor <= MOST_PROCESSOR, line);
+    let line = format!(
+        "{processor:.1} ms of processor time a second at a proxy, limit {MAX_PROCESSOR_MS_PER_SECOND:.0}"
+    );
+    check(processor <= MAX_PROCESSOR_MS_PER_SECOND, line);
     let memory = proxy.state_bytes.last;
-    hold(memory <= MOST_MEMORY, format!("{memory:.0} bytes of state at a proxy, limit {MOST_MEMORY:.0}"));
+    check(
+        memory <= MAX_STATE_BYTES,
+        format!("{memory:.0} bytes of state at a proxy, limit {MAX_STATE_BYTES:.0}"),
+    );
     misses
 }
--- a/lab/src/scale/flat.rs
+++ b/lab/src/scale/flat.rs
@@ -3,33 +3,33 @@
 
 use std::net::SocketAddr;
 
-use super::book::Book;
-use super::council::{CouncilNode, Terms};
+use super::council::{CouncilNode, CouncilTerms};
 use super::keys;
+use super::kv_machine::KeyValueMachine;
 use super::layout::{Layout, NodeId, Scope};
-use super::node::{Fleet, NewValue, Node, NotNow, Version};
+use super::node::{ConfigChange, Fleet, Node, NotReady, Version};
 
 /// What the nodes have in common.
 pub struct FlatFleet {
-    terms: Terms,
+    terms: CouncilTerms,
 }
 
 impl FlatFleet {
     pub fn new(layout: &Layout) -> Self {
-        Self { terms: Terms::of_fleet(keys::roster(0..layout.nodes()), layout.voters()) }
+        Self { terms: CouncilTerms::for_flat_fleet(keys::roster(0..layout.node_count()), layout.voters()) }
     }
 }
 
 impl Fleet for FlatFleet {
     type Node = FlatNode;
 
-    fn start(&self, node: NodeId, life: u32, disk: &[u8], now: f64) -> FlatNode {
-        FlatNode(CouncilNode::start(&self.terms, node, life, Book::default(), disk, now))
+    fn start(&self, node: NodeId, generation: u32, disk: &[u8], now: f64) -> FlatNode {
+        FlatNode(CouncilNode::start(&self.terms, node, generation, KeyValueMachine::default(), disk, now))
     }
 }
 
 /// One member of it.
-pub struct FlatNode(CouncilNode<Book>);
+pub struct FlatNode(CouncilNode<KeyValueMachine>);
 
 impl Node for FlatNode {
     fn receive(&mut self, now: f64, from: SocketAddr, datagram: &[u8]) {
@@ -53,12 +53,12 @@
         self.0.machine().newest()
     }
 
-    fn propose(&mut self, now: f64, number: usize, change: &NewValue) -> Result<(), NotNow> {
+    fn propose(&mut self, now: f64, number: usize, change: &ConfigChange) -> Result<(), NotReady> {
         self.0.propose(now, number, change)
     }
 
-    fn decided(&mut self) -> Option<(usize, Version)> {
-        self.0.decided()
+    fn next_decided(&mut self) -> Option<(usize, Version)> {
+        self.0.next_decided()
     }
 
     fn disk(&self) -> Vec<u8> {
--- a/lab/src/scale/book.rs
+++ b/lab/src/scale/kv_machine.rs
@@ -9,10 +9,10 @@
 use serde::{Deserialize, Serialize};
 
 use super::layout::Scope;
-use super::node::{NewValue, Version};
+use super::node::{ConfigChange, Version};
 
 /// The part of the agreement that changes are.
-pub const PART: u8 = 9;
+pub const CHANGES_PART: u8 = 9;
 
 #[derive(Serialize, Deserialize)]
 pub(super) struct Command {
@@ -22,20 +22,20 @@
 }
 
 /// A change as a command of the agreement.
-pub fn command(change: &NewValue) -> Vec<u8> {
-    let NewValue { scope, key, value } = change.clone();
+pub fn encode_command(change: &ConfigChange) -> Vec<u8> {
+    let ConfigChange { scope, key, value } = change.clone();
     postcard::to_stdvec(&Command { scope, key, value }).expect("plain data")
 }
 
 /// All values, with the versions that they were decided at.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Book {
+pub struct KeyValueMachine {
     /// The last decision that was carried out.
     newest: Version,
     values: BTreeMap<(Scope, String), (Version, Vec<u8>)>,
 }
 
-impl Book {
+impl KeyValueMachine {
     pub fn newest(&self) -> Version {
         self.newest
     }
@@ -46,13 +46,13 @@
     }
 }
 
-impl Machine for Book {
+impl Machine for KeyValueMachine {
     fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, UnsupportedDecision> {
-        let unknown = |what: &str| UnsupportedDecision { index, part, reason: what.to_owned() };
-        if part != PART {
-            return Err(unknown("no part of a scale run"));
+        let unsupported = |what: &str| UnsupportedDecision { index, part, reason: what.to_owned() };
+        if part != CHANGES_PART {
+            return Err(unsupported("no part of a scale run"));
         }
-        let command: Command = postcard::from_bytes(command).map_err(|_| unknown("no change"))?;
+        let command: Command = postcard::from_bytes(command).map_err(|_| unsupported("no change"))?;
         self.newest = index;
         self.values.insert((command.scope, command.key), (index, command.value));
         Ok(Vec::new())
@@ -63,9 +63,12 @@
     }
 
     fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), UnsupportedDecision> {
-        let unread =
-            |_| UnsupportedDecision { index, part: PART, reason: "no state of a scale run".to_owned() };
-        self.values = postcard::from_bytes(state).map_err(unread)?;
+        let invalid_state = |_| UnsupportedDecision {
+            index,
+            part: CHANGES_PART,
+            reason: "no state of a scale run".to_owned(),
+        };
+        self.values = postcard::from_bytes(state).map_err(invalid_state)?;
         self.newest = index;
         Ok(())
     }
--- a/lab/src/scale/layout.rs
+++ b/lab/src/scale/layout.rs
@@ -19,9 +19,11 @@
 /// The operators' target, to which services scale.
 pub const TARGET_PROXIES: usize = 33_000;
 const TARGET_SERVICES: usize = 1_300;
-const TARGET_LARGEST: usize = 2_000;
+const TARGET_LARGEST_SERVICE: usize = 2_000;
 /// The steepest power law that sizes of services may follow.
-const STEEPEST: f64 = 8.0;
+const MAX_SIZE_EXPONENT: f64 = 8.0;
+/// Halvings of the range of exponents, past the precision of a 64-bit float.
+const BISECTION_STEPS: usize = 60;
 /// The port of every node under the virtual clock.
 const PORT: u16 = 7000;
 
@@ -43,7 +45,7 @@
     pub region_delay: f64,
     /// The range of one-way delays between regions, in milliseconds.
     pub far_delay: [f64; 2],
-    /// The part by which a delay is longer at the most, by chance.
+    /// The part by which a delay is longer at the most, by rng.
     pub jitter: f64,
 }
 
@@ -100,7 +102,7 @@
     called: Vec<Vec<usize>>,
     sizes: Vec<usize>,
     /// One-way delays between regions, in milliseconds.
-    far: Vec<Vec<f64>>,
+    region_delays: Vec<Vec<f64>>,
 }
 
 impl Layout {
@@ -111,14 +113,15 @@
     /// When the terms contradict each other.
     pub fn new(terms: LayoutTerms, seed: u64) -> Result<Self> {
         terms.check()?;
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let zone_regions: Vec<usize> =
             (0..terms.zones).map(|zone| zone * terms.regions / terms.zones).collect();
         let sizes = service_sizes(terms.proxies);
         let mut services: Vec<usize> =
             sizes.iter().enumerate().flat_map(|(service, &size)| vec![service; size]).collect();
-        services.shuffle(&mut chance);
-        let called = (0..sizes.len()).map(|own| called(own, &services, terms.fan_out, &mut chance)).collect();
+        services.shuffle(&mut rng);
+        let called =
+            (0..sizes.len()).map(|own| called_services(own, &services, terms.fan_out, &mut rng)).collect();
         let controls = terms.regions * terms.controls_per_region;
         let mut layout = Self {
             controls,
@@ -127,32 +130,32 @@
             services,
             called,
             sizes,
-            far: far_delays(&terms, &mut chance),
+            region_delays: region_delays(&terms, &mut rng),
             terms,
         };
         let controls = (0..controls).map(|control| layout.control_site(control));
-        let proxies = (0..terms.proxies).map(|proxy| layout.site_in(proxy % terms.zones));
+        let proxies = (0..terms.proxies).map(|proxy| layout.site_of_zone(proxy % terms.zones));
         layout.sites = controls.chain(proxies).collect();
         Ok(layout)
     }
 
-    fn site_in(&self, zone: usize) -> Site {
+    fn site_of_zone(&self, zone: usize) -> Site {
         Site { region: self.zone_regions[zone], zone }
     }
 
     /// A region's control machines are spread over its zones.
     fn control_site(&self, control: usize) -> Site {
         let region = control / self.terms.controls_per_region;
-        let zones = self.zones_of(region);
-        self.site_in(zones[control % self.terms.controls_per_region % zones.len()])
+        let zones = self.zones_in_region(region);
+        self.site_of_zone(zones[control % self.terms.controls_per_region % zones.len()])
     }
 
-    pub fn zones_of(&self, region: usize) -> Vec<usize> {
+    pub fn zones_in_region(&self, region: usize) -> Vec<usize> {
         (0..self.terms.zones).filter(|&zone| self.zone_regions[zone] == region).collect()
     }
 
     /// All nodes: control machines and proxies.
-    pub fn nodes(&self) -> usize {
+    pub fn node_count(&self) -> usize {
         self.sites.len()
     }
 
@@ -164,14 +167,14 @@
         self.sites[node]
     }
 
-    pub fn in_zone(&self, zone: usize) -> Vec<NodeId> {
-        (0..self.nodes()).filter(|&node| self.sites[node].zone == zone).collect()
+    pub fn nodes_in_zone(&self, zone: usize) -> Vec<NodeId> {
+        (0..self.node_count()).filter(|&node| self.sites[node].zone == zone).collect()
     }
 
     /// The control machines that vote: the first of each region, then the second ones.
     pub fn voters(&self) -> Vec<NodeId> {
         let (regions, each) = (self.terms.regions, self.terms.controls_per_region);
-        (0..self.terms.voters).map(|place| place % regions * each + place / regions).collect()
+        (0..self.terms.voters).map(|index| index % regions * each + index / regions).collect()
     }
 
     /// The sizes of the services in proxies, the largest first.
@@ -203,14 +206,15 @@
         } else if from.region == to.region {
             self.terms.region_delay
         } else {
-            self.far[from.region][to.region]
+            self.region_delays[from.region][to.region]
         }
     }
 
     /// The shortest delay between two zones, or none where there is only one.
-    pub fn shortest_between_zones(&self) -> Option<f64> {
+    pub fn min_delay_between_zones(&self) -> Option<f64> {
         let pairs = (0..self.terms.zones).flat_map(|one| (0..one).map(move |other| (one, other)));
-        let delays = pairs.map(|(one, other)| self.delay_between(self.site_in(one), self.site_in(other)));
+        let delays =
+            pairs.map(|(one, other)| self.delay_between(self.site_of_zone(one), self.site_of_zone(other)));
         delays.min_by(f64::total_cmp)
     }
 
@@ -225,7 +229,7 @@
         let SocketAddr::V4(address) = address else { return None };
         let [ten, high, middle, low] = address.ip().octets();
         let node = usize::from(high) << 16 | usize::from(middle) << 8 | usize::from(low);
-        (ten == 10 && node < self.nodes()).then_some(node)
+        (ten == 10 && node < self.node_count()).then_some(node)
     }
 }
 
@@ -235,20 +239,20 @@
     let scaled = |of: usize| (of * proxies).div_ceil(TARGET_PROXIES);
     let services = scaled(TARGET_SERVICES);
     let average = proxies.div_ceil(services);
-    let largest = scaled(TARGET_LARGEST).max(2 * average).min(proxies - (services - 1));
+    let largest = scaled(TARGET_LARGEST_SERVICE).max(2 * average).min(proxies - (services - 1));
     let size = |rank: usize, exponent: f64| {
         ((largest as f64 * (rank as f64 + 1.0).powf(-exponent)) as usize).clamp(1, largest)
     };
     let sum = |exponent: f64| (0..services).map(|rank| size(rank, exponent)).sum::<usize>();
-    let (mut low, mut high) = (0.0, STEEPEST);
-    for _ in 0..60 {
+    let (mut low, mut high) = (0.0, MAX_SIZE_EXPONENT);
+    for _ in 0..BISECTION_STEPS {
         let middle = (low + high) / 2.0;
         if sum(middle) > proxies { low = middle } else { high = middle }
     }
     let mut sizes: Vec<usize> = (0..services).map(|rank| size(rank, high)).collect();
     // What rounding leaves over goes to the smaller ones in turn.
-    let left = proxies - sizes.iter().sum::<usize>();
-    for rank in (1..services.max(2)).rev().cycle().take(left) {
+    let remaining = proxies - sizes.iter().sum::<usize>();
+    for rank in (1..services.max(2)).rev().cycle().take(remaining) {
         sizes[rank.min(services - 1)] += 1;
     }
     sizes.sort_unstable_by(|a, b| b.cmp(a));
@@ -256,11 +260,11 @@
 }
 
 /// Other services that a service calls, the larger ones likelier.
-fn called(own: usize, services: &[usize], fan_out: usize, chance: &mut Pcg64Mcg) -> Vec<usize> {
+fn called_services(own: usize, services: &[usize], fan_out: usize, rng: &mut Pcg64Mcg) -> Vec<usize> {
     let others = services.iter().collect::<std::collections::BTreeSet<_>>().len().saturating_sub(1);
     let mut called = Vec::new();
     while called.len() < fan_out.min(others) {
-        let service = services[chance.random_range(0..services.len())];
+        let service = services[rng.random_range(0..services.len())];
         if service != own && !called.contains(&service) {
             called.push(service);
         }
@@ -269,12 +273,12 @@
     called
 }
 
-fn far_delays(terms: &LayoutTerms, chance: &mut Pcg64Mcg) -> Vec<Vec<f64>> {
+fn region_delays(terms: &LayoutTerms, rng: &mut Pcg64Mcg) -> Vec<Vec<f64>> {
     let [near, far] = terms.far_delay;
     let mut delays = vec![vec![terms.region_delay; terms.regions]; terms.regions];
     let pairs = (0..terms.regions).flat_map(|one| (0..one).map(move |other| (one, other)));
     for (one, other) in pairs {
-        let delay = near + (far - near) * chance.random::<f64>();
+        let delay = near + (far - near) * rng.random::<f64>();
         delays[one][other] = delay;
         delays[other][one] = delay;
     }
--- a/lab/src/scale/meter.rs
+++ b/lab/src/scale/meter.rs
@@ -8,26 +8,26 @@
 
 use super::node::Version;
 
-const SECOND: f64 = 1000.0;
+const SECOND_MS: f64 = 1000.0;
 
 /// Processor time of this thread in nanoseconds; 0 where the system does not tell.
-pub fn thread_time() -> u64 {
-    let told = clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID);
-    told.map_or(0, |time| time.tv_sec() as u64 * 1_000_000_000 + time.tv_nsec() as u64)
+pub fn thread_cpu_ns() -> u64 {
+    let time = clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID);
+    time.map_or(0, |time| time.tv_sec() as u64 * 1_000_000_000 + time.tv_nsec() as u64)
 }
 
 /// A sum over any second, wherever it begins, and the most that it came to.
 #[derive(Clone, Debug, Default)]
-pub struct Sliding {
+pub struct SlidingSecond {
     items: VecDeque<(f64, u32)>,
     sum: u64,
     pub worst: u64,
     pub total: u64,
 }
 
-impl Sliding {
+impl SlidingSecond {
     pub fn add(&mut self, now: f64, amount: u32) {
-        while let Some((_, old)) = self.items.pop_front_if(|(at, _)| *at <= now - SECOND) {
+        while let Some((_, old)) = self.items.pop_front_if(|(at, _)| *at <= now - SECOND_MS) {
             self.sum -= u64::from(old);
         }
         self.items.push_back((now, amount));
@@ -39,16 +39,16 @@
 
 /// A sum over each second of the clock, and the most that it came to.
 #[derive(Clone, Copy, Debug, Default)]
-struct Stepped {
+struct ClockSecond {
     second: u64,
     sum: u64,
     worst: u64,
     total: u64,
 }
 
-impl Stepped {
+impl ClockSecond {
     fn add(&mut self, now: f64, amount: u64) {
-        let second = (now / SECOND) as u64;
+        let second = (now / SECOND_MS) as u64;
         if second != self.second {
             (self.second, self.sum) = (second, 0);
         }
@@ -60,8 +60,8 @@
 
 /// A version of a scope that came into force.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CameIntoForce {
-    pub at: f64,
+pub struct InForceEvent {
+    pub in_force_at: f64,
     /// The scope's place among those that the node subscribes to.
     pub slot: u16,
     pub version: Version,
@@ -71,13 +71,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
     /// Nothing is counted before.
-    from: f64,
-    both_ways: Sliding,
+    counts_from: f64,
+    both_ways: SlidingSecond,
     sent: u64,
     received: u64,
     messages: u64,
-    processor: Stepped,
-    pub came: Vec<CameIntoForce>,
+    processor: ClockSecond,
+    pub in_force_events: Vec<InForceEvent>,
     /// Times that a scope's version in force went back.
     pub went_back: u64,
 }
@@ -97,31 +97,31 @@
 }
 
 impl Meter {
-    pub fn new(from: f64) -> Self {
-        Self { from, ..Self::default() }
+    pub fn new(counts_from: f64) -> Self {
+        Self { counts_from, ..Self::default() }
     }
 
-    pub fn sent(&mut self, now: f64, bytes: usize) {
-        if now >= self.from {
+    pub fn record_sent(&mut self, now: f64, bytes: usize) {
+        if now >= self.counts_from {
             self.sent += bytes as u64;
-            self.count(now, bytes);
+            self.record_message(now, bytes);
         }
     }
 
-    pub fn received(&mut self, now: f64, bytes: usize) {
-        if now >= self.from {
+    pub fn record_received(&mut self, now: f64, bytes: usize) {
+        if now >= self.counts_from {
             self.received += bytes as u64;
-            self.count(now, bytes);
+            self.record_message(now, bytes);
         }
     }
 
-    fn count(&mut self, now: f64, bytes: usize) {
+    fn record_message(&mut self, now: f64, bytes: usize) {
         self.messages += 1;
         self.both_ways.add(now, bytes as u32);
     }
 
-    pub fn worked(&mut self, now: f64, nanoseconds: u64) {
-        if now >= self.from {
+    pub fn record_cpu(&mut self, now: f64, nanoseconds: u64) {
+        if now >= self.counts_from {
             self.processor.add(now, nanoseconds);
         }
     }
--- a/lab/src/scale/network.rs
+++ b/lab/src/scale/network.rs
@@ -2,29 +2,29 @@
 //! Nothing here changes in a run, so that all threads share it.
 
 use super::layout::{Layout, NodeId, Site};
-use super::script::{FaultKind, Script, Ways};
+use super::script::{CutDirection, FaultKind, Script};
 
 /// A stretch of time in milliseconds, from the first up to before the second.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Span {
+pub struct Period {
     pub from: f64,
     pub until: f64,
 }
 
-impl Span {
-    pub fn holds(&self, now: f64) -> bool {
+impl Period {
+    pub fn contains(&self, now: f64) -> bool {
         (self.from..self.until).contains(&now)
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Inside {
+enum Area {
     Zone(usize),
     Region(usize),
 }
 
-impl Inside {
-    fn holds(self, site: Site) -> bool {
+impl Area {
+    fn contains(self, site: Site) -> bool {
         match self {
             Self::Zone(zone) => site.zone == zone,
             Self::Region(region) => site.region == region,
@@ -34,16 +34,16 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Cut {
-    span: Span,
-    inside: Inside,
-    ways: Ways,
+    period: Period,
+    area: Area,
+    direction: CutDirection,
 }
 
 impl Cut {
-    fn stops(&self, from: Site, to: Site) -> bool {
-        match (self.inside.holds(from), self.inside.holds(to)) {
-            (true, false) => self.ways != Ways::In,
-            (false, true) => self.ways != Ways::Out,
+    fn blocks(&self, from: Site, to: Site) -> bool {
+        match (self.area.contains(from), self.area.contains(to)) {
+            (true, false) => self.direction != CutDirection::In,
+            (false, true) => self.direction != CutDirection::Out,
             _ => false,
         }
     }
@@ -52,20 +52,20 @@
 /// When a node does not read what has come for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stall {
-    /// Not before the end of the span.
-    Paused(Span),
-    /// Within the span only once in so many milliseconds.
-    Slow(Span, f64),
+    /// Not before the end of the period.
+    Paused(Period),
+    /// Within the period only once in so many milliseconds.
+    Slow(Period, f64),
 }
 
 impl Stall {
     /// When a node that would act at `now` does so.
     pub fn acts_at(&self, now: f64) -> f64 {
         match *self {
-            Self::Paused(span) if span.holds(now) => span.until,
-            Self::Slow(span, every) if span.holds(now) => {
-                let next = span.from + ((now - span.from) / every).ceil() * every;
-                next.max(now).min(span.until)
+            Self::Paused(period) if period.contains(now) => period.until,
+            Self::Slow(period, every) if period.contains(now) => {
+                let next = period.from + ((now - period.from) / every).ceil() * every;
+                next.max(now).min(period.until)
             }
             _ => now,
         }
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug)]
 pub struct Network {
     loss: f64,
-    losses: Vec<(Span, f64)>,
+    losses: Vec<(Period, f64)>,
     cuts: Vec<Cut>,
 }
 
@@ -84,15 +84,15 @@
     pub fn new(script: &Script) -> Self {
         let (mut cuts, mut losses) = (Vec::new(), Vec::new());
         for fault in &script.faults {
-            let span = Span { from: script.at(fault.at), until: script.at(fault.ends()) };
+            let period = Period { from: script.to_ms(fault.at), until: script.to_ms(fault.ends_at()) };
             match fault.kind {
                 FaultKind::CutZone { zone, ways } => {
-                    cuts.push(Cut { span, inside: Inside::Zone(zone), ways })
+                    cuts.push(Cut { period, area: Area::Zone(zone), direction: ways })
                 }
                 FaultKind::CutRegion { region, ways } => {
-                    cuts.push(Cut { span, inside: Inside::Region(region), ways });
+                    cuts.push(Cut { period, area: Area::Region(region), direction: ways });
                 }
-                FaultKind::Loss { part } => losses.push((span, part)),
+                FaultKind::Loss { part } => losses.push((period, part)),
                 _ => {}
             }
         }
@@ -102,10 +102,10 @@
     /// The part of messages that is lost on the way between two nodes; 1 where they are cut off.
     pub fn loss(&self, now: f64, layout: &Layout, from: NodeId, to: NodeId) -> f64 {
         let (from, to) = (layout.site(from), layout.site(to));
-        if self.cuts.iter().any(|cut| cut.span.holds(now) && cut.stops(from, to)) {
+        if self.cuts.iter().any(|cut| cut.period.contains(now) && cut.blocks(from, to)) {
             return 1.0;
         }
-        let later = self.losses.iter().find(|(span, _)| span.holds(now));
-        later.map_or(self.loss, |(_, part)| *part)
+        let override_loss = self.losses.iter().find(|(period, _)| period.contains(now));
+        override_loss.map_or(self.loss, |(_, part)| *part)
     }
 }
--- a/lab/src/scale/node.rs
+++ b/lab/src/scale/node.rs
@@ -9,7 +9,7 @@
 
 /// A change of configuration: a key of a scope gets a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NewValue {
+pub struct ConfigChange {
     pub scope: Scope,
     pub key: String,
     pub value: Vec<u8>,
@@ -17,7 +17,7 @@
 
 /// Why a change was not taken by the node that it was given to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NotNow;
+pub struct NotReady;
 
 /// One control machine or border proxy. Times are milliseconds since the run began.
 pub trait Node: Send {
@@ -39,10 +39,10 @@
     /// # Errors
     ///
     /// When the node takes none now: it is asked again.
-    fn propose(&mut self, now: f64, number: usize, change: &NewValue) -> Result<(), NotNow>;
+    fn propose(&mut self, now: f64, number: usize, change: &ConfigChange) -> Result<(), NotReady>;
 
     /// The next change that was proposed here and is decided, by its number, with its version.
-    fn decided(&mut self) -> Option<(usize, Version)>;
+    fn next_decided(&mut self) -> Option<(usize, Version)>;
 
     /// What the node's disk holds.
     fn disk(&self) -> Vec<u8>;
@@ -56,5 +56,5 @@
     type Node: Node;
 
     /// Starts a node with what its disk holds; `life` counts its starts from 0.
-    fn start(&self, node: NodeId, life: u32, disk: &[u8], now: f64) -> Self::Node;
+    fn start(&self, node: NodeId, generation: u32, disk: &[u8], now: f64) -> Self::Node;
 }
--- a/lab/src/scale/proposals.rs
+++ b/lab/src/scale/proposals.rs
@@ -5,7 +5,7 @@
 
 use super::engine::Proposal;
 use super::layout::{Layout, NodeId, Scope};
-use super::node::NewValue;
+use super::node::ConfigChange;
 use super::script::{FaultKind, Script};
 
 /// Shares of changes that concern a service, a zone and a region; the rest concerns all. Assumed: most
@@ -14,20 +14,20 @@
 const ZONE_SHARE: f64 = 0.08;
 const REGION_SHARE: f64 = 0.06;
 /// Keys of each scope that are changed again and again, and bytes of a value.
-const KEYS: usize = 16;
-const VALUE: usize = 64;
-/// A change is given to a control machine that no fault befalls for so many seconds.
-const UNDISTURBED: f64 = 10.0;
+const KEYS_PER_SCOPE: usize = 16;
+const VALUE_BYTES: usize = 64;
+/// A change is given to a control machine that no fault is_affected for so many seconds.
+const UNDISTURBED_SECONDS: f64 = 10.0;
 
 /// All changes of a script, by time. The numbers of those of bursts come with them.
 pub fn plan(layout: &Layout, script: &Script, seed: u64) -> (Vec<Proposal>, Vec<usize>) {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0xc4a6);
-    let ordinary = (0..).map(|place| place as f64 * script.changes.every);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xc4a6);
+    let ordinary = (0..).map(|index| index as f64 * script.changes.every);
     let ordinary = ordinary.take_while(|at| *at <= script.changes.until);
     let mut times: Vec<(f64, bool)> = ordinary.map(|at| (at, false)).collect();
     for fault in &script.faults {
         if let FaultKind::Burst { changes } = fault.kind {
-            times.extend((0..changes).map(|place| (fault.at + place as f64 / changes as f64, true)));
+            times.extend((0..changes).map(|index| (fault.at + index as f64 / changes as f64, true)));
         }
     }
     times.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -35,35 +35,41 @@
     let bursts = bursts.collect();
     let mut proposals = Vec::new();
     for (number, (at, _)) in times.into_iter().enumerate() {
-        let by = undisturbed(layout, script, at, number);
-        proposals.push(Proposal { at: script.at(at), by, change: change(layout, number, &mut chance) });
+        let proposer = undisturbed(layout, script, at, number);
+        proposals.push(Proposal {
+            proposed_at: script.to_ms(at),
+            proposer,
+            change: change(layout, number, &mut rng),
+        });
     }
     (proposals, bursts)
 }
 
-fn change(layout: &Layout, number: usize, chance: &mut Pcg64Mcg) -> NewValue {
-    let draw: f64 = chance.random();
+fn change(layout: &Layout, number: usize, rng: &mut Pcg64Mcg) -> ConfigChange {
+    let draw: f64 = rng.random();
     let scope = if draw < SERVICE_SHARE {
-        Scope::Service(chance.random_range(0..layout.service_sizes().len()) as u32)
+        Scope::Service(rng.random_range(0..layout.service_sizes().len()) as u32)
     } else if draw < SERVICE_SHARE + ZONE_SHARE {
-        Scope::Zone(chance.random_range(0..layout.terms.zones) as u16)
+        Scope::Zone(rng.random_range(0..layout.terms.zones) as u16)
     } else if draw < SERVICE_SHARE + ZONE_SHARE + REGION_SHARE {
-        Scope::Region(chance.random_range(0..layout.terms.regions) as u16)
+        Scope::Region(rng.random_range(0..layout.terms.regions) as u16)
     } else {
         Scope::All
     };
-    let key = format!("key-{}", chance.random_range(0..KEYS));
-    let mut value = vec![0; VALUE];
+    let key = format!("key-{}", rng.random_range(0..KEYS_PER_SCOPE));
+    let mut value = vec![0; VALUE_BYTES];
     value[..8].copy_from_slice(&(number as u64).to_le_bytes());
-    NewValue { scope, key, value }
+    ConfigChange { scope, key, value }
 }
 
 /// A control machine that is there and not cut off, another one each time.
 fn undisturbed(layout: &Layout, script: &Script, at: f64, number: usize) -> NodeId {
-    let befalls = |control: NodeId| {
-        let near = script.faults.iter().filter(|f| f.at <= at + UNDISTURBED && f.ends() + UNDISTURBED >= at);
-        near.into_iter().any(|fault| fault.nodes(layout, 0, 0).contains(&control))
+    let is_affected = |control: NodeId| {
+        let active_faults = script.faults.iter().filter(|fault| {
+            fault.at <= at + UNDISTURBED_SECONDS && fault.ends_at() + UNDISTURBED_SECONDS >= at
+        });
+        active_faults.into_iter().any(|fault| fault.affected_nodes(layout, 0, 0).contains(&control))
     };
-    let order = (0..layout.controls).map(|place| (number + place) % layout.controls);
-    order.into_iter().find(|&control| !befalls(control)).unwrap_or(0)
+    let candidates = (0..layout.controls).map(|index| (number + index) % layout.controls);
+    candidates.into_iter().find(|&control| !is_affected(control)).unwrap_or(0)
 }
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use super::judge::{InForce, RoleCost, Spread};
+use super::evaluation::{InForce, RoleCost, Spread};
 use super::layout::LayoutTerms;
 
 /// A run's outcome. All that does not hang on the machine is the same for the same seed.
@@ -33,40 +33,48 @@
     pub misses: Vec<String>,
 }
 
-fn line(to: &mut String, what: &str, spread: &Spread) {
+fn write_row(out: &mut String, what: &str, spread: &Spread) {
     let Spread { mean, median, p99, last, .. } = spread;
-    let _ = writeln!(to, "  {what:<34} {mean:>10.1} {median:>10.1} {p99:>10.1} {last:>10.1}");
+    let _ = writeln!(out, "  {what:<34} {mean:>10.1} {median:>10.1} {p99:>10.1} {last:>10.1}");
 }
 
 impl fmt::Display for Report {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut text = String::new();
         let kind = if self.flat { "flat" } else { "over control machines" };
         let clock = if self.simulated { "virtual" } else { "on sockets" };
         let (proxies, controls) = (self.layout.proxies, self.controls);
-        writeln!(to, "{}: {proxies} proxies, {controls} control machines, {kind}, {clock}", self.script)?;
+        writeln!(
+            formatter,
+            "{}: {proxies} proxies, {controls} control machines, {kind}, {clock}",
+            self.script
+        )?;
         let seed = self.seed;
-        writeln!(to, "seed {seed}, {} s measured in {:.0} s", self.seconds, self.wall_seconds)?;
-        let of = &self.in_force;
-        writeln!(to, "{} changes, {} decided, {} never in force", of.changes, of.decided, of.never)?;
+        writeln!(formatter, "seed {seed}, {} s measured in {:.0} s", self.seconds, self.wall_seconds)?;
+        let in_force = &self.in_force;
+        writeln!(
+            formatter,
+            "{} changes, {} decided, {} never in force",
+            in_force.changes, in_force.decided, in_force.never
+        )?;
         let _ = writeln!(text, "  {:<34} {:>10} {:>10} {:>10} {:>10}", "", "mean", "median", "99th", "last");
-        line(&mut text, "decided after ms", &of.decision_ms);
-        line(&mut text, "in force after ms", &of.all_ms);
-        line(&mut text, "  in a burst", &of.burst_ms);
-        line(&mut text, "  since back", &of.back_ms);
+        write_row(&mut text, "decided after ms", &in_force.decision_ms);
+        write_row(&mut text, "in force after ms", &in_force.all_ms);
+        write_row(&mut text, "  in a burst", &in_force.burst_ms);
+        write_row(&mut text, "  since back", &in_force.back_ms);
         for (role, cost) in [("proxy", &self.proxy), ("control machine", &self.control)] {
             let _ = writeln!(text, "{role}");
-            line(&mut text, "bytes a second", &cost.bytes_per_second);
-            line(&mut text, "bytes in the worst second", &cost.worst_second_bytes);
-            line(&mut text, "messages a second", &cost.messages_per_second);
-            line(&mut text, "processor ms a second", &cost.processor_ms_per_second);
-            line(&mut text, "processor ms in the worst second", &cost.worst_second_processor_ms);
-            line(&mut text, "state bytes", &cost.state_bytes);
+            write_row(&mut text, "bytes a second", &cost.bytes_per_second);
+            write_row(&mut text, "bytes in the worst second", &cost.worst_second_bytes);
+            write_row(&mut text, "messages a second", &cost.messages_per_second);
+            write_row(&mut text, "processor ms a second", &cost.processor_ms_per_second);
+            write_row(&mut text, "processor ms in the worst second", &cost.worst_second_processor_ms);
+            write_row(&mut text, "state bytes", &cost.state_bytes);
         }
-        to.write_str(&text)?;
+        formatter.write_str(&text)?;
         match self.misses.as_slice() {
-            [] => writeln!(to, "all limits kept"),
-            misses => misses.iter().try_for_each(|miss| writeln!(to, "missed: {miss}")),
+            [] => writeln!(formatter, "all limits kept"),
+            misses => misses.iter().try_for_each(|miss| writeln!(formatter, "missed: {miss}")),
         }
     }
 }
--- a/lab/src/scale/resources.rs
+++ b/lab/src/scale/resources.rs
@@ -4,9 +4,9 @@
 use std::fs;
 
 /// Processes that a run may have at the most, this one among them.
-pub const MOST_PROCESSES: usize = 300;
+pub const MAX_PROCESSES: usize = 300;
 /// Of the memory that is free, and of descriptors, a run takes no more than this part.
-const PART: f64 = 0.5;
+const MAX_SHARE: f64 = 0.5;
 
 /// What a run will take.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -29,34 +29,34 @@
 
 /// Why a run is refused: a plain line.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Refused(String);
+pub struct InsufficientResources(String);
 
-impl fmt::Display for Refused {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.write_str(&self.0)
+impl fmt::Display for InsufficientResources {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for InsufficientResources {}
 
 impl Free {
     /// As the system tells it; nothing is free where it does not.
     pub fn now() -> Self {
         let memory = fs::read_to_string("/proc/meminfo").unwrap_or_default();
         let limits = fs::read_to_string("/proc/self/limits").unwrap_or_default();
-        Self { memory: available(&memory), descriptors: open_files(&limits) }
+        Self { memory: parse_available_memory(&memory), descriptors: parse_max_open_files(&limits) }
     }
 }
 
 /// Bytes that are available, from the text of `/proc/meminfo`.
-pub fn available(meminfo: &str) -> f64 {
+pub fn parse_available_memory(meminfo: &str) -> f64 {
     let line = meminfo.lines().find_map(|line| line.strip_prefix("MemAvailable:"));
     let kib = line.and_then(|line| line.trim().trim_end_matches(" kB").trim().parse::<f64>().ok());
     kib.unwrap_or(0.0) * 1024.0
 }
 
 /// Descriptors that this process may hold, from the text of `/proc/self/limits`.
-pub fn open_files(limits: &str) -> u64 {
+pub fn parse_max_open_files(limits: &str) -> u64 {
     let line = limits.lines().find_map(|line| line.strip_prefix("Max open files"));
     let soft = line.and_then(|line| line.split_whitespace().next());
     soft.map_or(0, |soft| if soft == "unlimited" { u64::MAX } else { soft.parse().unwrap_or(0) })
@@ -67,25 +67,29 @@
 /// # Errors
 ///
 /// A plain line that says what it would take and what is free.
-pub fn check(need: &Need, free: &Free) -> Result<(), Refused> {
+pub fn check(need: &Need, free: &Free) -> Result<(), InsufficientResources> {
     let mib = |bytes: f64| bytes / f64::from(1 << 20);
-    if need.processes > MOST_PROCESSES {
-        let line = format!("refused: {} processes, {MOST_PROCESSES} at the most", need.processes);
-        return Err(Refused(line));
+    if need.processes > MAX_PROCESSES {
+        let line = format!("refused: {} processes, {MAX_PROCESSES} at the most", need.processes);
+        return Err(InsufficientResources(line));
     }
-    if need.memory > PART * free.memory {
-        let (wants, half) = (mib(need.memory), mib(PART * free.memory));
-        return Err(Refused(format!("refused: about {wants:.0} MiB, half of what is free is {half:.0} MiB")));
+    if need.memory > MAX_SHARE * free.memory {
+        let (wants, half) = (mib(need.memory), mib(MAX_SHARE * free.memory));
+        return Err(InsufficientResources(format!(
+            "refused: about {wants:.0} MiB, half of what is free is {half:.0} MiB"
+        )));
     }
-    if need.descriptors as f64 > PART * free.descriptors as f64 {
-        let (wants, most) = (need.descriptors, free.descriptors);
-        return Err(Refused(format!("refused: {wants} descriptors, half of {most} may be held")));
+    if need.descriptors as f64 > MAX_SHARE * free.descriptors as f64 {
+        let (wants, max) = (need.descriptors, free.descriptors);
+        return Err(InsufficientResources(format!(
+            "refused: {wants} descriptors, half of {max} may be held"
+        )));
     }
     Ok(())
 }
 
 /// Resident memory of this process in bytes.
-pub fn resident() -> f64 {
+pub fn resident_bytes() -> f64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|line| line.trim().trim_end_matches(" kB").trim().parse::<f64>().ok());
--- a/lab/src/scale/scoped_book.rs
+++ b/lab/src/scale/scoped_machine.rs
@@ -3,20 +3,20 @@
 use agree::{Hash, Index, Machine, UnsupportedDecision};
 use distribution::{Change, Key, ScopedState};
 
-use super::book::{Command, PART};
+use super::kv_machine::{CHANGES_PART, Command};
 use super::node::Version;
 
 /// The state of all scopes, and what has changed since it was last asked for.
 #[derive(Clone, Debug, Default)]
-pub struct ScopedBook {
+pub struct ScopedMachine {
     newest: Version,
     state: ScopedState,
     changes: Vec<Change>,
     /// The state was put in place as a whole.
-    anew: bool,
+    replaced: bool,
 }
 
-impl ScopedBook {
+impl ScopedMachine {
     pub fn newest(&self) -> Version {
         self.newest
     }
@@ -28,20 +28,20 @@
     /// What has changed since this was last asked for; none where the state was put in place as a whole.
     pub fn take_changes(&mut self) -> Option<Vec<Change>> {
         let changes = std::mem::take(&mut self.changes);
-        (!std::mem::take(&mut self.anew)).then_some(changes)
+        (!std::mem::take(&mut self.replaced)).then_some(changes)
     }
 }
 
-impl Machine for ScopedBook {
+impl Machine for ScopedMachine {
     fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, UnsupportedDecision> {
-        let unknown = |what: &str| UnsupportedDecision { index, part, reason: what.to_owned() };
-        if part != PART {
-            return Err(unknown("no part of a scale run"));
+        let unsupported = |what: &str| UnsupportedDecision { index, part, reason: what.to_owned() };
+        if part != CHANGES_PART {
+            return Err(unsupported("no part of a scale run"));
         }
-        let command: Command = postcard::from_bytes(command).map_err(|_| unknown("no change"))?;
-        let key = Key::new(command.key).map_err(|_| unknown("no key"))?;
+        let command: Command = postcard::from_bytes(command).map_err(|_| unsupported("no change"))?;
+        let key = Key::new(command.key).map_err(|_| unsupported("no key"))?;
         let change = Change { scope: command.scope, key, version: index, value: Some(command.value) };
-        self.state.apply(change.clone()).map_err(|_| unknown("out of order"))?;
+        self.state.apply(change.clone()).map_err(|_| unsupported("out of order"))?;
         self.changes.push(change);
         self.newest = index;
         Ok(Vec::new())
@@ -52,11 +52,14 @@
     }
 
     fn restore(&mut self, index: Index, state: &[u8]) -> Result<(), UnsupportedDecision> {
-        let unread =
-            |_| UnsupportedDecision { index, part: PART, reason: "no state of a scale run".to_owned() };
-        (self.newest, self.state) = postcard::from_bytes(state).map_err(unread)?;
+        let invalid_state = |_| UnsupportedDecision {
+            index,
+            part: CHANGES_PART,
+            reason: "no state of a scale run".to_owned(),
+        };
+        (self.newest, self.state) = postcard::from_bytes(state).map_err(invalid_state)?;
         self.changes.clear();
-        self.anew = true;
+        self.replaced = true;
         Ok(())
     }
 
--- a/lab/src/scale/script.rs
+++ b/lab/src/scale/script.rs
@@ -9,7 +9,7 @@
 use super::layout::{Layout, NodeId};
 
 /// The longest run that a script may ask for, in seconds.
-const LONGEST: f64 = 600.0;
+const MAX_SECONDS: f64 = 600.0;
 
 const BUILT_IN: [(&str, &str); 6] = [
     ("calm", include_str!("../../scale/calm.toml")),
@@ -53,7 +53,7 @@
     pub at: f64,
     /// How long it lasts.
     #[serde(rename = "for", default)]
-    pub lasts: f64,
+    pub duration: f64,
     #[serde(flatten)]
     pub kind: FaultKind,
 }
@@ -61,7 +61,7 @@
 /// Which messages a cut stops, as seen from what is cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ways {
+pub enum CutDirection {
     Both,
     /// Nothing leaves.
     Out,
@@ -75,11 +75,11 @@
 pub enum FaultKind {
     CutZone {
         zone: usize,
-        ways: Ways,
+        ways: CutDirection,
     },
     CutRegion {
         region: usize,
-        ways: Ways,
+        ways: CutDirection,
     },
     /// Processes are killed, and start again at the end with what their disks hold.
     KillProxies {
@@ -125,16 +125,17 @@
     ///
     /// When there is none of that name, or it is not sound.
     pub fn named(name: &str) -> Result<Self> {
-        let built_in = BUILT_IN.iter().find(|(of, _)| *of == name);
+        let built_in = BUILT_IN.iter().find(|(built_in_name, _)| *built_in_name == name);
         let text = match built_in {
             Some((_, text)) => (*text).to_owned(),
-            None => std::fs::read_to_string(name)
-                .with_context(|| format!("{name}: no such script; built in are {}", Self::names()))?,
+            None => std::fs::read_to_string(name).with_context(|| {
+                format!("{name}: no such script; built in are {}", Self::built_in_names())
+            })?,
         };
-        Self::read(&text).with_context(|| name.to_owned())
+        Self::parse(&text).with_context(|| name.to_owned())
     }
 
-    fn names() -> String {
+    fn built_in_names() -> String {
         BUILT_IN.map(|(name, _)| name).join(", ")
     }
 
@@ -143,10 +144,13 @@
     /// # Errors
     ///
     /// When it is no TOML of this form, or its times or parts are out of range.
-    pub fn read(text: &str) -> Result<Self> {
+    pub fn parse(text: &str) -> Result<Self> {
         let script: Self = toml::from_str(text)?;
-        let sane = |seconds: f64| (0.0..=LONGEST).contains(&seconds);
-        ensure!(sane(script.warm_up) && sane(script.seconds), "times are not 0 to {LONGEST} seconds");
+        let in_range = |seconds: f64| (0.0..=MAX_SECONDS).contains(&seconds);
+        ensure!(
+            in_range(script.warm_up) && in_range(script.seconds),
+            "times are not 0 to {MAX_SECONDS} seconds"
+        );
         ensure!((0.0..1.0).contains(&script.loss), "loss is no part");
         ensure!(script.changes.every > 0.0, "changes.every is not above 0");
         ensure!(script.changes.until <= script.seconds, "changes.until is after the end");
@@ -155,13 +159,13 @@
     }
 
     /// A time of the script in milliseconds since the run began.
-    pub fn at(&self, seconds: f64) -> f64 {
+    pub fn to_ms(&self, seconds: f64) -> f64 {
         (self.warm_up + seconds) * 1000.0
     }
 
     /// When the run ends, in milliseconds since it began.
     pub fn end_ms(&self) -> f64 {
-        self.at(self.seconds)
+        self.to_ms(self.seconds)
     }
 
     /// Faults must fit the layout: zones, regions and control machines that are there.
@@ -171,7 +175,7 @@
     /// When one names what is not there.
     pub fn check(&self, layout: &Layout) -> Result<()> {
         for fault in &self.faults {
-            let (number, there, what) = match fault.kind {
+            let (number, count, what) = match fault.kind {
                 FaultKind::CutZone { zone, .. } | FaultKind::KillZone { zone } => {
                     (zone, layout.terms.zones, "zone")
                 }
@@ -181,7 +185,7 @@
                 | FaultKind::OldDisk { control, .. } => (control, layout.controls, "control machine"),
                 _ => continue,
             };
-            ensure!(number < there, "{what} {number} is not there: the layout has {there}");
+            ensure!(number < count, "{what} {number} is not there: the layout has {count}");
         }
         Ok(())
     }
@@ -189,44 +193,44 @@
 
 impl Fault {
     fn check(&self, script: &Script) -> Result<()> {
-        let parts = match self.kind {
+        let share = match self.kind {
             FaultKind::KillProxies { part }
             | FaultKind::PauseProxies { part }
             | FaultKind::Loss { part }
             | FaultKind::SlowProxies { part, .. } => part,
             _ => 0.0,
         };
-        ensure!((0.0..=1.0).contains(&parts), "a fault's part is not 0 to 1");
-        let inside = self.at >= 0.0 && self.lasts >= 0.0 && self.at + self.lasts <= script.seconds;
-        ensure!(inside, "a fault at {} s does not end within the run", self.at);
+        ensure!((0.0..=1.0).contains(&share), "a fault's part is not 0 to 1");
+        let within_run = self.at >= 0.0 && self.duration >= 0.0 && self.at + self.duration <= script.seconds;
+        ensure!(within_run, "a fault at {} s does not end within the run", self.at);
         Ok(())
     }
 
-    pub fn ends(&self) -> f64 {
-        self.at + self.lasts
+    pub fn ends_at(&self) -> f64 {
+        self.at + self.duration
     }
 
     /// The nodes that it befalls: those that are killed, paused, slow, or on the inner side of a cut. `place`
     /// is the fault's place in its script.
-    pub fn nodes(&self, layout: &Layout, place: usize, seed: u64) -> Vec<NodeId> {
+    pub fn affected_nodes(&self, layout: &Layout, index: usize, seed: u64) -> Vec<NodeId> {
         match self.kind {
-            FaultKind::CutZone { zone, .. } | FaultKind::KillZone { zone } => layout.in_zone(zone),
+            FaultKind::CutZone { zone, .. } | FaultKind::KillZone { zone } => layout.nodes_in_zone(zone),
             FaultKind::CutRegion { region, .. } => {
-                (0..layout.nodes()).filter(|&node| layout.site(node).region == region).collect()
+                (0..layout.node_count()).filter(|&node| layout.site(node).region == region).collect()
             }
             FaultKind::KillControl { control }
             | FaultKind::PauseControl { control }
             | FaultKind::OldDisk { control, .. } => vec![control],
             FaultKind::KillProxies { part }
             | FaultKind::PauseProxies { part }
-            | FaultKind::SlowProxies { part, .. } => some_proxies(layout, part, seed ^ place as u64),
+            | FaultKind::SlowProxies { part, .. } => random_proxies(layout, part, seed ^ index as u64),
             FaultKind::Burst { .. } | FaultKind::Loss { .. } => Vec::new(),
         }
     }
 }
 
-fn some_proxies(layout: &Layout, part: f64, seed: u64) -> Vec<NodeId> {
-    let mut proxies: Vec<NodeId> = (layout.controls..layout.nodes()).collect();
+fn random_proxies(layout: &Layout, part: f64, seed: u64) -> Vec<NodeId> {
+    let mut proxies: Vec<NodeId> = (layout.controls..layout.node_count()).collect();
     proxies.shuffle(&mut Pcg64Mcg::seed_from_u64(seed));
     proxies.truncate((part * proxies.len() as f64).ceil() as usize);
     proxies.sort_unstable();
--- a/lab/src/scale/tier.rs
+++ b/lab/src/scale/tier.rs
@@ -12,30 +12,30 @@
 use gossip::keys::Roster;
 use gossip::wire::Subsystem;
 
-use super::council::{CouncilNode, EPOCH, Terms};
+use super::council::{CouncilNode, CouncilTerms, EPOCH_UNIX_MS};
 use super::keys::{self, SharedKeys};
 use super::layout::{Layout, NodeId, Scope};
-use super::node::{Fleet, NewValue, Node, NotNow, Version};
-use super::scoped_book::ScopedBook;
+use super::node::{ConfigChange, Fleet, Node, NotReady, Version};
+use super::scoped_machine::ScopedMachine;
 
 /// How often subscribers poll, and the age that their state may have, in milliseconds.
-const HEARTBEAT: f64 = 1_000.0;
-const LEASE: f64 = 10_000.0;
+const POLL_INTERVAL_MS: f64 = 1_000.0;
+const LEASE_MS: f64 = 10_000.0;
 /// Bounds of a control machine, as the example settings have them: subscribers, bytes a second to all and to
 /// each, snapshots at once.
-const MOST_SUBSCRIBERS: usize = 4_096;
+const MAX_SUBSCRIBERS: usize = 4_096;
 const BYTES_PER_SECOND: f64 = 8e6;
 const SUBSCRIBER_BYTES_PER_SECOND: f64 = 3_000.0;
 const SNAPSHOTS_AT_ONCE: usize = 64;
 /// Bytes of the largest scope that a subscriber takes.
-const MOST_SCOPE_BYTES: usize = 1 << 20;
+const MAX_SCOPE_BYTES: usize = 1 << 20;
 
 /// What the nodes have in common.
 pub struct TierFleet {
     layout: Layout,
-    council: Terms,
+    council: CouncilTerms,
     /// All nodes, as a control machine knows them.
-    everybody: Roster,
+    all_nodes: Roster,
     controls: Vec<ControlMachine>,
     addresses: Arc<BTreeMap<Id, SocketAddr>>,
     seed: u64,
@@ -43,15 +43,17 @@
 
 impl TierFleet {
     pub fn new(layout: &Layout, seed: u64) -> Self {
-        let machines = keys::roster(0..layout.controls);
+        let controls_roster = keys::roster(0..layout.controls);
         let id = |control| keys::secrets(control).id();
-        let control =
+        let control_machine =
             |control| ControlMachine { id: id(control), region: layout.site(control).region as u16 };
         Self {
-            council: Terms::of_controls(machines, layout.voters()),
-            everybody: keys::roster(0..layout.nodes()),
-            controls: (0..layout.controls).map(control).collect(),
-            addresses: Arc::new((0..layout.controls).map(|of| (id(of), Layout::address(of))).collect()),
+            council: CouncilTerms::for_controls(controls_roster, layout.voters()),
+            all_nodes: keys::roster(0..layout.node_count()),
+            controls: (0..layout.controls).map(control_machine).collect(),
+            addresses: Arc::new(
+                (0..layout.controls).map(|control| (id(control), Layout::address(control))).collect(),
+            ),
             layout: layout.clone(),
             seed,
         }
@@ -61,10 +63,10 @@
 impl Fleet for TierFleet {
     type Node = TierNode;
 
-    fn start(&self, node: NodeId, life: u32, disk: &[u8], now: f64) -> TierNode {
-        let seed = self.seed ^ node as u64 ^ u64::from(life) << 32;
+    fn start(&self, node: NodeId, generation: u32, disk: &[u8], now: f64) -> TierNode {
+        let seed = self.seed ^ node as u64 ^ u64::from(generation) << 32;
         if self.layout.is_control(node) {
-            TierNode::Control(Box::new(ControlNode::start(self, node, life, disk, (seed, now))))
+            TierNode::Control(Box::new(ControlNode::start(self, node, generation, disk, (seed, now))))
         } else {
             TierNode::Subscriber(Box::new(SubscriberNode::start(self, node, disk, (seed, now))))
         }
@@ -89,11 +91,11 @@
             region: fleet.layout.site(node).region as u16,
             controls: fleet.controls.clone(),
             founders: fleet.council.voters.iter().map(|&voter| keys::secrets(voter).id()).collect(),
-            heartbeat: HEARTBEAT,
-            lease: LEASE,
-            most_scope_bytes: MOST_SCOPE_BYTES,
+            heartbeat: POLL_INTERVAL_MS,
+            lease: LEASE_MS,
+            most_scope_bytes: MAX_SCOPE_BYTES,
         };
-        let channel = Channel::new(secrets.clone(), (*roster).clone(), EPOCH + now);
+        let channel = Channel::new(secrets.clone(), (*roster).clone(), EPOCH_UNIX_MS + now);
         let mut subscriber = Subscriber::new(terms, SharedKeys { secrets, roster }, seed, now);
         fleet.layout.scopes(node).into_iter().for_each(|scope| subscriber.subscribe(scope, now));
         if !disk.is_empty() {
@@ -102,14 +104,15 @@
         let controls = fleet.addresses.clone();
         let mut started =
             Self { channel, subscriber, controls, versions: BTreeMap::new(), disk: disk.to_vec() };
-        started.take_over();
+        started.apply_changes();
         started
     }
 
     /// Looks at what has come into force, and keeps what is to be kept.
-    fn take_over(&mut self) {
+    fn apply_changes(&mut self) {
         while let Some(scope) = self.subscriber.changed() {
-            let newest = self.subscriber.content(scope).and_then(|of| of.iter().map(|entry| entry.1).max());
+            let newest =
+                self.subscriber.content(scope).and_then(|content| content.iter().map(|entry| entry.1).max());
             self.versions.insert(scope, newest.unwrap_or(0));
         }
         if let Some(saved) = self.subscriber.saved() {
@@ -131,7 +134,7 @@
         if self.subscriber.due() <= now {
             self.subscriber.turn(now);
         }
-        self.take_over();
+        self.apply_changes();
     }
 
     fn due(&self) -> f64 {
@@ -149,11 +152,11 @@
     }
 
     /// A border proxy decides nothing.
-    fn propose(&mut self, _: f64, _: usize, _: &NewValue) -> Result<(), NotNow> {
-        Err(NotNow)
+    fn propose(&mut self, _: f64, _: usize, _: &ConfigChange) -> Result<(), NotReady> {
+        Err(NotReady)
     }
 
-    fn decided(&mut self) -> Option<(usize, Version)> {
+    fn next_decided(&mut self) -> Option<(usize, Version)> {
         None
     }
 
@@ -168,31 +171,38 @@
 
 /// A control machine: it follows the log and serves subscribers.
 pub struct ControlNode {
-    council: CouncilNode<ScopedBook>,
+    council: CouncilNode<ScopedMachine>,
     channel: Channel,
     control: Control,
     /// Where each subscriber was last heard.
     addresses: HashMap<Id, SocketAddr>,
-    members: Arc<Roster>,
-    sealed: Version,
+    control_roster: Arc<Roster>,
+    certified: Version,
 }
 
 impl ControlNode {
-    fn start(fleet: &TierFleet, node: NodeId, life: u32, disk: &[u8], (seed, now): (u64, f64)) -> Self {
+    fn start(fleet: &TierFleet, node: NodeId, generation: u32, disk: &[u8], (seed, now): (u64, f64)) -> Self {
         let terms = ControlTerms {
-            heartbeat: HEARTBEAT,
-            most_subscribers: MOST_SUBSCRIBERS,
+            heartbeat: POLL_INTERVAL_MS,
+            most_subscribers: MAX_SUBSCRIBERS,
             bytes_per_second: BYTES_PER_SECOND,
             subscriber_bytes_per_second: SUBSCRIBER_BYTES_PER_SECOND,
             snapshots_at_once: SNAPSHOTS_AT_ONCE,
         };
         Self {
-            council: CouncilNode::start(&fleet.council, node, life, ScopedBook::default(), disk, now),
-            channel: Channel::new(keys::secrets(node), fleet.everybody.clone(), EPOCH + now),
+            council: CouncilNode::start(
+                &fleet.council,
+                node,
+                generation,
+                ScopedMachine::default(),
+                disk,
+                now,
+            ),
+            channel: Channel::new(keys::secrets(node), fleet.all_nodes.clone(), EPOCH_UNIX_MS + now),
             control: Control::new(terms, seed, now),
             addresses: HashMap::new(),
-            members: fleet.council.roster.clone(),
-            sealed: 0,
+            control_roster: fleet.council.roster.clone(),
+            certified: 0,
         }
     }
 
@@ -208,9 +218,11 @@
         if self.control.wants_state() {
             self.control.restore(applied, agreement.machine().state().clone());
         }
-        if let Some(seal) = agreement.certificate().filter(|seal| seal.statement.index > self.sealed) {
-            self.sealed = seal.statement.index;
-            self.control.sealed(seal, agreement.council_proofs());
+        if let Some(certificate) =
+            agreement.certificate().filter(|certificate| certificate.statement.index > self.certified)
+        {
+            self.certified = certificate.statement.index;
+            self.control.sealed(certificate, agreement.council_proofs());
         }
         while let Some(proof) = agreement.next_freshness_proof() {
             self.control.fresh(now, proof);
@@ -226,7 +238,7 @@
 
 impl Node for ControlNode {
     fn receive(&mut self, now: f64, from: SocketAddr, datagram: &[u8]) {
-        if Channel::sender(datagram).is_some_and(|sender| self.members.contains(sender)) {
+        if Channel::sender(datagram).is_some_and(|sender| self.control_roster.contains(sender)) {
             return self.council.receive(now, from, datagram);
         }
         if let Some(received) =
@@ -259,12 +271,12 @@
         self.council.machine().newest()
     }
 
-    fn propose(&mut self, now: f64, number: usize, change: &NewValue) -> Result<(), NotNow> {
+    fn propose(&mut self, now: f64, number: usize, change: &ConfigChange) -> Result<(), NotReady> {
         self.council.propose(now, number, change)
     }
 
-    fn decided(&mut self) -> Option<(usize, Version)> {
-        self.council.decided()
+    fn next_decided(&mut self) -> Option<(usize, Version)> {
+        self.council.next_decided()
     }
 
     fn disk(&self) -> Vec<u8> {
@@ -283,14 +295,14 @@
 }
 
 impl TierNode {
-    fn node(&self) -> &dyn Node {
+    fn inner(&self) -> &dyn Node {
         match self {
             Self::Subscriber(node) => &**node,
             Self::Control(node) => &**node,
         }
     }
 
-    fn node_mut(&mut self) -> &mut dyn Node {
+    fn inner_mut(&mut self) -> &mut dyn Node {
         match self {
             Self::Subscriber(node) => &mut **node,
             Self::Control(node) => &mut **node,
@@ -300,38 +312,38 @@
 
 impl Node for TierNode {
     fn receive(&mut self, now: f64, from: SocketAddr, datagram: &[u8]) {
-        self.node_mut().receive(now, from, datagram);
+        self.inner_mut().receive(now, from, datagram);
     }
 
     fn turn(&mut self, now: f64) {
-        self.node_mut().turn(now);
+        self.inner_mut().turn(now);
     }
 
     fn due(&self) -> f64 {
-        self.node().due()
+        self.inner().due()
     }
 
     fn outgoing(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
-        self.node_mut().outgoing()
+        self.inner_mut().outgoing()
     }
 
     fn in_force(&self, scope: Scope) -> Version {
-        self.node().in_force(scope)
+        self.inner().in_force(scope)
     }
 
-    fn propose(&mut self, now: f64, number: usize, change: &NewValue) -> Result<(), NotNow> {
-        self.node_mut().propose(now, number, change)
+    fn propose(&mut self, now: f64, number: usize, change: &ConfigChange) -> Result<(), NotReady> {
+        self.inner_mut().propose(now, number, change)
     }
 
-    fn decided(&mut self) -> Option<(usize, Version)> {
-        self.node_mut().decided()
+    fn next_decided(&mut self) -> Option<(usize, Version)> {
+        self.inner_mut().next_decided()
     }
 
     fn disk(&self) -> Vec<u8> {
-        self.node().disk()
+        self.inner().disk()
     }
 
     fn state_bytes(&self) -> usize {
-        self.node().state_bytes()
+        self.inner().state_bytes()
     }
 }
--- a/lab/src/scale/virtual_run.rs
+++ b/lab/src/scale/virtual_run.rs
@@ -4,9 +4,9 @@
 
 use anyhow::{Result, ensure};
 
-use super::engine::{self, Plan, Played};
+use super::engine::{self, Plan, RunResult};
+use super::evaluation::{self, RoleCost};
 use super::flat::FlatFleet;
-use super::judge::{self, RoleCost};
 use super::layout::{Layout, LayoutTerms};
 use super::node::Fleet;
 use super::proposals;
@@ -19,7 +19,7 @@
 const FLAT_BYTES_PER_PAIR: f64 = 900.0;
 const BYTES_PER_NODE: f64 = 200_000.0;
 
-/// What is to be played.
+/// What is to be result.
 #[derive(Clone, Debug)]
 pub struct VirtualRun {
     pub layout: LayoutTerms,
@@ -52,13 +52,13 @@
         let layout = Layout::new(self.layout, self.seed)?;
         self.script.check(&layout)?;
         if self.flat {
-            self.play_fleet(&FlatFleet::new(&layout), &layout, progress)
+            self.run_fleet(&FlatFleet::new(&layout), &layout, progress)
         } else {
-            self.play_fleet(&TierFleet::new(&layout, self.seed), &layout, progress)
+            self.run_fleet(&TierFleet::new(&layout, self.seed), &layout, progress)
         }
     }
 
-    fn play_fleet<F: Fleet>(
+    fn run_fleet<F: Fleet>(
         &self,
         fleet: &F,
         layout: &Layout,
@@ -71,19 +71,19 @@
             proposals: &proposals,
             seed: self.seed,
             threads: self.threads,
-            most: self.max_wall_time,
+            max_wall_time: self.max_wall_time,
         };
-        let played = engine::play(fleet, &plan, progress);
-        let (reached, end) = (played.reached / 1000.0, self.script.end_ms() / 1000.0);
+        let result = engine::run(fleet, &plan, progress);
+        let (reached, end) = (result.reached_ms / 1000.0, self.script.end_ms() / 1000.0);
         ensure!(reached >= end, "broken off after {:?} at {reached:.1} of {end:.1} s", self.max_wall_time);
-        let in_force = judge::in_force(layout, &self.script, self.seed, (&proposals, &bursts), &played);
-        Ok(self.report(layout, in_force, &played))
+        let in_force = evaluation::in_force(layout, &self.script, self.seed, (&proposals, &bursts), &result);
+        Ok(self.report(layout, in_force, &result))
     }
 
-    fn report(&self, layout: &Layout, in_force: judge::InForce, played: &Played) -> Report {
+    fn report(&self, layout: &Layout, in_force: evaluation::InForce, result: &RunResult) -> Report {
         let seconds = self.script.seconds;
-        let (controls, proxies) = played.nodes.split_at(layout.controls);
-        let proxy = RoleCost::of(proxies.iter(), seconds);
+        let (controls, proxies) = result.nodes.split_at(layout.controls);
+        let proxy = RoleCost::from_nodes(proxies.iter(), seconds);
         Report {
             script: self.script.name.clone(),
             seed: self.seed,
@@ -92,15 +92,15 @@
             layout: self.layout,
             controls: layout.controls,
             seconds,
-            misses: judge::misses(&in_force, &proxy),
+            misses: evaluation::misses(&in_force, &proxy),
             in_force,
-            control: RoleCost::of(controls.iter(), seconds),
+            control: RoleCost::from_nodes(controls.iter(), seconds),
             proxy,
-            resident_per_node: played.resident / layout.nodes() as f64,
-            messages_arrived: played.arrived,
-            digest: played.digest.clone(),
+            resident_per_node: result.resident_bytes / layout.node_count() as f64,
+            messages_arrived: result.messages_arrived,
+            digest: result.digest.clone(),
             threads: self.threads,
-            wall_seconds: played.took.as_secs_f64(),
+            wall_seconds: result.wall_time.as_secs_f64(),
         }
     }
 }
--- a/lab/tests/scale/engine.rs
+++ b/lab/tests/scale/engine.rs
@@ -6,13 +6,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use lab::scale::engine::{self, Plan, Played, Proposal};
+use lab::scale::engine::{self, Plan, Proposal, RunResult};
 use lab::scale::layout::{Layout, LayoutTerms, NodeId, Scope};
-use lab::scale::node::{Fleet, NewValue, Node, NotNow, Version};
+use lab::scale::node::{ConfigChange, Fleet, Node, NotReady, Version};
 use lab::scale::script::Script;
 use rstest::rstest;
 
-const EVERY: f64 = 100.0;
+const TURN_INTERVAL_MS: f64 = 100.0;
 const PROXIES: usize = 48;
 
 struct Counters(usize);
@@ -22,7 +22,7 @@
     nodes: usize,
     count: Version,
     due: f64,
-    out: Vec<(SocketAddr, Vec<u8>)>,
+    outgoing: Vec<(SocketAddr, Vec<u8>)>,
     decided: Vec<(usize, Version)>,
 }
 
@@ -31,14 +31,21 @@
 
     fn start(&self, node: NodeId, _: u32, disk: &[u8], now: f64) -> Counter {
         let count = disk.try_into().map_or(0, Version::from_le_bytes);
-        Counter { node, nodes: self.0, count, due: now + EVERY, out: Vec::new(), decided: Vec::new() }
+        Counter {
+            node,
+            nodes: self.0,
+            count,
+            due: now + TURN_INTERVAL_MS,
+            outgoing: Vec::new(),
+            decided: Vec::new(),
+        }
     }
 }
 
 impl Counter {
-    fn tell(&mut self) {
+    fn broadcast(&mut self) {
         let datagram = self.count.to_le_bytes().to_vec();
-        self.out = (1..self.nodes).map(|to| (Layout::address(to), datagram.clone())).collect();
+        self.outgoing = (1..self.nodes).map(|to| (Layout::address(to), datagram.clone())).collect();
     }
 }
 
@@ -50,9 +57,9 @@
 
     fn turn(&mut self, now: f64) {
         if now >= self.due {
-            self.due = now + EVERY;
+            self.due = now + TURN_INTERVAL_MS;
             if self.node == 0 {
-                self.tell();
+                self.broadcast();
             }
         }
     }
@@ -62,20 +69,20 @@
     }
 
     fn outgoing(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
-        self.out.pop()
+        self.outgoing.pop()
     }
 
     fn in_force(&self, _: Scope) -> Version {
         self.count
     }
 
-    fn propose(&mut self, _: f64, number: usize, _: &NewValue) -> Result<(), NotNow> {
+    fn propose(&mut self, _: f64, number: usize, _: &ConfigChange) -> Result<(), NotReady> {
         self.count += 1;
         self.decided.push((number, self.count));
         Ok(())
     }
 
-    fn decided(&mut self) -> Option<(usize, Version)> {
+    fn next_decided(&mut self) -> Option<(usize, Version)> {
         self.decided.pop()
     }
 
@@ -88,18 +95,22 @@
     }
 }
 
-fn play(faults: &str, seed: u64, threads: usize) -> (Layout, Played) {
+fn run(faults: &str, seed: u64, threads: usize) -> (Layout, RunResult) {
     let head =
         "name = \"x\"\nwarm_up = 1.0\nseconds = 9.0\nloss = 0.1\n[changes]\nevery = 1.0\nuntil = 8.0\n";
-    let script = Script::read(&format!("{head}{faults}")).expect("sound");
+    let script = Script::parse(&format!("{head}{faults}")).expect("sound");
     let layout =
         Layout::new(LayoutTerms { proxies: PROXIES, ..LayoutTerms::default() }, seed).expect("sound");
-    let change = NewValue { scope: Scope::All, key: String::new(), value: Vec::new() };
-    let proposal = |second| Proposal { at: script.at(f64::from(second)), by: 0, change: change.clone() };
+    let change = ConfigChange { scope: Scope::All, key: String::new(), value: Vec::new() };
+    let proposal = |second| Proposal {
+        proposed_at: script.to_ms(f64::from(second)),
+        proposer: 0,
+        change: change.clone(),
+    };
     let proposals: Vec<Proposal> = (0..8).map(proposal).collect();
-    let most = Duration::from_secs(60);
-    let plan = Plan { layout: &layout, script: &script, proposals: &proposals, seed, threads, most };
-    let played = engine::play(&Counters(layout.nodes()), &plan, &|_| {});
+    let max_wall_time = Duration::from_secs(60);
+    let plan = Plan { layout: &layout, script: &script, proposals: &proposals, seed, threads, max_wall_time };
+    let played = engine::run(&Counters(layout.node_count()), &plan, &|_| {});
     (layout, played)
 }
 
@@ -109,33 +120,37 @@
 
 #[test]
 fn one_seed_gives_the_same_bytes_for_any_number_of_threads() {
-    let (_, first) = play(FAULTS, 5, 1);
-    assert!(first.arrived > 1_000, "{} arrived", first.arrived);
+    let (_, first) = run(FAULTS, 5, 1);
+    assert!(first.messages_arrived > 1_000, "{} arrived", first.messages_arrived);
     for threads in [2, 3, 16] {
-        let (_, again) = play(FAULTS, 5, threads);
-        assert_eq!((&first.digest, first.arrived), (&again.digest, again.arrived), "{threads} threads");
+        let (_, again) = run(FAULTS, 5, threads);
+        assert_eq!(
+            (&first.digest, first.messages_arrived),
+            (&again.digest, again.messages_arrived),
+            "{threads} threads"
+        );
         assert_eq!(first.decided, again.decided);
     }
-    assert_ne!(first.digest, play(FAULTS, 6, 1).1.digest);
+    assert_ne!(first.digest, run(FAULTS, 6, 1).1.digest);
 }
 
 #[test]
 fn a_change_arrives_no_sooner_than_its_way_takes_and_all_have_it_at_the_end() {
-    let (layout, played) = play("", 5, 2);
+    let (layout, played) = run("", 5, 2);
     assert_eq!(played.decided.len(), 8);
-    for node in layout.controls..layout.nodes() {
-        let came = &played.nodes[node].came;
-        assert_eq!(came.iter().filter(|of| of.slot == 0).map(|of| of.version).max(), Some(8));
-        for came in came {
-            let decided = played.decided[came.version as usize - 1].at;
-            assert!(came.at >= decided + layout.delay(0, node), "{came:?}, decided at {decided}");
+    for node in layout.controls..layout.node_count() {
+        let events = &played.nodes[node].in_force_events;
+        assert_eq!(events.iter().filter(|event| event.slot == 0).map(|event| event.version).max(), Some(8));
+        for event in events {
+            let decided = played.decided[event.version as usize - 1].decided_at;
+            assert!(event.in_force_at >= decided + layout.delay(0, node), "{event:?}, decided at {decided}");
         }
     }
 }
 
 #[test]
 fn only_the_measured_time_is_counted() {
-    let (layout, played) = play("", 5, 2);
+    let (layout, played) = run("", 5, 2);
     let proxy = &played.nodes[layout.controls].cost;
     // Ten messages of eight bytes a second for nine seconds, one in ten lost.
     assert!((600..=720).contains(&proxy.bytes), "{proxy:?}");
@@ -148,20 +163,20 @@
 #[case::paused("kind = \"pause_proxies\"\npart = 1.0")]
 #[case::cut("kind = \"cut_zone\"\nzone = 15\nways = \"both\"")]
 fn a_node_that_is_away_hears_nothing_meanwhile(#[case] kind: &str) {
-    let (layout, played) = play(&format!("[[fault]]\nat = 2.5\nfor = 3.0\n{kind}\n"), 5, 2);
-    let away = layout.in_zone(15).into_iter().filter(|&node| !layout.is_control(node));
-    for came in away.flat_map(|node| played.nodes[node].came.clone()) {
+    let (layout, played) = run(&format!("[[fault]]\nat = 2.5\nfor = 3.0\n{kind}\n"), 5, 2);
+    let absent = layout.nodes_in_zone(15).into_iter().filter(|&node| !layout.is_control(node));
+    for event in absent.flat_map(|node| played.nodes[node].in_force_events.clone()) {
         // What was on its way to it still comes before a cut.
-        assert!(!(3_700.0..6_500.0).contains(&came.at), "{came:?}");
+        assert!(!(3_700.0..6_500.0).contains(&event.in_force_at), "{event:?}");
     }
 }
 
 #[test]
 fn an_old_disk_takes_a_node_back() {
     let fault = "[[fault]]\nat = 4.5\nfor = 0.2\nkind = \"old_disk\"\ncontrol = 0\nolder = 2.0\n";
-    let (layout, played) = play(fault, 5, 2);
+    let (layout, played) = run(fault, 5, 2);
     // Changes 0 to 4 were made before; two seconds earlier three of them.
-    let newest = played.decided.iter().map(|of| of.version).max();
+    let newest = played.decided.iter().map(|change| change.version).max();
     assert_eq!(newest, Some(6), "{:?}", played.decided);
     assert_eq!(played.nodes[layout.controls].went_back, 0);
 }
@@ -170,8 +185,8 @@
 fn a_run_that_takes_too_long_is_broken_off() {
     let layout = Layout::new(LayoutTerms { proxies: 20, ..LayoutTerms::default() }, 1).expect("sound");
     let script = Script::named("calm").expect("built in");
-    let most = Duration::ZERO;
-    let plan = Plan { layout: &layout, script: &script, proposals: &[], seed: 1, threads: 2, most };
-    let played = engine::play(&Counters(layout.nodes()), &plan, &|_| {});
-    assert!(played.reached < script.end_ms());
+    let max_wall_time = Duration::ZERO;
+    let plan = Plan { layout: &layout, script: &script, proposals: &[], seed: 1, threads: 2, max_wall_time };
+    let played = engine::run(&Counters(layout.node_count()), &plan, &|_| {});
+    assert!(played.reached_ms < script.end_ms());
 }
--- a/lab/tests/scale/flat.rs
+++ b/lab/tests/scale/flat.rs
@@ -8,11 +8,11 @@
 use lab::scale::script::Script;
 use lab::scale::virtual_run::VirtualRun;
 
-fn play(threads: usize) -> Report {
+fn run(threads: usize) -> Report {
     let script = "name = \"short\"\nwarm_up = 12.0\nseconds = 8.0\n[changes]\nevery = 1.0\nuntil = 4.0\n";
     let run = VirtualRun {
         layout: LayoutTerms { proxies: 12, ..LayoutTerms::default() },
-        script: Script::read(script).expect("sound"),
+        script: Script::parse(script).expect("sound"),
         seed: 3,
         threads,
         flat: true,
@@ -23,7 +23,7 @@
 
 #[test]
 fn a_small_flat_fleet_has_all_changes_and_one_course() {
-    let (first, again) = (play(1), play(4));
+    let (first, again) = (run(1), run(4));
     assert_eq!(first.digest, again.digest);
     assert_eq!((first.in_force.changes, first.in_force.decided, first.in_force.never), (5, 5, 0));
     assert_eq!(first.in_force.went_back, 0);
--- a/lab/tests/scale/layout.rs
+++ b/lab/tests/scale/layout.rs
@@ -21,18 +21,18 @@
 fn any_size_gives_each_proxy_one_service(#[values(1, 2, 26, 40, 333, 1_000, 10_000)] proxies: usize) {
     let laid_out = layout(proxies, 1);
     assert_eq!(laid_out.service_sizes().iter().sum::<usize>(), proxies);
-    assert_eq!(laid_out.nodes(), proxies + 18);
+    assert_eq!(laid_out.node_count(), proxies + 18);
 }
 
 #[test]
 fn each_region_has_its_zones_and_three_control_machines_in_them() {
     let target = layout(33_000, 1);
-    assert_eq!((0..6).map(|region| target.zones_of(region).len()).sum::<usize>(), 16);
+    assert_eq!((0..6).map(|region| target.zones_in_region(region).len()).sum::<usize>(), 16);
     for region in 0..6 {
         let controls = (0..target.controls).filter(|&control| target.site(control).region == region);
         assert_eq!(controls.count(), 3);
     }
-    let sizes: Vec<usize> = (0..16).map(|zone| target.in_zone(zone).len()).collect();
+    let sizes: Vec<usize> = (0..16).map(|zone| target.nodes_in_zone(zone).len()).collect();
     assert!(sizes.iter().all(|size| (2_060..2_070).contains(size)), "{sizes:?}");
 }
 
@@ -49,7 +49,7 @@
 fn a_proxy_subscribes_to_its_own_places_and_services_and_a_control_machine_to_nothing() {
     let laid_out = layout(1_000, 1);
     assert_eq!(laid_out.scopes(0), Vec::new());
-    for node in laid_out.controls..laid_out.nodes() {
+    for node in laid_out.controls..laid_out.node_count() {
         let (scopes, site) = (laid_out.scopes(node), laid_out.site(node));
         assert_eq!(scopes[..2], [Scope::All, Scope::Region(site.region as u16)]);
         assert_eq!(scopes[2], Scope::Zone(site.zone as u16));
@@ -63,12 +63,12 @@
 #[test]
 fn delays_are_as_far_apart_as_places_are() {
     let laid_out = layout(1_000, 1);
-    let (one, near) = (laid_out.in_zone(0)[0], laid_out.in_zone(0)[1]);
-    let (next, far) = (laid_out.in_zone(1)[0], laid_out.in_zone(15)[0]);
+    let (one, near) = (laid_out.nodes_in_zone(0)[0], laid_out.nodes_in_zone(0)[1]);
+    let (next, far) = (laid_out.nodes_in_zone(1)[0], laid_out.nodes_in_zone(15)[0]);
     assert_eq!((laid_out.delay(one, near), laid_out.delay(one, next)), (0.3, 1.0));
     assert!((20.0..=120.0).contains(&laid_out.delay(one, far)));
     assert_eq!(laid_out.delay(one, far), laid_out.delay(far, one));
-    assert_eq!(laid_out.shortest_between_zones(), Some(1.0));
+    assert_eq!(laid_out.min_delay_between_zones(), Some(1.0));
 }
 
 #[test]
--- a/lab/tests/scale/network.rs
+++ b/lab/tests/scale/network.rs
@@ -1,18 +1,18 @@
 //! Cuts, loss and stalls hold when and where the script says.
 
 use lab::scale::layout::{Layout, LayoutTerms, NodeId};
-use lab::scale::network::{Network, Span, Stall};
+use lab::scale::network::{Network, Period, Stall};
 use lab::scale::script::Script;
 use rstest::rstest;
 
-const INSIDE: usize = 15;
+const CUT_ZONE: usize = 15;
 
 fn loss(fault: &str, now: f64, inwards: bool) -> f64 {
     let layout = Layout::new(LayoutTerms { proxies: 64, ..LayoutTerms::default() }, 1).expect("sound");
     let head =
         "name = \"x\"\nwarm_up = 1.0\nseconds = 9.0\nloss = 0.1\n[changes]\nevery = 1.0\nuntil = 8.0\n";
-    let script = Script::read(&format!("{head}[[fault]]\nat = 2.0\nfor = 3.0\n{fault}\n")).expect("sound");
-    let (inside, outside): (NodeId, NodeId) = (layout.in_zone(INSIDE)[0], layout.in_zone(0)[0]);
+    let script = Script::parse(&format!("{head}[[fault]]\nat = 2.0\nfor = 3.0\n{fault}\n")).expect("sound");
+    let (inside, outside): (NodeId, NodeId) = (layout.nodes_in_zone(CUT_ZONE)[0], layout.nodes_in_zone(0)[0]);
     let (from, to) = if inwards { (outside, inside) } else { (inside, outside) };
     Network::new(&script).loss(now, &layout, from, to)
 }
@@ -33,12 +33,12 @@
 }
 
 #[rstest]
-#[case::paused(Stall::Paused(Span { from: 100.0, until: 500.0 }), 200.0, 500.0)]
-#[case::before(Stall::Paused(Span { from: 100.0, until: 500.0 }), 99.0, 99.0)]
-#[case::after(Stall::Paused(Span { from: 100.0, until: 500.0 }), 500.0, 500.0)]
-#[case::slow(Stall::Slow(Span { from: 100.0, until: 1_000.0 }, 150.0), 260.0, 400.0)]
-#[case::slow_in_turn(Stall::Slow(Span { from: 100.0, until: 1_000.0 }, 150.0), 400.0, 400.0)]
-#[case::slow_at_the_end(Stall::Slow(Span { from: 100.0, until: 450.0 }, 150.0), 401.0, 450.0)]
+#[case::paused(Stall::Paused(Period { from: 100.0, until: 500.0 }), 200.0, 500.0)]
+#[case::before(Stall::Paused(Period { from: 100.0, until: 500.0 }), 99.0, 99.0)]
+#[case::after(Stall::Paused(Period { from: 100.0, until: 500.0 }), 500.0, 500.0)]
+#[case::slow(Stall::Slow(Period { from: 100.0, until: 1_000.0 }, 150.0), 260.0, 400.0)]
+#[case::slow_in_turn(Stall::Slow(Period { from: 100.0, until: 1_000.0 }, 150.0), 400.0, 400.0)]
+#[case::slow_at_the_end(Stall::Slow(Period { from: 100.0, until: 450.0 }, 150.0), 401.0, 450.0)]
 fn a_stalled_node_acts_later(#[case] stall: Stall, #[case] now: f64, #[case] acts_at: f64) {
     assert_eq!(stall.acts_at(now), acts_at);
 }
--- a/lab/tests/scale/resources.rs
+++ b/lab/tests/scale/resources.rs
@@ -1,6 +1,6 @@
 //! A run that the machine does not bear is refused with a plain line.
 
-use lab::scale::resources::{self, Free, Need, available, check, open_files};
+use lab::scale::resources::{self, Free, Need, check, parse_available_memory, parse_max_open_files};
 use rstest::rstest;
 
 const FREE: Free = Free { memory: 8.0 * 1024.0 * 1024.0 * 1024.0, descriptors: 1024 };
@@ -22,18 +22,18 @@
 
 #[test]
 fn what_the_system_says_is_read() {
-    assert_eq!(available("MemTotal: 9 kB\nMemAvailable:   2048 kB\n"), 2048.0 * 1024.0);
-    assert_eq!(available("MemTotal: 9 kB\n"), 0.0);
+    assert_eq!(parse_available_memory("MemTotal: 9 kB\nMemAvailable:   2048 kB\n"), 2048.0 * 1024.0);
+    assert_eq!(parse_available_memory("MemTotal: 9 kB\n"), 0.0);
     assert_eq!(
-        open_files("Max open files            1024                 4096                 files\n"),
+        parse_max_open_files("Max open files            1024                 4096                 files\n"),
         1024
     );
-    assert_eq!(open_files(""), 0);
+    assert_eq!(parse_max_open_files(""), 0);
 }
 
 #[test]
 fn this_machine_says_what_is_free_and_what_this_process_holds() {
     let free = Free::now();
     assert!(free.memory > 0.0 && free.descriptors > 0, "{free:?}");
-    assert!(resources::resident() > 0.0);
+    assert!(resources::resident_bytes() > 0.0);
 }
--- a/lab/tests/scale/script.rs
+++ b/lab/tests/scale/script.rs
@@ -4,7 +4,8 @@
 use lab::scale::script::{FaultKind, Script};
 use rstest::rstest;
 
-const SOUND: &str = "name = \"x\"\nwarm_up = 1.0\nseconds = 9.0\n[changes]\nevery = 1.0\nuntil = 8.0\n";
+const VALID_SCRIPT: &str =
+    "name = \"x\"\nwarm_up = 1.0\nseconds = 9.0\n[changes]\nevery = 1.0\nuntil = 8.0\n";
 
 fn layout() -> Layout {
     Layout::new(LayoutTerms { proxies: 320, ..LayoutTerms::default() }, 1).expect("sound terms")
@@ -25,22 +26,22 @@
 #[case::ends_too_late("[[fault]]\nat = 8.0\nfor = 2.0\nkind = \"kill_zone\"\nzone = 1\n")]
 #[case::no_part("[[fault]]\nat = 1.0\nfor = 1.0\nkind = \"kill_proxies\"\npart = 1.5\n")]
 fn what_is_not_sound_is_refused(#[case] fault: &str) {
-    Script::read(SOUND).expect("sound without it");
-    assert!(Script::read(&format!("{SOUND}{fault}")).is_err());
+    Script::parse(VALID_SCRIPT).expect("sound without it");
+    assert!(Script::parse(&format!("{VALID_SCRIPT}{fault}")).is_err());
 }
 
 #[test]
 fn what_is_not_in_the_layout_is_refused_by_name() {
     let fault = "[[fault]]\nat = 1.0\nkind = \"kill_zone\"\nzone = 16\n";
-    let script = Script::read(&format!("{SOUND}{fault}")).expect("sound in itself");
+    let script = Script::parse(&format!("{VALID_SCRIPT}{fault}")).expect("sound in itself");
     let refused = script.check(&layout()).expect_err("16 zones are numbered to 15");
     assert_eq!(refused.to_string(), "zone 16 is not there: the layout has 16");
 }
 
 #[test]
 fn a_script_that_is_not_there_is_told_with_those_that_are() {
-    let told = format!("{:#}", Script::named("no-such").expect_err("none"));
-    assert!(told.contains("built in are calm, loss"), "{told}");
+    let error = format!("{:#}", Script::named("no-such").expect_err("none"));
+    assert!(error.contains("built in are calm, loss"), "{error}");
 }
 
 #[rstest]
@@ -50,8 +51,8 @@
 #[case::burst("kind = \"burst\"\nchanges = 50", 0)]
 fn a_fault_befalls_whom_it_names(#[case] kind: &str, #[case] count: usize) {
     let fault = format!("[[fault]]\nat = 1.0\nfor = 1.0\n{kind}\n");
-    let script = Script::read(&format!("{SOUND}{fault}")).expect("sound");
-    let nodes = script.faults[0].nodes(&layout(), 0, 7);
+    let script = Script::parse(&format!("{VALID_SCRIPT}{fault}")).expect("sound");
+    let nodes = script.faults[0].affected_nodes(&layout(), 0, 7);
     assert_eq!(nodes.len(), count, "{nodes:?}");
     if let FaultKind::PauseProxies { .. } = script.faults[0].kind {
         assert!(nodes.iter().all(|&node| !layout().is_control(node)));
--- a/lab/tests/scale/tier.rs
+++ b/lab/tests/scale/tier.rs
@@ -10,10 +10,10 @@
 
 const HEAD: &str = "name = \"short\"\nwarm_up = 12.0\nseconds = 16.0\n[changes]\nevery = 1.0\nuntil = 10.0\n";
 
-fn play(proxies: usize, faults: &str, threads: usize) -> Report {
+fn run(proxies: usize, faults: &str, threads: usize) -> Report {
     let run = VirtualRun {
         layout: LayoutTerms { proxies, ..LayoutTerms::default() },
-        script: Script::read(&format!("{HEAD}{faults}")).expect("sound"),
+        script: Script::parse(&format!("{HEAD}{faults}")).expect("sound"),
         seed: 3,
         threads,
         flat: false,
@@ -26,14 +26,14 @@
 fn one_seed_gives_the_same_bytes_for_any_number_of_threads() {
     let faults = "[[fault]]\nat = 2.0\nfor = 2.0\nkind = \"kill_zone\"\nzone = 9\n\
         [[fault]]\nat = 3.0\nfor = 4.0\nkind = \"loss\"\npart = 0.2\n";
-    let (first, again) = (play(48, faults, 1), play(48, faults, 5));
+    let (first, again) = (run(48, faults, 1), run(48, faults, 5));
     assert_eq!(first.digest, again.digest);
     assert_eq!(first.in_force, again.in_force);
 }
 
 #[test]
 fn on_whole_links_all_changes_are_in_force_in_time() {
-    let report = play(96, "", 2);
+    let report = run(96, "", 2);
     assert_eq!((report.in_force.decided, report.in_force.never), (report.in_force.changes, 0), "{report}");
     assert!(report.in_force.all_ms.count > 100, "{report}");
     assert!(report.in_force.all_ms.last <= 4_000.0, "{report}");
@@ -43,6 +43,6 @@
 #[test]
 fn a_zone_that_never_hears_is_named_as_the_first_miss() {
     let report =
-        play(48, "[[fault]]\nat = 0.0\nfor = 16.0\nkind = \"cut_zone\"\nzone = 9\nways = \"in\"\n", 2);
+        run(48, "[[fault]]\nat = 0.0\nfor = 16.0\nkind = \"cut_zone\"\nzone = 9\nways = \"in\"\n", 2);
     assert!(report.misses[0].contains("lack a change at the end"), "{:?}", report.misses);
 }
