--- a/proxy/src/border/peers.rs
+++ b/proxy/src/border/peers.rs
@@ -97,7 +97,8 @@
         self.host.suspected_servers.clear();
         for server in self.host.pool.servers() {
             let Some(generation) = self.host.pool.generation(server) else { continue };
-            let accusation = accused.iter().find(|accused| accused.generation == generation && accused.believed);
+            let accusation =
+                accused.iter().find(|accused| accused.generation == generation && accused.believed);
             self.host.suspected_servers.extend(accusation.map(|_| server));
             self.module.set_suspicion(
                 server,
--- a/proxy/src/decided/commands.rs
+++ b/proxy/src/decided/commands.rs
@@ -146,9 +146,11 @@
     ) -> Result<CommandOutcome, String> {
         Ok(match self.proposal_for(command, node, pool, unix)? {
             Proposal::Availability(proposed) => {
-                let answer = self.agreement.machine().clone().decide(0, AVAILABILITY_PART, &proposed.encode());
+                let answer =
+                    self.agreement.machine().clone().decide(0, AVAILABILITY_PART, &proposed.encode());
                 let answer = answer.map_err(|unknown| unknown.to_string())?;
-                Verdict::decode(&answer).map_or(CommandOutcome::Already, |verdict| verdict_outcome(0, &verdict))
+                Verdict::decode(&answer)
+                    .map_or(CommandOutcome::Already, |verdict| verdict_outcome(0, &verdict))
             }
             Proposal::Council(council) if council.follows(&self.agreement.status(0.0).council) => {
                 CommandOutcome::Done { decision: 0 }
@@ -167,7 +169,9 @@
         pool: &PoolList,
     ) -> Result<u64, String> {
         match self.proposal_for(command, node, pool, unix)? {
-            Proposal::Availability(proposed) => self.agreement.propose(now, AVAILABILITY_PART, proposed.encode()),
+            Proposal::Availability(proposed) => {
+                self.agreement.propose(now, AVAILABILITY_PART, proposed.encode())
+            }
             Proposal::Council(council) => self.agreement.propose_council(now, council),
         }
         .map_err(refusal_text)
--- a/proxy/src/decided/mod.rs
+++ b/proxy/src/decided/mod.rs
@@ -182,8 +182,7 @@
             None => Judgement::Go,
         };
         let (wanted, replace) = self.holder.turn(now, outs, &self.own, &self.terms.holder, judge);
-        self.probe_addresses =
-            self.holder.to_probe(outs, &self.own).into_iter().map(|(_, at)| at).collect();
+        self.probe_addresses = self.holder.to_probe(outs, &self.own).into_iter().map(|(_, at)| at).collect();
         self.replace = replace.or(self.replace.take());
         self.propose_wanted(now, wanted);
     }
@@ -208,7 +207,9 @@
                 .values()
                 .chain(self.retry_later.iter().map(|(later, _)| later))
                 .any(|other| *other == command);
-            if !already_asked && let Ok(request) = self.agreement.propose(now, AVAILABILITY_PART, command.encode()) {
+            if !already_asked
+                && let Ok(request) = self.agreement.propose(now, AVAILABILITY_PART, command.encode())
+            {
                 self.pending.insert(request, command);
             }
         }
--- a/proxy/src/status.rs
+++ b/proxy/src/status.rs
@@ -180,7 +180,8 @@
             |generation| pool.servers().find(|&server| pool.generation(server) == Some(generation));
         let suspicions = node.accused(now).into_iter().map(|accused| SuspicionStatus {
             // A server that is not on this proxy's list, or not in this generation, has no name here.
-            server: listed_server(accused.generation).map_or("?".to_owned(), |server| pool.name(server).to_owned()),
+            server: listed_server(accused.generation)
+                .map_or("?".to_owned(), |server| pool.name(server).to_owned()),
             started: accused.generation.started,
             accusers: node.accusers(accused.generation).into_iter().map(name).collect(),
             vouchers: accused.vouchers,
