--- a/iax2/src/element.rs
+++ b/iax2/src/element.rs
@@ -31,7 +31,7 @@
     #[error("element {0:#04x}: its length byte is missing")]
     NoLength(u8),
     /// An element announces more bytes than follow.
-    #[error("element {kind:#04x}: {wanted} bytes announced, {there} there")]
+    #[error("element {kind:#04x}: {wanted} bytes announced, {there} present")]
     Short { kind: u8, wanted: usize, there: usize },
 }
 
--- a/iax2/src/endpoint/receive.rs
+++ b/iax2/src/endpoint/receive.rs
@@ -120,7 +120,7 @@
         state.iseq = full.oseq.wrapping_add(1);
         state.offer = Some((full.timestamp, full.body));
         self.send_unsequenced(leg, iax::ACK, full.timestamp);
-        let elements = elements_read.expect("known");
+        let elements = elements_read.expect("version checked");
         self.events.push_back((leg, Event::Offered { peer, elements, retransmitted: full.retransmitted }));
     }
 
--- a/iax2/src/frame.rs
+++ b/iax2/src/frame.rs
@@ -61,22 +61,22 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
     /// Shorter than any frame.
-    #[error("datagram: {0} bytes, too few for any frame")]
+    #[error("datagram: {0} bytes, too short for any frame")]
     Short(usize),
     /// Shorter than the header of a full frame.
-    #[error("full frame: {0} bytes, its header has 12")]
+    #[error("full frame: {0} bytes, shorter than its header of 12 bytes")]
     ShortFull(usize),
     /// The source call number is 0.
-    #[error("full frame: field source call number is 0")]
+    #[error("full frame: source call number is 0, 1 to 32767 wanted")]
     NoSource,
     /// The encoded subclass exceeds 32 bits.
-    #[error("full frame: field subclass is no power of two that fits ({0})")]
+    #[error("full frame: subclass {0:#04x} is not a power of two that fits in 32 bits")]
     Subclass(u8),
     /// An unknown meta command.
-    #[error("meta frame: command {0} is not known")]
+    #[error("meta frame: unknown command {0}")]
     Command(u8),
     /// An entry of a trunk frame is longer than the rest of the datagram.
-    #[error("meta frame: entry of {wanted} bytes, {there} there")]
+    #[error("meta frame: entry of {wanted} bytes, {there} present")]
     ShortEntry { wanted: usize, there: usize },
 }
 
--- a/iax2/tests/legs.rs
+++ b/iax2/tests/legs.rs
@@ -123,7 +123,7 @@
             assert!(ends <= 1, "end {end}: a leg ends once");
         }
     }
-    assert_eq!(link.ends.each_ref().map(Endpoint::legs), [0, 0], "all have rested and are gone");
+    assert_eq!(link.ends.each_ref().map(Endpoint::legs), [0, 0], "all ended legs are removed");
 }
 
 #[test]
--- a/proxy/src/border/peers.rs
+++ b/proxy/src/border/peers.rs
@@ -159,8 +159,8 @@
         let host = &self.host;
         let conversations_at = |name: &str| {
             let server = host.pool.server_by_name(name);
-            let shots = host.conversations.iter().flatten().filter_map(|c| c.attempt.as_ref());
-            shots.filter(|attempt| Some(attempt.server) == server).count()
+            let attempts = host.conversations.iter().flatten().filter_map(|c| c.attempt.as_ref());
+            attempts.filter(|attempt| Some(attempt.server) == server).count()
         };
         let (decided, node) = host.decided.as_ref().zip(host.gossip.as_ref())?;
         Some(AvailabilityStatus::of(decided, node, host.now, conversations_at))
--- a/proxy/src/causes.rs
+++ b/proxy/src/causes.rs
@@ -22,7 +22,12 @@
         EndReason::Peer { rejected, elements } => match elements.cause() {
             Some(cause::USER_BUSY) => Ending::Busy,
             Some(cause::NO_CIRCUIT) => Ending::NoLine,
-            Some(cause::REJECTED | 38 | cause::CONGESTION | 47) => Ending::Nacked,
+            Some(
+                cause::REJECTED
+                | cause::NETWORK_OUT_OF_ORDER
+                | cause::CONGESTION
+                | cause::RESOURCE_UNAVAILABLE,
+            ) => Ending::Nacked,
             _ if *rejected => Ending::Nacked,
             _ => Ending::Error,
         },
@@ -36,7 +41,10 @@
 pub fn established_ending(end: &EndReason) -> Ending {
     match end {
         EndReason::Peer { elements, .. } => match elements.cause() {
-            None | Some(cause::NORMAL_CLEARING | cause::USER_BUSY | cause::NO_ANSWER | 31) => Ending::Ok,
+            None
+            | Some(
+                cause::NORMAL_CLEARING | cause::USER_BUSY | cause::NO_ANSWER | cause::NORMAL_UNSPECIFIED,
+            ) => Ending::Ok,
             Some(_) => Ending::Reset,
         },
         _ => Ending::Reset,
@@ -51,5 +59,5 @@
 pub const CUT: u8 = cause::TEMPORARY_FAILURE;
 /// The cause for a called number without a route.
 pub const NO_ROUTE: u8 = cause::NO_ROUTE;
-/// The cause for a caller rejected by a proxy that is about to stop (38, network out of order).
-pub const STOPPING: u8 = 38;
+/// The cause for a caller rejected by a proxy that is about to stop.
+pub const STOPPING: u8 = cause::NETWORK_OUT_OF_ORDER;
--- a/proxy/src/earnings.rs
+++ b/proxy/src/earnings.rs
@@ -25,13 +25,13 @@
         Self { grades, ..Self::default() }
     }
 
-    /// Counts a conversation that was established `took` milliseconds after it was accepted.
-    pub fn conversation_established(&mut self, grade: usize, took: f64) {
+    /// Counts a conversation that was established `set_up_ms` milliseconds after it was accepted.
+    pub fn conversation_established(&mut self, grade: usize, set_up_ms: f64) {
         let Some(grade) = self.grades.get(grade) else { return };
         self.conversations = self.conversations.saturating_add(1);
         self.possible += grade.earnings;
-        self.earned += grade.earnings * if took <= grade.quoted { 1.0 } else { grade.late };
-        self.delays.count(took / grade.limit);
+        self.earned += grade.earnings * if set_up_ms <= grade.quoted { 1.0 } else { grade.late };
+        self.delays.count(set_up_ms / grade.limit);
     }
 
     /// Counts a conversation that was refused, failed or cut; `None` if it had no route and thus no grade.
--- a/proxy/src/limits.rs
+++ b/proxy/src/limits.rs
@@ -80,11 +80,11 @@
                 self.names.resize(index + 1, None);
                 self.reported_rates.resize(index + 1, None);
             }
-            let life = pool.generation(server).filter(|_| pool.state(server) == State::Running);
-            let name = life.map(|life| format!("{}@{}", pool.name(server), life.started));
+            let generation = pool.generation(server).filter(|_| pool.state(server) == State::Running);
+            let name = generation.map(|generation| format!("{}@{}", pool.name(server), generation.started));
             if name != self.names[index] {
-                if let Some(former) = std::mem::replace(&mut self.names[index], name) {
-                    self.fleet.withdraw(now, &former);
+                if let Some(previous) = std::mem::replace(&mut self.names[index], name) {
+                    self.fleet.withdraw(now, &previous);
                 }
                 self.reported_rates[index] = None;
                 self.apply_limit(server);
--- a/proxy/src/pool.rs
+++ b/proxy/src/pool.rs
@@ -112,15 +112,15 @@
             return Err(PoolListError::TooMany(self.servers.len()));
         }
         for (index, entry) in self.servers.iter().enumerate() {
-            let wrong = |field, why: String| Err(PoolListError::Field { index, field, why });
+            let invalid = |field, why: String| Err(PoolListError::Field { index, field, why });
             if entry.name.is_empty() || entry.name.len() > 255 {
-                return wrong("name", format!("{} bytes, 1 to 255 wanted", entry.name.len()));
+                return invalid("name", format!("{} bytes, 1 to 255 wanted", entry.name.len()));
             }
-            if entry.started.is_some_and(|at| !at.is_finite() || at < 0.0) {
-                return wrong("started", "must be a finite time of at least 0 ms".to_owned());
+            if entry.started.is_some_and(|started| !started.is_finite() || started < 0.0) {
+                return invalid("started", "must be a finite time of at least 0 ms".to_owned());
             }
             if entry.address.port() == 0 {
-                return wrong("address", "port 0, 1 to 65535 wanted".to_owned());
+                return invalid("address", "port 0, 1 to 65535 wanted".to_owned());
             }
         }
         Ok(())
@@ -146,7 +146,7 @@
 #[derive(Default)]
 pub struct PoolList {
     version: Option<u64>,
-    known: BTreeMap<String, KnownServer>,
+    by_name: BTreeMap<String, KnownServer>,
     addresses: Vec<SocketAddr>,
     names: Vec<String>,
     by_address: HashMap<SocketAddr, Server>,
@@ -172,17 +172,17 @@
 
     /// The server of a name.
     pub fn server_by_name(&self, name: &str) -> Option<Server> {
-        self.known.get(name).map(|known| known.server)
+        self.by_name.get(name).map(|known| known.server)
     }
 
     /// The server's state; a server drained by the fleet is not running.
     pub fn state(&self, server: Server) -> State {
-        self.known.get(self.name(server)).map_or(State::Gone, |known| self.effective_state(&known.entry))
+        self.by_name.get(self.name(server)).map_or(State::Gone, |known| self.effective_state(&known.entry))
     }
 
     /// The number of the server's pool; 0 if it was never listed.
     pub fn pool(&self, server: Server) -> u16 {
-        self.known.get(self.name(server)).map_or(0, |known| known.entry.pool)
+        self.by_name.get(self.name(server)).map_or(0, |known| known.entry.pool)
     }
 
     fn effective_state(&self, entry: &PoolEntry) -> State {
@@ -194,7 +194,7 @@
 
     /// The number of listed servers of a pool, and how many of those the list itself drains.
     pub fn count_listed_and_draining(&self, pool: u16) -> (usize, usize) {
-        let of_pool = self.known.values().filter(|known| known.entry.pool == pool);
+        let of_pool = self.by_name.values().filter(|known| known.entry.pool == pool);
         let states: Vec<Readiness> = of_pool.map(|known| known.entry.state).collect();
         let listed = states.iter().filter(|state| **state != Readiness::Gone).count();
         (listed, states.iter().filter(|state| **state == Readiness::Draining).count())
@@ -202,8 +202,8 @@
 
     /// Sets the servers that the fleet drains; returns entries for those whose state changed.
     pub fn set_drained(&mut self, drained: &BTreeSet<String>) -> Vec<Listed> {
-        let former = std::mem::replace(&mut self.drained, drained.clone());
-        let changed = former.symmetric_difference(drained).filter_map(|name| self.known.get(name));
+        let previous = std::mem::replace(&mut self.drained, drained.clone());
+        let changed = previous.symmetric_difference(drained).filter_map(|name| self.by_name.get(name));
         let running = changed.filter(|known| known.entry.state == Readiness::Running);
         running.map(|known| self.listed(known)).collect()
     }
@@ -221,7 +221,7 @@
     /// The server's current generation, by which proxies refer to it. Name and start time distinguish it from
     /// an earlier process and from another machine at the same address.
     pub fn generation(&self, server: Server) -> Option<Life> {
-        let known = self.known.get(self.name(server))?;
+        let known = self.by_name.get(self.name(server))?;
         let mut hasher = SipHasher13::new();
         hasher.write(known.entry.name.as_bytes());
         Some(Life { server: hasher.finish(), started: known.entry.started.unwrap_or(0.0) as u64 })
@@ -248,7 +248,7 @@
         }
         self.version = Some(updates.version);
         if updates.whole {
-            for known in self.known.values_mut() {
+            for known in self.by_name.values_mut() {
                 known.entry.state = Readiness::Gone;
             }
         }
@@ -256,27 +256,27 @@
     }
 
     fn apply_entry(&mut self, entry: &PoolEntry, now: f64, unix: f64) -> Listed {
-        let local = |at: f64| now - (unix - at).max(0.0);
-        let known = self.known.entry(entry.name.clone()).or_insert_with(|| {
+        let local_time = |started: f64| now - (unix - started).max(0.0);
+        let known = self.by_name.entry(entry.name.clone()).or_insert_with(|| {
             self.names.push(entry.name.clone());
             self.addresses.push(entry.address);
             let server = Server(self.names.len() as u32 - 1);
-            KnownServer { entry: entry.clone(), server, started: entry.started.map(local) }
+            KnownServer { entry: entry.clone(), server, started: entry.started.map(local_time) }
         });
         if known.entry.started != entry.started {
-            known.started = entry.started.map(local);
+            known.started = entry.started.map(local_time);
         }
         known.entry = entry.clone();
         self.addresses[known.server.0 as usize] = entry.address;
         if entry.state != Readiness::Gone {
             self.by_address.insert(entry.address, known.server);
         }
-        self.listed(&self.known[&entry.name])
+        self.listed(&self.by_name[&entry.name])
     }
 
     /// The list in its cached format: a line with a checksum, then the update that restores it.
     pub fn to_cache(&self) -> String {
-        let servers = self.known.values().map(|known| known.entry.clone());
+        let servers = self.by_name.values().map(|known| known.entry.clone());
         let servers = servers.filter(|entry| entry.state != Readiness::Gone).collect();
         let body = PoolUpdates { version: self.version.unwrap_or(0), whole: true, servers }.write();
         format!("frostthread-pool 1 {:08x}\n{body}", crc32fast::hash(body.as_bytes()))
@@ -284,8 +284,9 @@
 
     /// Reads the update from a cached list, if it is complete and undamaged.
     pub fn from_cache(text: &str) -> Result<PoolUpdates, PoolListError> {
-        let (head, body) = text.split_once('\n').ok_or(PoolListError::Cache("its first line is missing"))?;
-        let sum = head
+        let (header, body) =
+            text.split_once('\n').ok_or(PoolListError::Cache("its first line is missing"))?;
+        let sum = header
             .strip_prefix("frostthread-pool 1 ")
             .ok_or(PoolListError::Cache("unknown format or version"))?;
         if u32::from_str_radix(sum, 16) != Ok(crc32fast::hash(body.as_bytes())) {
--- a/proxy/src/routes.rs
+++ b/proxy/src/routes.rs
@@ -40,9 +40,9 @@
 
     /// The service grade and the pool of first choice, if there is a route.
     pub fn find(&self, context: &str, called: &str) -> Option<(usize, u16)> {
-        let lines = self.by_context.get(context).or_else(|| self.by_context.get(""))?;
-        let longest = called.len().min(self.max_prefix_len);
-        (0..=longest).rev().find_map(|length| lines.get(called.get(..length)?)).copied()
+        let prefixes = self.by_context.get(context).or_else(|| self.by_context.get(""))?;
+        let max_len = called.len().min(self.max_prefix_len);
+        (0..=max_len).rev().find_map(|length| prefixes.get(called.get(..length)?)).copied()
     }
 
     /// The tenant: by user name first, then by context.
--- a/proxy/src/watch.rs
+++ b/proxy/src/watch.rs
@@ -20,7 +20,7 @@
 /// The requests of a turn, by kind. Each request is forwarded to `to`, if there is a host.
 struct Requests<'a, H> {
     to: Option<&'a mut H>,
-    shots: HashMap<Handle, (Server, f64)>,
+    attempts: HashMap<Handle, (Server, f64)>,
     given_up: HashMap<Handle, Option<f64>>,
     cancelled: HashSet<Handle>,
     probes: u64,
@@ -28,13 +28,13 @@
 
 impl<'a, H> Requests<'a, H> {
     fn of(to: Option<&'a mut H>) -> Self {
-        Self { to, shots: HashMap::new(), given_up: HashMap::new(), cancelled: HashSet::new(), probes: 0 }
+        Self { to, attempts: HashMap::new(), given_up: HashMap::new(), cancelled: HashSet::new(), probes: 0 }
     }
 }
 
 impl<H: Host> Host for Requests<'_, H> {
     fn shoot(&mut self, handle: Handle, server: Server, time_out: f64) {
-        self.shots.insert(handle, (server, time_out));
+        self.attempts.insert(handle, (server, time_out));
         if let Some(to) = &mut self.to {
             to.shoot(handle, server, time_out);
         }
@@ -85,15 +85,16 @@
     fn count<H, I>(&mut self, now: &Requests<H>, other: &Requests<I>) {
         let before = Self { compared: self.compared + 1, ..*self };
         *self = before;
-        for (handle, (server, time_out)) in &now.shots {
-            match other.shots.get(handle) {
+        for (handle, (server, time_out)) in &now.attempts {
+            match other.attempts.get(handle) {
                 None => self.held_back += 1,
                 Some((elsewhere, _)) if elsewhere != server => self.other_server += 1,
                 Some((_, wait)) if (wait - time_out).abs() > TIMEOUT_TOLERANCE_MS => self.timeout += 1,
                 _ => {}
             }
         }
-        self.earlier += other.shots.keys().filter(|&handle| !now.shots.contains_key(handle)).count() as u64;
+        self.earlier +=
+            other.attempts.keys().filter(|&handle| !now.attempts.contains_key(handle)).count() as u64;
         for (handle, advice) in &now.given_up {
             match other.given_up.get(handle) {
                 None => self.kept += 1,
