--- a/proxy/src/timers.rs
+++ b/proxy/src/timers.rs
@@ -52,8 +52,8 @@
 
     /// The earliest time of a wake or a timeout.
     pub fn due(&self) -> f64 {
-        let time_out = self.timeouts.peek().map_or(f64::INFINITY, |Reverse((at, _))| at.0);
-        self.wake.min(time_out)
+        let next_timeout = self.timeouts.peek().map_or(f64::INFINITY, |Reverse((at, _))| at.0);
+        self.wake.min(next_timeout)
     }
 
     /// Stores the ending of an attempt until the module has finished its run.
