--- a/lab/src/commands/caller.rs
+++ b/lab/src/commands/caller.rs
@@ -46,9 +46,9 @@
 pub fn run(arguments: CallerArguments) -> Result<ExitCode> {
     let mut drill = Drill::named(&arguments.drill)?;
     (drill.load.rate, drill.seconds) = (arguments.rate, arguments.seconds);
-    drill.load.patience = arguments.patience.unwrap_or(drill.load.patience);
+    drill.load.caller_timeout = arguments.patience.unwrap_or(drill.load.caller_timeout);
     drill.load.redials = arguments.redials.unwrap_or(drill.load.redials);
-    drill.load.honour = arguments.honour.unwrap_or(drill.load.honour);
+    drill.load.retry_after_compliance = arguments.honour.unwrap_or(drill.load.retry_after_compliance);
     drill.seed = arguments.seed.unwrap_or(drill.seed);
     if !arguments.called.is_empty() {
         drill.grades.truncate(arguments.called.len());
@@ -60,7 +60,7 @@
         let share = 1.0 / arguments.tenant.len() as f64;
         drill.tenants = arguments.tenant.into_iter().map(|name| Tenant { name, share }).collect();
     }
-    drill.check()?;
+    drill.validate()?;
     let sound = block_on(standalone::callers(drill, &arguments.proxies))?;
     Ok(if sound { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/lab/src/commands/drill.rs
+++ b/lab/src/commands/drill.rs
@@ -7,11 +7,11 @@
 
 use anyhow::{Context, Result, ensure};
 use clap::Args;
-use lab::drill::{By, Drill};
+use lab::drill::{Drill, ReplacementMethod};
 use lab::drills::{simulated, sockets};
 use lab::reports::page;
 use lab::reports::summary::{self, Summary};
-use lab::stand_ins::baseline::{Broken, Routing};
+use lab::stand_ins::baseline::{Defects, Routing};
 use lab::witness::events::Events;
 
 /// Which drill, what is changed in it, what is played beside it and what is kept.
@@ -45,17 +45,17 @@
     #[arg(long)]
     gossip_loss: Option<f64>,
     /// Members beside the proxies that call every server silent
-    #[arg(long)]
-    liars: Option<usize>,
+    #[arg(long = "liars", value_name = "LIARS")]
+    faulty_members: Option<usize>,
     /// Of how many members it is borne that they lie
-    #[arg(long)]
-    liars_borne: Option<usize>,
+    #[arg(long = "liars-borne", value_name = "LIARS_BORNE")]
+    max_faulty: Option<usize>,
     /// Do not tell the proxies of the fleet's limit: the check is to catch them
     #[arg(long)]
     unlimited: bool,
     /// How the proxies of a drill with a release are replaced
     #[arg(long, value_enum)]
-    release_by: Option<By>,
+    release_by: Option<ReplacementMethod>,
     /// Play it again without gossip
     #[arg(long)]
     without_gossip: bool,
@@ -107,15 +107,15 @@
     drill.seconds = arguments.seconds.unwrap_or(drill.seconds);
     drill.seed = arguments.seed.unwrap_or(drill.seed);
     drill.gossip.on |= arguments.gossip;
-    drill.gossip.limit_told &= !arguments.unlimited;
+    drill.gossip.limit_announced &= !arguments.unlimited;
     if let Some((play, by)) = drill.release.as_mut().zip(arguments.release_by) {
-        play.by = by;
+        play.method = by;
     }
     ensure!(!(arguments.simulated && drill.release.is_some()), "a release is played on sockets");
     drill.gossip.loss = arguments.gossip_loss.unwrap_or(drill.gossip.loss);
-    set(&mut drill.gossip.liars, arguments.liars);
-    set(&mut drill.gossip.liars_borne, arguments.liars_borne);
-    drill.check()?;
+    set(&mut drill.gossip.faulty_members, arguments.faulty_members);
+    set(&mut drill.gossip.max_faulty, arguments.max_faulty);
+    drill.validate()?;
     Ok(drill)
 }
 
@@ -135,11 +135,11 @@
 
 fn play(drill: Drill, routing: Routing, events: Events, simulated: bool) -> Result<Summary> {
     if simulated {
-        let world = simulated::run(drill, routing, Broken::default(), events)?;
-        return Ok(Summary::of(&world, &routing.to_string(), true));
+        let cluster = simulated::run(drill, routing, Defects::default(), events)?;
+        return Ok(Summary::of(&cluster, &routing.to_string(), true));
     }
     let played = sockets::play(drill, Some(routing), events)?;
-    Ok(Summary::of(&played.world, &routing.to_string(), false).costing(&played.costs))
+    Ok(Summary::of(&played.cluster, &routing.to_string(), false).costing(&played.costs))
 }
 
 fn print(drill: &Drill, summaries: &[Summary]) {
--- a/lab/src/commands/limits.rs
+++ b/lab/src/commands/limits.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use clap::{Args, ValueEnum};
-use lab::drills::permits::{self, Case, Fault, Outcome, Way};
+use lab::drills::permits::{self, Case, Fault, Outcome, Scheme};
 
 /// The cases to play.
 #[derive(Args)]
@@ -19,8 +19,8 @@
     #[arg(long, default_value_t = 10)]
     seeds: u64,
     /// How the limit is held
-    #[arg(long, value_enum, num_args = 1.., default_values_t = [Way::Alone, Way::Lent])]
-    way: Vec<Way>,
+    #[arg(long, value_enum, num_args = 1.., default_values_t = [Scheme::Alone, Scheme::Lent])]
+    way: Vec<Scheme>,
     /// Only these faults
     #[arg(long, value_enum, num_args = 1..)]
     fault: Vec<Fault>,
@@ -57,19 +57,21 @@
 /// Plays one case by several seeds and prints its line; returns the first window with more than the limit.
 fn play(case: Case, seeds: u64) -> Option<String> {
     let (fault, way) = (name_of(&case.fault), name_of(&case.way));
-    let outcomes: Vec<Outcome> = (0..seeds).map(|seed| permits::play(Case { seed, ..case })).collect();
+    let outcomes: Vec<Outcome> = (0..seeds).map(|seed| permits::run(Case { seed, ..case })).collect();
     let used = |pick: fn(f64, f64) -> f64, from| outcomes.iter().map(|o| o.used).fold(from, pick);
     let (least, greatest) = (used(f64::min, f64::INFINITY), used(f64::max, 0.0));
     let mean = outcomes.iter().map(|o| o.used).sum::<f64>() / outcomes.len().max(1) as f64;
-    let most = outcomes.iter().map(|o| o.most).max().unwrap_or(0);
+    let max_in_window = outcomes.iter().map(|o| o.max_in_window).max().unwrap_or(0);
     let bytes = outcomes.iter().map(|o| o.bytes).max().unwrap_or(0);
-    let over = most.saturating_sub(case.rate as usize);
+    let over = max_in_window.saturating_sub(case.rate as usize);
     println!(
         "load {}, {fault}, {way}: over by {over}; used {mean:.3} ({least:.3} to {greatest:.3}); \
          {bytes} bytes",
         case.load
     );
-    let (seed, first) = (0..).zip(&outcomes).find(|(_, o)| o.most > case.rate as usize)?;
-    let Outcome { most, at, .. } = first;
-    Some(format!("{way}, {fault}, seed {seed}: {most} set-ups in the window that ends at {at:.0} ms"))
+    let (seed, first) = (0..).zip(&outcomes).find(|(_, o)| o.max_in_window > case.rate as usize)?;
+    let Outcome { max_in_window, window_end, .. } = first;
+    Some(format!(
+        "{way}, {fault}, seed {seed}: {max_in_window} set-ups in the window that ends at {window_end:.0} ms"
+    ))
 }
--- a/lab/src/commands/load.rs
+++ b/lab/src/commands/load.rs
@@ -52,14 +52,14 @@
     (drill.fleet.proxies, drill.fleet.servers) = (1, 1);
     (drill.load.rate, drill.load.of_capacity, drill.seconds) = (rate, 0.05, arguments.seconds);
     drill.grades.iter_mut().for_each(|grade| grade.hold = arguments.hold);
-    drill.check()?;
+    drill.validate()?;
     let straight = sockets::play(drill.clone(), None, Events::default())?;
     let ours = sockets::play(drill, Some(Routing::Ours), Events::default())?;
-    let summary = Summary::of(&ours.world, "ours", false);
-    let plain = Summary::of(&straight.world, "straight", false);
-    let standing = ours.world.callers.standing().max(1) as f64;
+    let summary = Summary::of(&ours.cluster, "ours", false);
+    let plain = Summary::of(&straight.cluster, "straight", false);
+    let established = ours.cluster.callers.established_count().max(1) as f64;
     let cost = ours.costs[0];
-    let memory_each = (cost.memory[1] - cost.memory[0]) / standing / 1024.0;
+    let memory_each = (cost.memory[1] - cost.memory[0]) / established / 1024.0;
     Ok(Row {
         rate,
         stood: format!("{:.1}%", summary.served * 100.0),
@@ -69,6 +69,6 @@
         proxy_p99: format!("{:.0} ms", summary.delay_p99),
         added_p99: format!("{:.0} ms", summary.delay_p99 - plain.delay_p99),
         cpu: format!("{:.0} us a set-up", cost.cpu * 1000.0 / summary.people as f64),
-        memory_each: format!("{memory_each:.1} KiB of {standing}"),
+        memory_each: format!("{memory_each:.1} KiB of {established}"),
     })
 }
--- a/lab/src/commands/platform.rs
+++ b/lab/src/commands/platform.rs
@@ -15,11 +15,11 @@
     calls: usize,
 }
 
-/// Starts a border proxy as the platform does and calls it; fails unless every call stood and was released.
+/// Starts a border proxy as the platform does and calls it; fails unless every call accepted and was released.
 pub fn run(arguments: &PlatformArguments) -> Result<ExitCode> {
     let calls = arguments.calls;
-    let released = platform::visit(&std::env::current_exe()?, &["serve"], calls)?;
-    println!("{calls} calls, {released} stood and were released in the usual way");
+    let released = platform::run_calls(&std::env::current_exe()?, &["serve"], calls)?;
+    println!("{calls} calls, {released} answered and released in the usual way");
     Ok(if released == calls { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
--- a/lab/src/commands/proxy.rs
+++ b/lab/src/commands/proxy.rs
@@ -5,7 +5,7 @@
 
 use anyhow::Result;
 use clap::Args;
-use lab::stand_ins::baseline::{Broken, Plain, Routing};
+use lab::stand_ins::baseline::{Baseline, Defects, Routing};
 
 use super::block_on;
 
@@ -23,7 +23,7 @@
     let routing = arguments.routing;
     let source = std::fs::read_to_string(&arguments.config)?;
     let plan = daemon::settings::read(&source).map_err(|faults| anyhow::anyhow!("{faults:?}"))?;
-    let decide = |terms, seed, now| Plain::new(routing, Broken::default(), terms, seed, now);
+    let decide = |terms, seed, now| Baseline::new(routing, Defects::default(), terms, seed, now);
     block_on(daemon::run::run_deciding(plan, decide))?;
     Ok(ExitCode::SUCCESS)
 }
--- a/lab/src/commands/server.rs
+++ b/lab/src/commands/server.rs
@@ -5,7 +5,7 @@
 
 use anyhow::Result;
 use clap::Args;
-use lab::drills::standalone::{self, ServerPlay};
+use lab::drills::standalone::{self, ServerBehaviour};
 
 use super::block_on;
 
@@ -48,7 +48,7 @@
 
 /// Runs the server until its time is over.
 pub fn run(arguments: ServerArguments) -> Result<ExitCode> {
-    let play = ServerPlay {
+    let play = ServerBehaviour {
         listen: arguments.listen,
         name: arguments.name,
         pool: arguments.pool,
--- a/lab/src/commands/sizes.rs
+++ b/lab/src/commands/sizes.rs
@@ -10,7 +10,7 @@
 use lab::drills::simulated;
 use lab::reports::page;
 use lab::reports::summary::{self, GossipSummary, Summary};
-use lab::stand_ins::baseline::{Broken, Routing};
+use lab::stand_ins::baseline::{Defects, Routing};
 use lab::witness::events::Events;
 
 /// Sizes to play, and where the plots go.
@@ -34,9 +34,9 @@
 fn play(size: usize) -> Result<Summary> {
     let mut drill = Drill::named("gossip-100")?;
     drill.fleet.proxies = size;
-    drill.check()?;
-    let world = simulated::run(drill, Routing::Ours, Broken::default(), Events::default())?;
-    Ok(Summary::of(&world, &size.to_string(), true))
+    drill.validate()?;
+    let cluster = simulated::run(drill, Routing::Ours, Defects::default(), Events::default())?;
+    Ok(Summary::of(&cluster, &size.to_string(), true))
 }
 
 fn write_plots(summaries: &[Summary], folder: &Path) -> Result<()> {
--- a/lab/src/drill.rs
+++ b/lab/src/drill.rs
@@ -1,6 +1,6 @@
-//! Drills: a fleet, a load, and a script of troubles by the second, as TOML. Times in them are seconds.
+//! Drills: a fleet, a load, and a script of faults by the second, as TOML. Times in them are seconds.
 //!
-//! [`Drill::named`] has the built-in ones; `kind:NAME` is one for a single kind of trouble.
+//! [`Drill::named`] has the built-in ones; `kind:NAME` is one for a single kind of fault.
 
 use anyhow::{Context, Result, bail, ensure};
 use border::ProxyTerms;
@@ -25,19 +25,19 @@
     #[serde(default)]
     pub link: LinkFaults,
     #[serde(default)]
-    pub list: ListTimes,
+    pub list: ListDelays,
     #[serde(default)]
-    pub gossip: GossipPlay,
+    pub gossip: GossipSettings,
     #[serde(default)]
-    pub release: Option<ReleasePlay>,
-    #[serde(default)]
-    pub shape: Shape,
+    pub release: Option<ReleaseSettings>,
+    #[serde(default, rename = "shape")]
+    pub deployment: Deployment,
     #[serde(default, rename = "grade")]
     pub grades: Vec<Grade>,
     #[serde(default, rename = "tenant")]
     pub tenants: Vec<Tenant>,
     #[serde(default, rename = "trouble")]
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<Fault>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -46,25 +46,26 @@
     pub proxies: usize,
     pub servers: usize,
     /// Whether servers say how many set-ups they can take.
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     pub reports: bool,
 }
 
 /// How the deployment is laid out.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Shape {
+pub struct Deployment {
     /// Whether proxies may probe servers. Where not, they are told the share of capacity that a cold one has.
     pub probes: bool,
     /// Whether answers and releases go ahead of new set-ups at a server.
     pub answers_first: bool,
     /// Whether servers say how long a set-up waits, and a nack when to come back.
-    pub tells_wait: bool,
+    #[serde(rename = "tells_wait")]
+    pub reports_wait: bool,
 }
 
-impl Default for Shape {
+impl Default for Deployment {
     fn default() -> Self {
-        Self { probes: true, answers_first: false, tells_wait: false }
+        Self { probes: true, answers_first: false, reports_wait: false }
     }
 }
 
@@ -76,10 +77,12 @@
     /// What that is of the servers' capacity when all is well: it sets how much work a set-up is.
     pub of_capacity: f64,
     /// How long a caller waits for a try.
-    pub patience: f64,
+    #[serde(rename = "patience")]
+    pub caller_timeout: f64,
     pub redials: u32,
     /// The part of the refused who come back when they were told to.
-    pub honour: f64,
+    #[serde(rename = "honour")]
+    pub retry_after_compliance: f64,
 }
 
 /// What happens to datagrams on the way, each way.
@@ -94,35 +97,40 @@
 /// Whether proxies gossip, and over what.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct GossipPlay {
+pub struct GossipSettings {
     pub on: bool,
     /// The part of messages between proxies that is lost.
     pub loss: f64,
     /// Members beside the proxies that call every server silent.
-    pub liars: usize,
+    #[serde(rename = "liars")]
+    pub faulty_members: usize,
     /// Of how many members it is borne that they lie.
-    pub liars_borne: usize,
+    #[serde(rename = "liars_borne")]
+    pub max_faulty: usize,
     /// Bytes a proxy a second.
-    pub cap: f64,
+    #[serde(rename = "cap")]
+    pub max_bytes_per_second: f64,
     /// Seconds between a proxy's looks at others.
-    pub beat: f64,
+    #[serde(rename = "beat")]
+    pub probe_interval: f64,
     /// Set-ups that each server may get from all proxies in any second; 0 for no such limit.
     pub limit: usize,
     /// Whether the proxies are told of it. Where not, the check is to catch them.
-    pub limit_told: bool,
+    #[serde(rename = "limit_told")]
+    pub limit_announced: bool,
 }
 
-impl Default for GossipPlay {
+impl Default for GossipSettings {
     fn default() -> Self {
         Self {
             on: false,
             loss: 0.0,
-            liars: 0,
-            liars_borne: 2,
-            cap: 16_000.0,
-            beat: 0.2,
+            faulty_members: 0,
+            max_faulty: 2,
+            max_bytes_per_second: 16_000.0,
+            probe_interval: 0.2,
             limit: 0,
-            limit_told: true,
+            limit_announced: true,
         }
     }
 }
@@ -130,8 +138,8 @@
 /// How the proxies are replaced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum By {
-    /// By the fleet's decision.
+pub enum ReplacementMethod {
+    /// ReplacementMethod the fleet's decision.
     #[default]
     Agreed,
     /// A baseline: each at a time of its own, without agreement, spread so that the budget holds on average.
@@ -143,40 +151,45 @@
 /// What a drill says of its release.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ReleasePlay {
+pub struct ReleaseSettings {
     /// When it is started, in seconds.
     pub at: f64,
     /// The first so many proxies vote.
     pub members: usize,
-    pub part: f64,
+    #[serde(rename = "part")]
+    pub max_unavailable_share: f64,
     pub witnesses: u16,
     /// Seconds that one has to be well.
-    pub well: f64,
-    #[serde(default)]
-    pub by: By,
+    #[serde(rename = "well")]
+    pub healthy_seconds: f64,
+    #[serde(default, rename = "by")]
+    pub method: ReplacementMethod,
 }
 
-impl ReleasePlay {
+impl ReleaseSettings {
     /// How many proxies may be out at once.
-    pub fn most(&self, proxies: usize) -> usize {
-        usize::from(outs::drains::max_unavailable(self.part, proxies))
+    pub fn max_unavailable(&self, proxies: usize) -> usize {
+        usize::from(outs::drains::max_unavailable(self.max_unavailable_share, proxies))
     }
 }
 
 /// How late the list is.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ListTimes {
-    pub notice: [f64; 2],
+pub struct ListDelays {
+    #[serde(rename = "notice")]
+    pub delay: [f64; 2],
     /// For a server that went silent without a word.
-    pub silent_notice: [f64; 2],
+    #[serde(rename = "silent_notice")]
+    pub silent_delay: [f64; 2],
     /// How long callers are still sent to a dead proxy.
-    pub front_notice: f64,
+    #[serde(rename = "front_notice")]
+    pub front_delay: f64,
 }
 
-impl Default for ListTimes {
+impl Default for ListDelays {
     fn default() -> Self {
-        Self { notice: [0.3, 0.9], silent_notice: [3.0, 5.0], front_notice: 1.0 }
+        Self { delay: [0.3, 0.9], silent_delay: [3.0, 5.0], front_delay: 1.0 }
     }
 }
 
@@ -189,7 +202,8 @@
     pub limit: f64,
     pub hold: f64,
     pub earnings: f64,
-    pub late: f64,
+    #[serde(rename = "late")]
+    pub late_share: f64,
     /// What numbers called for it begin with, where they are not the drill's own to give out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub called: Option<String>,
@@ -204,18 +218,18 @@
 
 /// One thing that goes wrong.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Trouble {
+pub struct Fault {
     pub at: f64,
     #[serde(rename = "for", default)]
     pub lasts: f64,
     #[serde(flatten)]
-    pub kind: Kind,
+    pub kind: FaultKind,
 }
 
-/// The kinds of trouble. `part` is of the servers or proxies, at least one.
+/// The kinds of fault. `part` is of the servers or proxies, at least one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Machines go silent and come back cold.
     Vanish { part: f64 },
     /// Processors run so many times slower.
@@ -237,7 +251,11 @@
     /// Servers restart together, within `within` seconds, and come back cold.
     MassRestart { part: f64, within: f64 },
     /// One tenant's callers hang up after such a share of the quoted time and dial on at once.
-    RetryAbuse { patience: f64, redials: u32 },
+    RetryAbuse {
+        #[serde(rename = "patience")]
+        timeout_share: f64,
+        redials: u32,
+    },
     /// Proxies stand still for `stall` seconds again and again, `gap` apart.
     BalancerStall { part: f64, stall: f64, gap: f64 },
     /// Messages between proxies are lost.
@@ -269,27 +287,27 @@
     Full { part: f64, lines: usize },
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
 /// What every deployment has agreed, in milliseconds or as multiples.
-pub const RELEASE: f64 = 300.0;
-pub const DRAIN_GRACE: f64 = 500.0;
-pub const REPEAT: f64 = 500.0;
-pub const COLD: f64 = 14_000.0;
-pub const COLD_FROM: f64 = 0.28;
-pub const FALL_MULTIPLE: f64 = 2.5;
-pub const FALL_SPAN: f64 = 1_000.0;
-pub const ANSWER_LEAD: f64 = 40.0;
+pub const RELEASE_MS: f64 = 300.0;
+pub const DRAIN_GRACE_MS: f64 = 500.0;
+pub const RESEND_INTERVAL_MS: f64 = 500.0;
+pub const COLD_MS: f64 = 14_000.0;
+pub const COLD_CAPACITY_SHARE: f64 = 0.28;
+pub const OVERLOAD_FACTOR: f64 = 2.5;
+pub const OVERLOAD_WINDOW_MS: f64 = 1_000.0;
+pub const ANSWER_LEAD_MS: f64 = 40.0;
 pub const OVER_SHARE: f64 = 0.2;
 
 /// How limits of the whole fleet are held in drills, in milliseconds. The spread is for a machine that plays
 /// many proxies.
-pub const LIMIT_WINDOW: f64 = 1_000.0;
-const LIMIT_BEAT: f64 = 100.0;
-const LEASE: f64 = 2_000.0;
-const SPREAD: f64 = 250.0;
+pub const LIMIT_WINDOW_MS: f64 = 1_000.0;
+const LIMIT_TICK_MS: f64 = 100.0;
+const LEASE_MS: f64 = 2_000.0;
+const LEASE_SPREAD_MS: f64 = 250.0;
 
 /// Work beside a conversation's set-up, in set-ups.
 pub const ANSWER_WORK: f64 = 0.2;
@@ -299,12 +317,12 @@
     pub fn read(source: &str) -> Result<Self> {
         let mut drill: Self = toml::from_str(source)?;
         if drill.grades.is_empty() {
-            drill.grades = usual_grades();
+            drill.grades = default_grades();
         }
         if drill.tenants.is_empty() {
-            drill.tenants = usual_tenants();
+            drill.tenants = default_tenants();
         }
-        drill.check()?;
+        drill.validate()?;
         Ok(drill)
     }
 
@@ -327,29 +345,29 @@
     fn of_kind(name: &str) -> Result<Self> {
         let mut drill = Self::read(include_str!("../drills/calm.toml"))?;
         let (lasts, kind) = match name {
-            "vanish" => (8.0, Kind::Vanish { part: 0.12 }),
-            "slow" => (14.0, Kind::Slow { part: 0.4, factor: 3.0 }),
-            "hang" => (10.0, Kind::Hang { part: 0.15 }),
-            "report_late" => (14.0, Kind::ReportLate { late: 3.0 }),
-            "burst" => (6.0, Kind::Burst { factor: 1.7 }),
-            "hot_caller" => (14.0, Kind::HotCaller { part: 0.02, share: 0.2 }),
-            "deploy" => (14.0, Kind::Deploy { part: 0.28, drain: 2.0 }),
-            "discovery_stale" => (14.0, Kind::DiscoveryStale { late: 4.0 }),
-            "balancer_crash" => (4.0, Kind::BalancerCrash { part: 0.35 }),
-            "mass_restart" => (2.0, Kind::MassRestart { part: 0.36, within: 0.4 }),
-            "retry_abuse" => (14.0, Kind::RetryAbuse { patience: 0.4, redials: 8 }),
-            "balancer_stall" => (14.0, Kind::BalancerStall { part: 0.8, stall: 1.8, gap: 3.0 }),
-            "peer_down" => (14.0, Kind::PeerDown {}),
-            "answer_lost" => (14.0, Kind::AnswerLost { part: 0.75, share: 0.25 }),
-            "ageing" => (10.0, Kind::Ageing { part: 0.3, factor: 12.0 }),
-            other => bail!("no kind of trouble is called {other:?}"),
+            "vanish" => (8.0, FaultKind::Vanish { part: 0.12 }),
+            "slow" => (14.0, FaultKind::Slow { part: 0.4, factor: 3.0 }),
+            "hang" => (10.0, FaultKind::Hang { part: 0.15 }),
+            "report_late" => (14.0, FaultKind::ReportLate { late: 3.0 }),
+            "burst" => (6.0, FaultKind::Burst { factor: 1.7 }),
+            "hot_caller" => (14.0, FaultKind::HotCaller { part: 0.02, share: 0.2 }),
+            "deploy" => (14.0, FaultKind::Deploy { part: 0.28, drain: 2.0 }),
+            "discovery_stale" => (14.0, FaultKind::DiscoveryStale { late: 4.0 }),
+            "balancer_crash" => (4.0, FaultKind::BalancerCrash { part: 0.35 }),
+            "mass_restart" => (2.0, FaultKind::MassRestart { part: 0.36, within: 0.4 }),
+            "retry_abuse" => (14.0, FaultKind::RetryAbuse { timeout_share: 0.4, redials: 8 }),
+            "balancer_stall" => (14.0, FaultKind::BalancerStall { part: 0.8, stall: 1.8, gap: 3.0 }),
+            "peer_down" => (14.0, FaultKind::PeerDown {}),
+            "answer_lost" => (14.0, FaultKind::AnswerLost { part: 0.75, share: 0.25 }),
+            "ageing" => (10.0, FaultKind::Ageing { part: 0.3, factor: 12.0 }),
+            other => bail!("no kind of fault is called {other:?}"),
         };
         drill.name = format!("kind:{name}");
-        drill.troubles = vec![Trouble { at: 6.0, lasts, kind }];
+        drill.faults = vec![Fault { at: 6.0, lasts, kind }];
         Ok(drill)
     }
 
-    pub fn check(&self) -> Result<()> {
+    pub fn validate(&self) -> Result<()> {
         ensure!(
             (1..=2000).contains(&self.fleet.proxies),
             "fleet.proxies: {}, wanted 1 to 2000",
@@ -368,23 +386,27 @@
             [loss, double, reorder].iter().all(|p| (0.0..1.0).contains(p)),
             "link: parts from 0 to 1 wanted"
         );
-        ensure!(self.gossip.liars <= 100, "gossip.liars: {}, wanted up to 100", self.gossip.liars);
+        ensure!(
+            self.gossip.faulty_members <= 100,
+            "gossip.liars: {}, wanted up to 100",
+            self.gossip.faulty_members
+        );
         ensure!((0.0..1.0).contains(&self.gossip.loss), "gossip.loss: a part from 0 to 1 wanted");
         Ok(())
     }
 
-    /// All that gossip: the proxies, then the liars.
-    pub fn members(&self) -> usize {
-        self.fleet.proxies + self.gossip.liars
+    /// All that gossip: the proxies, then the faulty_members.
+    pub fn gossip_members(&self) -> usize {
+        self.fleet.proxies + self.gossip.faulty_members
     }
 
     /// Milliseconds of work that a set-up is on average, from the load that is planned.
     pub fn setup_work(&self) -> f64 {
-        Self::work_at(self.server_capacity())
+        Self::setup_work_for(self.server_capacity())
     }
 
     /// Milliseconds of work that a set-up is to a server of such a capacity, in conversations a second.
-    pub fn work_at(capacity: f64) -> f64 {
+    pub fn setup_work_for(capacity: f64) -> f64 {
         1000.0 / capacity / (1.0 + ANSWER_WORK + RELEASE_WORK)
     }
 
@@ -399,38 +421,38 @@
     }
 
     /// The called number that stands for a grade and a pool of first choice.
-    pub fn called(&self, grade: usize, pool: u16, line: u32) -> String {
+    pub fn called_number(&self, grade: usize, pool: u16, line: u32) -> String {
         match &self.grades[grade].called {
             Some(prefix) => format!("{prefix}{line:04}"),
             None => format!("{grade}{pool:03}{line:04}"),
         }
     }
 
-    /// By how many milliseconds each copy of a message between two members is held back: none is lost, one or
+    /// ReplacementMethod how many milliseconds each copy of a message between two members is held back: none is lost, one or
     /// two come.
-    pub fn peer_copies(&self, now: f64, from: usize, to: usize, chance: &mut impl Rng) -> Vec<f64> {
-        let lasts = |t: &&Trouble| (t.at..t.at + t.lasts).contains(&(now / 1000.0));
+    pub fn peer_copy_delays(&self, now: f64, from: usize, to: usize, rng: &mut impl Rng) -> Vec<f64> {
+        let lasts = |t: &&Fault| (t.at..t.at + t.lasts).contains(&(now / 1000.0));
         let mut copies = vec![0.0];
-        if chance.random::<f64>() < self.gossip.loss {
+        if rng.random::<f64>() < self.gossip.loss {
             return Vec::new();
         }
-        for trouble in self.troubles.iter().filter(lasts) {
-            match trouble.kind {
-                Kind::PeerDown {} => return Vec::new(),
-                Kind::PeerCut { part, one_way } => {
-                    let apart = |member: usize| (member as f64) < part * self.members() as f64;
+        for fault in self.faults.iter().filter(lasts) {
+            match fault.kind {
+                FaultKind::PeerDown {} => return Vec::new(),
+                FaultKind::PeerCut { part, one_way } => {
+                    let apart = |member: usize| (member as f64) < part * self.gossip_members() as f64;
                     if apart(from) != apart(to) && (!one_way || apart(to)) {
                         return Vec::new();
                     }
                 }
-                Kind::PeerLink { loss, double, late } => {
-                    if chance.random::<f64>() < loss {
+                FaultKind::PeerLink { loss, double, late } => {
+                    if rng.random::<f64>() < loss {
                         return Vec::new();
                     }
-                    if chance.random::<f64>() < double {
+                    if rng.random::<f64>() < double {
                         copies.push(0.0);
                     }
-                    copies.iter_mut().for_each(|copy| *copy += late * 1000.0 * chance.random::<f64>());
+                    copies.iter_mut().for_each(|copy| *copy += late * 1000.0 * rng.random::<f64>());
                 }
                 _ => {}
             }
@@ -440,10 +462,11 @@
 
     /// What proxies hold the limit on servers by, where there is one that they are told of.
     pub fn limit_terms(&self) -> Option<LimitTerms> {
-        let loans = LoanTerms { lease: LEASE, drift: 0.001, spread: SPREAD, floor: 0.25 };
-        let fleet = FleetTerms { loans, tick_interval: LIMIT_BEAT };
-        let most = Some(self.gossip.limit as f64).filter(|&most| most > 0.0 && self.gossip.limit_told)?;
-        Some(LimitTerms { fleet, window: LIMIT_WINDOW, max_rate: Some(most), share_window: None })
+        let loans = LoanTerms { lease: LEASE_MS, drift: 0.001, spread: LEASE_SPREAD_MS, floor: 0.25 };
+        let fleet = FleetTerms { loans, tick_interval: LIMIT_TICK_MS };
+        let most =
+            Some(self.gossip.limit as f64).filter(|&most| most > 0.0 && self.gossip.limit_announced)?;
+        Some(LimitTerms { fleet, window: LIMIT_WINDOW_MS, max_rate: Some(most), share_window: None })
     }
 
     /// The same as settings, empty where there is none.
@@ -467,7 +490,7 @@
             limit: g.limit * 1000.0,
             hold: g.hold * 1000.0,
             earnings: g.earnings,
-            late_share: g.late,
+            late_share: g.late_share,
             repeatable: true,
             pools: pools.clone(),
         };
@@ -478,7 +501,7 @@
             pools.iter().map(move |&pool| Route { context: String::new(), prefix: prefix(pool), grade, pool })
         });
         let tenants = self.tenants.iter().enumerate().map(|(i, t)| (t.name.clone(), i));
-        let limits = Limits { resend_delay: REPEAT, ..Limits::default() };
+        let limits = Limits { resend_delay: RESEND_INTERVAL_MS, ..Limits::default() };
         ProxyTerms {
             terms: Terms {
                 proxies: self.fleet.proxies as u32,
@@ -488,18 +511,18 @@
                 max_attempts: 4,
                 max_retry_after: Some(2000.0),
                 may_cancel: true,
-                may_probe: self.shape.probes,
-                release: RELEASE,
-                resend_after: REPEAT,
-                respect_retry_after: self.shape.tells_wait,
-                cold_duration: COLD,
-                initial_capacity_share: if self.shape.probes { 0.0 } else { COLD_FROM },
-                overload_factor: FALL_MULTIPLE,
-                overload_duration: FALL_SPAN,
+                may_probe: self.deployment.probes,
+                release: RELEASE_MS,
+                resend_after: RESEND_INTERVAL_MS,
+                respect_retry_after: self.deployment.reports_wait,
+                cold_duration: COLD_MS,
+                initial_capacity_share: if self.deployment.probes { 0.0 } else { COLD_CAPACITY_SHARE },
+                overload_factor: OVERLOAD_FACTOR,
+                overload_duration: OVERLOAD_WINDOW_MS,
             },
             routes: Routes::new(routes, tenants),
             caller_timeout: self.grades.iter().map(|g| g.limit * 1000.0).collect(),
-            answer_lead: ANSWER_LEAD,
+            answer_lead: ANSWER_LEAD_MS,
             callers: limits,
             servers: limits,
         }
@@ -510,10 +533,10 @@
         let terms = self.proxy_terms().terms;
         let mut file = format!(
             "[proxy]\nname = {name:?}\nproxies = {}\nstate = {state:?}\n\n[listen]\ncallers = {callers:?}\n\
-             receive_buffer = 4194304\n\n[pool]\nfeed = {feed:?}\n\n[iax2]\nresend = \"{REPEAT} ms\"\n\n\
-             [stop]\nstanding = \"{} s\"\n\n[rules]\nmax_shots = {}\nrelease = \"{RELEASE} ms\"\ncold = \"{COLD} ms\"\n\
-             fall_multiple = {FALL_MULTIPLE:?}\nfall_span = \"{FALL_SPAN} ms\"\nlongest_advice = \"2 s\"\n\
-             over_share = {OVER_SHARE:?}\nanswer_lead = \"{ANSWER_LEAD} ms\"\n",
+             receive_buffer = 4194304\n\n[pool]\nfeed = {feed:?}\n\n[iax2]\nresend = \"{RESEND_INTERVAL_MS} ms\"\n\n\
+             [stop]\nstanding = \"{} s\"\n\n[rules]\nmax_shots = {}\nrelease = \"{RELEASE_MS} ms\"\ncold = \"{COLD_MS} ms\"\n\
+             fall_multiple = {OVERLOAD_FACTOR:?}\nfall_span = \"{OVERLOAD_WINDOW_MS} ms\"\nlongest_advice = \"2 s\"\n\
+             over_share = {OVER_SHARE:?}\nanswer_lead = \"{ANSWER_LEAD_MS} ms\"\n",
             self.fleet.proxies,
             if self.release.is_some() { 5 } else { 1 },
             terms.max_attempts,
@@ -529,7 +552,7 @@
                 ms(g.limit),
                 ms(g.hold),
                 g.earnings,
-                g.late,
+                g.late_share,
                 pools.join(", "),
             );
         }
@@ -547,7 +570,7 @@
     }
 }
 
-fn usual_grades() -> Vec<Grade> {
+fn default_grades() -> Vec<Grade> {
     let grade = |name: &str, share, quoted, hold, earnings| Grade {
         name: name.to_owned(),
         share,
@@ -555,7 +578,7 @@
         limit: 9.0,
         hold,
         earnings,
-        late: 0.2,
+        late_share: 0.2,
         called: None,
     };
     vec![
@@ -565,7 +588,7 @@
     ]
 }
 
-fn usual_tenants() -> Vec<Tenant> {
+fn default_tenants() -> Vec<Tenant> {
     let tenant = |name: &str, share| Tenant { name: name.to_owned(), share };
     vec![tenant("north", 0.44), tenant("middle", 0.34), tenant("south", 0.22)]
 }
--- a/lab/src/drills/permits.rs
+++ b/lab/src/drills/permits.rs
@@ -1,5 +1,5 @@
-//! One limit of a whole fleet under faults, virtual: who holds it how, the most that passed in any window,
-//! and how much of it was of use. [`play`] runs one case; ways beside the program's own are baselines, for
+//! One limit of a whole fleet under faults, virtual: who holds it how, the max_in_window that passed in any window,
+//! and how much of it was of use. [`run`] runs one case; ways beside the program's own are baselines, for
 //! the check to catch.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,26 +10,26 @@
 use rand_pcg::Pcg64Mcg;
 
 /// The window of the limit, and the step of the clock, in milliseconds.
-pub const WINDOW: f64 = 1000.0;
-const STEP: f64 = 5.0;
+pub const WINDOW_MS: f64 = 1000.0;
+const STEP_MS: f64 = 5.0;
 const SERVER: &str = "s@0";
-/// A clock runs fast or slow by this part at the most.
-const DRIFT: f64 = 0.05;
+/// A clock runs fast or slow by this part window_end the max_in_window.
+const MAX_DRIFT: f64 = 0.05;
 /// Spells before the fault, with it and after it.
-const BEFORE: f64 = 5000.0;
-const DURING: f64 = 10_000.0;
-const AFTER: f64 = 5000.0;
+const BEFORE_MS: f64 = 5000.0;
+const DURING_MS: f64 = 10_000.0;
+const AFTER_MS: f64 = 5000.0;
 /// A stopped member is let go on after this.
-const STOPPED: f64 = 4000.0;
+const STOPPED_MS: f64 = 4000.0;
 
 /// How the members hold the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Way {
+pub enum Scheme {
     /// Permits lent between pairs, as the program does.
     Lent,
     /// An equal part each.
     Alone,
-    /// Parts by the demand that members last told each other of. A baseline: it passes the limit when links
+    /// Parts by the demand that members last reported each other of. A baseline: it passes the limit when links
     /// fail.
     Counts,
 }
@@ -43,7 +43,7 @@
     Halves,
     /// The first half hears nothing of the second, which hears it.
     OneWay,
-    /// A third is started again at once.
+    /// A third is started again window_end once.
     Restart,
     /// A tenth is stopped, and goes on after four seconds.
     Stop,
@@ -54,7 +54,7 @@
 /// One case.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
-    pub way: Way,
+    pub way: Scheme,
     pub fault: Fault,
     pub members: usize,
     /// Set-ups a second over all.
@@ -67,202 +67,207 @@
 /// What came of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outcome {
-    /// The most set-ups in any window, and when that ended.
-    pub most: usize,
-    pub at: f64,
-    /// Set-ups that went since the fault, over what was wanted or allowed, whichever is less.
+    /// The max_in_window set-ups in any window, and when that ended.
+    pub max_in_window: usize,
+    pub window_end: f64,
+    /// Set-ups that sent_at since the fault, over what was wanted or allowed, whichever is less.
     pub used: f64,
     /// Bytes that one member sent in its worst second, without what carries them.
     pub bytes: usize,
 }
 
-/// Parts by told demand.
-struct Counter {
+/// Parts by reported demand.
+struct DemandShare {
     own: f64,
-    told: BTreeMap<usize, f64>,
+    reported: BTreeMap<usize, f64>,
     credit: f64,
-    tell_at: f64,
+    report_at: f64,
 }
 
 enum Holder {
     Lent(Box<Fleet>),
     Alone { credit: f64 },
-    Counts(Counter),
+    Counts(DemandShare),
 }
 
-enum Letter {
-    Words(Vec<u8>),
+enum Message {
+    Permits(Vec<u8>),
     Demand(f64),
 }
 
-struct World {
+struct TestCluster {
     case: Case,
     now: f64,
-    chance: Pcg64Mcg,
-    clocks: Vec<f64>,
+    rng: Pcg64Mcg,
+    clock_rates: Vec<f64>,
     holders: Vec<Holder>,
     stopped: BTreeSet<usize>,
     cut: bool,
     /// Letters by when they come.
-    flying: BTreeMap<(u64, u64), (usize, usize, Letter)>,
-    letters: u64,
+    in_flight: BTreeMap<(u64, u64), (usize, usize, Message)>,
+    message_count: u64,
     wanted: Vec<f64>,
-    went: Vec<f64>,
+    sent_at: Vec<f64>,
     sent: BTreeMap<(usize, u64), usize>,
 }
 
-impl World {
+impl TestCluster {
     fn new(case: Case) -> Self {
-        let mut chance = Pcg64Mcg::seed_from_u64(case.seed);
-        let clocks = (0..case.members).map(|_| 1.0 - DRIFT + 2.0 * DRIFT * chance.random::<f64>()).collect();
-        let mut world = Self {
+        let mut rng = Pcg64Mcg::seed_from_u64(case.seed);
+        let clock_rates =
+            (0..case.members).map(|_| 1.0 - MAX_DRIFT + 2.0 * MAX_DRIFT * rng.random::<f64>()).collect();
+        let mut cluster = Self {
             case,
             now: 0.0,
-            chance,
-            clocks,
+            rng,
+            clock_rates,
             holders: Vec::new(),
             stopped: BTreeSet::new(),
             cut: false,
-            flying: BTreeMap::new(),
-            letters: 0,
+            in_flight: BTreeMap::new(),
+            message_count: 0,
             wanted: vec![0.0; case.members],
-            went: Vec::new(),
+            sent_at: Vec::new(),
             sent: BTreeMap::new(),
         };
         for member in 0..case.members {
-            let holder = world.fresh(member);
-            world.holders.push(holder);
+            let holder = cluster.arrived(member);
+            cluster.holders.push(holder);
         }
-        world
+        cluster
     }
 
     fn clock(&self, member: usize) -> f64 {
-        self.now * self.clocks[member]
+        self.now * self.clock_rates[member]
     }
 
-    fn fresh(&mut self, member: usize) -> Holder {
+    fn arrived(&mut self, member: usize) -> Holder {
         match self.case.way {
-            Way::Alone => Holder::Alone { credit: 0.0 },
-            Way::Counts => {
-                Holder::Counts(Counter { own: 0.0, told: BTreeMap::new(), credit: 0.0, tell_at: self.now })
-            }
-            Way::Lent => {
-                let loans = LoanTerms { lease: 2.0 * WINDOW, drift: DRIFT, spread: 0.0, floor: 0.0 };
-                let terms = FleetTerms { loans, tick_interval: 0.1 * WINDOW };
+            Scheme::Alone => Holder::Alone { credit: 0.0 },
+            Scheme::Counts => Holder::Counts(DemandShare {
+                own: 0.0,
+                reported: BTreeMap::new(),
+                credit: 0.0,
+                report_at: self.now,
+            }),
+            Scheme::Lent => {
+                let loans = LoanTerms { lease: 2.0 * WINDOW_MS, drift: MAX_DRIFT, spread: 0.0, floor: 0.0 };
+                let terms = FleetTerms { loans, tick_interval: 0.1 * WINDOW_MS };
                 let all = 0..self.case.members as Id;
-                let mut fleet =
-                    Fleet::new(member as Id, all, terms, self.chance.random(), self.clock(member));
-                fleet.set_limit(SERVER, self.case.rate, WINDOW);
+                let mut fleet = Fleet::new(member as Id, all, terms, self.rng.random(), self.clock(member));
+                fleet.set_limit(SERVER, self.case.rate, WINDOW_MS);
                 Holder::Lent(Box::new(fleet))
             }
         }
     }
 
     /// Whether what one says reaches the other.
-    fn heard(&mut self, from: usize, to: usize) -> bool {
+    fn is_delivered(&mut self, from: usize, to: usize) -> bool {
         let half = |member: usize| member < self.case.members / 2;
         let cut = match self.case.fault {
             Fault::Halves => self.cut && half(from) != half(to),
             Fault::OneWay => self.cut && !half(from) && half(to),
             _ => false,
         };
-        let lost = self.case.fault == Fault::Loss && self.chance.random::<f64>() < 0.3;
+        let lost = self.case.fault == Fault::Loss && self.rng.random::<f64>() < 0.3;
         !cut && !lost
     }
 
-    fn post(&mut self, from: usize, to: usize, letter: Letter) {
-        let bytes = match &letter {
-            Letter::Words(bytes) => bytes.len(),
-            Letter::Demand(_) => 8,
+    fn send(&mut self, from: usize, to: usize, message: Message) {
+        let bytes = match &message {
+            Message::Permits(bytes) => bytes.len(),
+            Message::Demand(_) => 8,
         };
         *self.sent.entry((from, (self.now / 1000.0) as u64)).or_default() += bytes;
-        if self.heard(from, to) {
-            self.letters += 1;
-            let at = self.now + 10.0 * self.chance.random::<f64>();
-            self.flying.insert((at as u64, self.letters), (from, to, letter));
+        if self.is_delivered(from, to) {
+            self.message_count += 1;
+            let deliver_at = self.now + 10.0 * self.rng.random::<f64>();
+            self.in_flight.insert((deliver_at as u64, self.message_count), (from, to, message));
         }
     }
 
-    fn post_all(&mut self, from: usize) {
+    fn send_all(&mut self, from: usize) {
         let mut out = Vec::new();
         if let Holder::Lent(fleet) = &mut self.holders[from] {
             out.extend(std::iter::from_fn(|| fleet.outgoing()));
         }
         for out in out {
-            self.post(from, out.to as usize, Letter::Words(out.bytes));
+            self.send(from, out.to as usize, Message::Permits(out.bytes));
         }
     }
 
     fn deliver(&mut self) {
-        while let Some(flight) = self.flying.first_entry().filter(|flight| flight.key().0 as f64 <= self.now)
+        while let Some(flight) =
+            self.in_flight.first_entry().filter(|flight| flight.key().0 as f64 <= self.now)
         {
-            let (from, to, letter) = flight.remove();
+            let (from, to, message) = flight.remove();
             if self.stopped.contains(&to) {
                 continue;
             }
             let clock = self.clock(to);
-            match (&mut self.holders[to], letter) {
-                (Holder::Lent(fleet), Letter::Words(bytes)) => fleet.receive(clock, from as Id, &bytes),
-                (Holder::Counts(counter), Letter::Demand(demand)) => drop(counter.told.insert(from, demand)),
+            match (&mut self.holders[to], message) {
+                (Holder::Lent(fleet), Message::Permits(bytes)) => fleet.receive(clock, from as Id, &bytes),
+                (Holder::Counts(share), Message::Demand(demand)) => drop(share.reported.insert(from, demand)),
                 _ => {}
             }
-            self.post_all(to);
+            self.send_all(to);
         }
     }
 
     /// One step of a member that wants `demand` set-ups a second.
     fn turn(&mut self, member: usize, demand: f64) {
         let before = self.wanted[member];
-        // Callers come by chance, one in a step at the most here.
-        let fresh = usize::from(self.chance.random::<f64>() < demand * STEP / 1000.0);
-        let came = before + fresh as f64;
+        // Callers come by rng, one in a step window_end the max_in_window here.
+        let arrived = usize::from(self.rng.random::<f64>() < demand * STEP_MS / 1000.0);
+        let came = before + arrived as f64;
         // Who waits too long is refused, and gone.
         self.wanted[member] = if came > (0.2 * demand).max(2.0) { came - 1.0 } else { came };
         if self.stopped.contains(&member) {
             return;
         }
         let (now, clock, rate) = (self.now, self.clock(member), self.case.rate);
-        let equal = rate / self.case.members as f64 * STEP / 1000.0;
-        let mut tells = None;
+        let equal = rate / self.case.members as f64 * STEP_MS / 1000.0;
+        let mut reports = None;
         match &mut self.holders[member] {
             Holder::Lent(fleet) => {
                 while self.wanted[member] >= 1.0 && fleet.free_permits(clock, SERVER) > Some(0) {
                     fleet.try_acquire(clock, SERVER);
                     self.wanted[member] -= 1.0;
-                    self.went.push(now);
+                    self.sent_at.push(now);
                 }
                 if self.wanted[member] >= 1.0 {
-                    fleet.record_shortage(clock, SERVER, fresh);
+                    fleet.record_shortage(clock, SERVER, arrived);
                 }
                 fleet.turn(clock);
             }
             Holder::Alone { credit } => *credit = (*credit + equal).min(1.0),
-            Holder::Counts(counter) => {
-                counter.own += 0.01 * (demand - counter.own);
-                let all: f64 = counter.own + counter.told.values().sum::<f64>();
-                let part = rate * counter.own / all.max(f64::MIN_POSITIVE);
-                counter.credit = (counter.credit + part * STEP / 1000.0).min(1.0);
-                if now >= counter.tell_at {
-                    counter.tell_at = now + 0.1 * WINDOW;
-                    tells = Some(counter.own);
+            Holder::Counts(share) => {
+                share.own += 0.01 * (demand - share.own);
+                let all: f64 = share.own + share.reported.values().sum::<f64>();
+                let part = rate * share.own / all.max(f64::MIN_POSITIVE);
+                share.credit = (share.credit + part * STEP_MS / 1000.0).min(1.0);
+                if now >= share.report_at {
+                    share.report_at = now + 0.1 * WINDOW_MS;
+                    reports = Some(share.own);
                 }
             }
         }
-        if let Holder::Alone { credit } | Holder::Counts(Counter { credit, .. }) = &mut self.holders[member]
+        if let Holder::Alone { credit } | Holder::Counts(DemandShare { credit, .. }) =
+            &mut self.holders[member]
             && *credit >= 1.0 - 1e-9
             && self.wanted[member] >= 1.0
         {
             *credit -= 1.0;
             self.wanted[member] -= 1.0;
-            self.went.push(now);
+            self.sent_at.push(now);
         }
-        for to in (0..self.case.members).filter(|&to| tells.is_some() && to != member) {
-            self.post(member, to, Letter::Demand(tells.unwrap_or_default()));
+        for to in (0..self.case.members).filter(|&to| reports.is_some() && to != member) {
+            self.send(member, to, Message::Demand(reports.unwrap_or_default()));
         }
-        self.post_all(member);
+        self.send_all(member);
     }
 
-    fn pass(&mut self, span: f64, moved: bool) {
+    fn advance(&mut self, duration: f64, moved: bool) {
         let Case { members, rate, load, .. } = self.case;
         let tenth = members.div_ceil(10);
         let hot = |member: usize| if moved { member + tenth >= members } else { member < tenth };
@@ -270,9 +275,9 @@
             let among = if hot(member) { tenth } else { members - tenth };
             load * rate * 0.5 / among as f64
         };
-        let end = self.now + span;
+        let end = self.now + duration;
         while self.now < end {
-            self.now += STEP;
+            self.now += STEP_MS;
             self.deliver();
             for member in 0..members {
                 self.turn(member, each(member));
@@ -282,37 +287,37 @@
 }
 
 /// Plays one case.
-pub fn play(case: Case) -> Outcome {
-    let mut world = World::new(case);
-    world.pass(BEFORE, false);
-    let since = world.now;
-    world.cut = true;
+pub fn run(case: Case) -> Outcome {
+    let mut cluster = TestCluster::new(case);
+    cluster.advance(BEFORE_MS, false);
+    let since = cluster.now;
+    cluster.cut = true;
     match case.fault {
         Fault::Restart => {
             for member in (0..case.members).step_by(3) {
-                world.holders[member] = world.fresh(member);
+                cluster.holders[member] = cluster.arrived(member);
             }
         }
-        Fault::Stop => world.stopped = (0..case.members.div_ceil(10)).collect(),
+        Fault::Stop => cluster.stopped = (0..case.members.div_ceil(10)).collect(),
         _ => {}
     }
     let moved = case.fault == Fault::Moves;
-    world.pass(STOPPED, moved);
-    world.stopped.clear();
-    world.pass(DURING - STOPPED, moved);
-    world.cut = false;
-    world.pass(AFTER, moved);
+    cluster.advance(STOPPED_MS, moved);
+    cluster.stopped.clear();
+    cluster.advance(DURING_MS - STOPPED_MS, moved);
+    cluster.cut = false;
+    cluster.advance(AFTER_MS, moved);
 
-    let (mut first, mut most, mut at) = (0, 0, 0.0);
-    for (i, &when) in world.went.iter().enumerate() {
-        while world.went[first] <= when - WINDOW {
+    let (mut first, mut max_in_window, mut window_end) = (0, 0, 0.0);
+    for (i, &when) in cluster.sent_at.iter().enumerate() {
+        while cluster.sent_at[first] <= when - WINDOW_MS {
             first += 1;
         }
-        if i + 1 - first > most {
-            (most, at) = (i + 1 - first, when);
+        if i + 1 - first > max_in_window {
+            (max_in_window, window_end) = (i + 1 - first, when);
         }
     }
-    let served = world.went.iter().filter(|&&when| when > since).count() as f64;
-    let used = served / ((world.now - since) / 1000.0 * case.rate * case.load.min(1.0));
-    Outcome { most, at, used, bytes: world.sent.values().copied().max().unwrap_or(0) }
+    let served = cluster.sent_at.iter().filter(|&&when| when > since).count() as f64;
+    let used = served / ((cluster.now - since) / 1000.0 * case.rate * case.load.min(1.0));
+    Outcome { max_in_window, window_end, used, bytes: cluster.sent.values().copied().max().unwrap_or(0) }
 }
--- a/lab/src/drills/simulated.rs
+++ b/lab/src/drills/simulated.rs
@@ -16,49 +16,49 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::drill::Drill;
-use crate::drills::world::{Out, Place, World};
-use crate::stand_ins::baseline::{Broken, Decider, Routing};
-use crate::stand_ins::peers::{self, Liars};
+use crate::drills::cluster::{Action, StandIn, TestCluster};
+use crate::stand_ins::baseline::{Defects, Routing, RoutingDecisions};
+use crate::stand_ins::peers::{self, FaultyMembers};
 use crate::witness::events::Events;
 
 /// From a stand-in's socket to a proxy's, or back; the link adds its own.
-const HOP: f64 = 0.2;
+const HOP_MS: f64 = 0.2;
 /// Unix milliseconds at the start of every simulated drill.
-const EPOCH: f64 = 1.7e12;
+const EPOCH_MS: f64 = 1.7e12;
 
-type Core = BorderProxy<Decider>;
+type Core = BorderProxy<RoutingDecisions>;
 
-enum Come {
-    World(Place, SocketAddr, Bytes),
-    Proxy(usize, u32, f64, Side, SocketAddr, Bytes),
+enum Input {
+    ToStandIn(StandIn, SocketAddr, Bytes),
+    ToProxy(usize, u32, f64, Side, SocketAddr, Bytes),
     Refused(usize, u32, SocketAddr),
-    Look(usize),
-    Liar(usize, SocketAddr, Vec<u8>),
+    Turn(usize),
+    ToFaultyMember(usize, SocketAddr, Vec<u8>),
 }
 
-struct Seat {
+struct ProxySlot {
     core: Option<Core>,
     /// Counts its lives: what is on its way to a former one is lost.
-    life: u32,
+    generation: u32,
     stalled_until: f64,
-    look_at: f64,
+    turn_at: f64,
     /// What lasts over a restart.
     cache: String,
 }
 
 struct Run {
-    world: World,
-    seats: Vec<Seat>,
+    cluster: TestCluster,
+    slots: Vec<ProxySlot>,
     routing: Routing,
-    broken: Broken,
+    defects: Defects,
     terms: ProxyTerms,
-    chance: Pcg64Mcg,
-    heap: BinaryHeap<Reverse<(OrderedFloat<f64>, u64)>>,
-    coming: HashMap<u64, Come>,
-    count: u64,
+    rng: Pcg64Mcg,
+    queue: BinaryHeap<Reverse<(OrderedFloat<f64>, u64)>>,
+    inputs: HashMap<u64, Input>,
+    scheduled: u64,
     now: f64,
     roster: Roster,
-    liars: Liars,
+    faulty_members: FaultyMembers,
 }
 
 fn address(kind: u8, index: usize) -> SocketAddr {
@@ -78,214 +78,221 @@
 const SERVER: u8 = 4;
 const PEERS: u8 = 5;
 /// The way between two proxies, on average.
-const PEER_WAY: f64 = 10.0;
+const PEER_DELAY_MS: f64 = 10.0;
 
 /// Plays the drill to its end.
-pub fn run(drill: Drill, routing: Routing, broken: Broken, events: Events) -> Result<World> {
-    let (proxies, members) = (drill.fleet.proxies, drill.members());
+pub fn run(drill: Drill, routing: Routing, defects: Defects, events: Events) -> Result<TestCluster> {
+    let (proxies, members) = (drill.fleet.proxies, drill.gossip_members());
     let terms = drill.proxy_terms();
-    let gossips = drill.gossip.on;
-    let mut chance = Pcg64Mcg::seed_from_u64(drill.seed ^ 0x5eed);
-    let mut world = World::new(drill, 0.001, EPOCH);
-    world.events = events;
-    for server in 0..world.servers.len() {
-        world.settle_server(server, address(SERVER, server));
+    let gossip_enabled = drill.gossip.on;
+    let mut rng = Pcg64Mcg::seed_from_u64(drill.seed ^ 0x5eed);
+    let mut cluster = TestCluster::new(drill, 0.001, EPOCH_MS);
+    cluster.events = events;
+    for server in 0..cluster.servers.len() {
+        cluster.set_server_address(server, address(SERVER, server));
     }
-    let seat =
-        || Seat { core: None, life: 0, stalled_until: 0.0, look_at: f64::INFINITY, cache: String::new() };
+    let slot = || ProxySlot {
+        core: None,
+        generation: 0,
+        stalled_until: 0.0,
+        turn_at: f64::INFINITY,
+        cache: String::new(),
+    };
     let mut run = Run {
-        world,
-        seats: (0..proxies).map(|_| seat()).collect(),
+        cluster,
+        slots: (0..proxies).map(|_| slot()).collect(),
         routing,
-        broken,
+        defects,
         terms,
-        chance: Pcg64Mcg::seed_from_u64(chance.random()),
-        heap: BinaryHeap::new(),
-        coming: HashMap::new(),
-        count: 0,
+        rng: Pcg64Mcg::seed_from_u64(rng.random()),
+        queue: BinaryHeap::new(),
+        inputs: HashMap::new(),
+        scheduled: 0,
         now: 0.0,
-        roster: if gossips { peers::roster(members) } else { Roster::default() },
-        liars: Liars::new(proxies, Vec::new()),
+        roster: if gossip_enabled { peers::roster(members) } else { Roster::default() },
+        faulty_members: FaultyMembers::new(proxies, Vec::new()),
     };
-    let liars = (proxies..members).filter(|_| gossips).map(|member| run.node(member)).collect();
-    run.liars = Liars::new(proxies, liars);
+    let faulty_members =
+        (proxies..members).filter(|_| gossip_enabled).map(|member| run.node(member)).collect();
+    run.faulty_members = FaultyMembers::new(proxies, faulty_members);
     (0..proxies).for_each(|proxy| run.start(proxy));
     run.play();
     let now = run.now;
-    run.world.witness.close(now);
-    Ok(run.world)
+    run.cluster.checker.close(now);
+    Ok(run.cluster)
 }
 
 impl Run {
-    fn come(&mut self, at: f64, what: Come) {
-        self.count += 1;
-        self.coming.insert(self.count, what);
-        self.heap.push(Reverse((OrderedFloat(at), self.count)));
+    fn schedule(&mut self, at: f64, what: Input) {
+        self.scheduled += 1;
+        self.inputs.insert(self.scheduled, what);
+        self.queue.push(Reverse((OrderedFloat(at), self.scheduled)));
     }
 
     fn start(&mut self, proxy: usize) {
-        let seed = self.chance.random();
-        let module = Decider::new(self.routing, self.broken, self.terms.terms.clone(), seed, self.now);
+        let seed = self.rng.random();
+        let module =
+            RoutingDecisions::new(self.routing, self.defects, self.terms.terms.clone(), seed, self.now);
         let mut core = Core::with_decisions(module, self.terms.clone(), seed, self.now);
-        if self.world.drill.gossip.on {
+        if self.cluster.drill.gossip.on {
             core.join(self.node(proxy));
-            if let Some(terms) = self.world.drill.limit_terms() {
+            if let Some(terms) = self.cluster.drill.limit_terms() {
                 core.enable_fleet_limits(terms, [], seed, self.now);
             }
         }
-        let seat = &mut self.seats[proxy];
-        if let Ok(news) = PoolList::from_cache(&seat.cache) {
-            core.update_server_list(self.now, EPOCH + self.now, &news).expect("its own list");
+        let slot = &mut self.slots[proxy];
+        if let Ok(updates) = PoolList::from_cache(&slot.cache) {
+            core.update_server_list(self.now, EPOCH_MS + self.now, &updates).expect("its own list");
         }
-        seat.core = Some(core);
-        seat.life += 1;
-        self.world.settle_proxy(proxy, address(PROXY, proxy));
-        let news = self.world.whole_list(proxy);
-        self.list(proxy, &news);
+        slot.core = Some(core);
+        slot.generation += 1;
+        self.cluster.set_proxy_address(proxy, address(PROXY, proxy));
+        let updates = self.cluster.whole_list(proxy);
+        self.list(proxy, &updates);
     }
 
     /// A member's gossip: keys of its own, made from its place in the fleet.
     fn node(&mut self, member: usize) -> Node {
         let addresses: Vec<SocketAddr> =
-            (0..self.world.drill.members()).map(|member| address(PEERS, member)).collect();
-        let terms = peers::terms(&self.world.drill.gossip, member, &addresses);
-        let (roster, seed) = (self.roster.clone(), self.chance.random());
-        Node::new(terms, peers::secrets(member), roster, seed, self.now, EPOCH + self.now)
+            (0..self.cluster.drill.gossip_members()).map(|member| address(PEERS, member)).collect();
+        let terms = peers::terms(&self.cluster.drill.gossip, member, &addresses);
+        let (roster, seed) = (self.roster.clone(), self.rng.random());
+        Node::new(terms, peers::secrets(member), roster, seed, self.now, EPOCH_MS + self.now)
     }
 
-    fn list(&mut self, proxy: usize, news: &PoolUpdates) {
+    fn list(&mut self, proxy: usize, updates: &PoolUpdates) {
         let now = self.now;
         if proxy == 0 {
-            self.liars.listed(now, EPOCH + now, news);
+            self.faulty_members.update_server_list(now, EPOCH_MS + now, updates);
         }
-        let seat = &mut self.seats[proxy];
-        let Some(core) = &mut seat.core else { return };
-        if core.update_server_list(now, EPOCH + now, news).is_err() {
-            let whole = self.world.whole_list(proxy);
-            let core = self.seats[proxy].core.as_mut().expect("just there");
-            core.update_server_list(now, EPOCH + now, &whole).expect("a whole list fits");
+        let slot = &mut self.slots[proxy];
+        let Some(core) = &mut slot.core else { return };
+        if core.update_server_list(now, EPOCH_MS + now, updates).is_err() {
+            let whole = self.cluster.whole_list(proxy);
+            let core = self.slots[proxy].core.as_mut().expect("just there");
+            core.update_server_list(now, EPOCH_MS + now, &whole).expect("a whole list fits");
         }
-        let seat = &mut self.seats[proxy];
-        seat.cache = seat.core.as_ref().expect("just there").pool().to_cache();
-        self.settle(proxy);
+        let slot = &mut self.slots[proxy];
+        slot.cache = slot.core.as_ref().expect("just there").pool().to_cache();
+        self.run_pending_and_send(proxy);
     }
 
     /// Lets a proxy finish its turn, and sends what it has to send.
-    fn settle(&mut self, proxy: usize) {
-        let (now, life) = (self.now, self.seats[proxy].life);
-        let Some(core) = &mut self.seats[proxy].core else { return };
+    fn run_pending_and_send(&mut self, proxy: usize) {
+        let (now, generation) = (self.now, self.slots[proxy].generation);
+        let Some(core) = &mut self.slots[proxy].core else { return };
         core.run_pending();
         while core.note().is_some() {}
         let mut sent = Vec::new();
         while let Some(out) = core.outbound() {
             sent.push(out);
         }
-        let believed = core.suspected_servers().iter().map(|&server| core.pool().name(server));
-        self.world.believes(now, proxy, believed);
+        let suspected = core.suspected_servers().iter().map(|&server| core.pool().name(server));
+        self.cluster.record_suspicions(now, proxy, suspected);
         let due = core.due();
-        if due < self.seats[proxy].look_at {
-            self.seats[proxy].look_at = due;
-            self.come(due.max(now), Come::Look(proxy));
+        if due < self.slots[proxy].turn_at {
+            self.slots[proxy].turn_at = due;
+            self.schedule(due.max(now), Input::Turn(proxy));
         }
         for out in sent {
             let what = match out.side {
-                Side::Callers => Come::World(Place::Callers, address(PROXY, proxy), out.bytes),
+                Side::Callers => Input::ToStandIn(StandIn::Callers, address(PROXY, proxy), out.bytes),
                 Side::Peers => {
                     self.pass(proxy, out.peer, out.bytes);
                     continue;
                 }
                 Side::Servers => {
                     let server = index(out.peer);
-                    if !self.world.servers[server].up {
-                        self.come(now + HOP, Come::Refused(proxy, life, out.peer));
+                    if !self.cluster.servers[server].up {
+                        self.schedule(now + HOP_MS, Input::Refused(proxy, generation, out.peer));
                         continue;
                     }
-                    Come::World(Place::Server(server), address(PROXY_BACK, proxy), out.bytes)
+                    Input::ToStandIn(StandIn::Server(server), address(PROXY_BACK, proxy), out.bytes)
                 }
             };
-            self.come(now + HOP, what);
+            self.schedule(now + HOP_MS, what);
         }
     }
 
     /// A message between members is on its way, or lost.
     fn pass(&mut self, from: usize, to: SocketAddr, bytes: Bytes) {
         let now = self.now;
-        self.world.peers.sent(now, from, bytes.len());
+        self.cluster.peers.sent(now, from, bytes.len());
         let (to, sender) = (index(to), address(PEERS, from));
-        for late in self.world.drill.peer_copies(now, from, to, &mut self.chance) {
-            let at = now + late + PEER_WAY * (0.2 + 1.8 * self.chance.random::<f64>());
-            let what = match self.seats.get(to) {
-                Some(seat) => Come::Proxy(to, seat.life, at, Side::Peers, sender, bytes.clone()),
-                None => Come::Liar(to, sender, bytes.to_vec()),
+        for late in self.cluster.drill.peer_copy_delays(now, from, to, &mut self.rng) {
+            let at = now + late + PEER_DELAY_MS * (0.2 + 1.8 * self.rng.random::<f64>());
+            let what = match self.slots.get(to) {
+                Some(slot) => Input::ToProxy(to, slot.generation, at, Side::Peers, sender, bytes.clone()),
+                None => Input::ToFaultyMember(to, sender, bytes.to_vec()),
             };
-            self.come(at, what);
+            self.schedule(at, what);
         }
     }
 
     fn play(&mut self) {
-        let end = self.world.end();
+        let end = self.cluster.end();
         loop {
-            self.carry_out();
-            let next = self.heap.peek().map_or(f64::INFINITY, |Reverse((at, _))| at.0);
-            let liars = self.liars.due();
-            if liars < next.min(self.world.due()) {
-                self.now = self.now.max(liars);
-                self.liars.turn(self.now);
-                self.hear_liars();
+            self.run_actions();
+            let next = self.queue.peek().map_or(f64::INFINITY, |Reverse((at, _))| at.0);
+            let faulty_members = self.faulty_members.due();
+            if faulty_members < next.min(self.cluster.due()) {
+                self.now = self.now.max(faulty_members);
+                self.faulty_members.turn(self.now);
+                self.send_faulty_members_messages();
                 continue;
             }
-            let world = self.world.due();
-            if next.min(world) > end {
+            let cluster = self.cluster.due();
+            if next.min(cluster) > end {
                 break;
             }
-            self.now = self.now.max(next.min(world));
+            self.now = self.now.max(next.min(cluster));
             let now = self.now;
-            if world <= next {
-                self.world.turn(now);
+            if cluster <= next {
+                self.cluster.turn(now);
                 continue;
             }
-            let Reverse((_, id)) = self.heap.pop().expect("just seen");
-            match self.coming.remove(&id).expect("planned") {
-                Come::World(place, from, bytes) => self.world.arrive(now, place, from, bytes),
-                Come::Liar(member, from, bytes) => {
-                    self.liars.receive(now, member, from, &bytes);
-                    self.hear_liars();
+            let Reverse((_, id)) = self.queue.pop().expect("just seen");
+            match self.inputs.remove(&id).expect("planned") {
+                Input::ToStandIn(place, from, bytes) => self.cluster.receive(now, place, from, bytes),
+                Input::ToFaultyMember(member, from, bytes) => {
+                    self.faulty_members.receive(now, member, from, &bytes);
+                    self.send_faulty_members_messages();
                 }
-                Come::Proxy(proxy, life, arrived, side, from, bytes) => {
-                    let seat = &mut self.seats[proxy];
-                    if seat.life == life && now < seat.stalled_until {
-                        let until = seat.stalled_until;
-                        self.come(until, Come::Proxy(proxy, life, arrived, side, from, bytes));
-                    } else if seat.life == life
-                        && let Some(core) = &mut seat.core
+                Input::ToProxy(proxy, generation, arrived, side, from, bytes) => {
+                    let slot = &mut self.slots[proxy];
+                    if slot.generation == generation && now < slot.stalled_until {
+                        let until = slot.stalled_until;
+                        self.schedule(until, Input::ToProxy(proxy, generation, arrived, side, from, bytes));
+                    } else if slot.generation == generation
+                        && let Some(core) = &mut slot.core
                     {
                         core.receive(now, arrived, side, from, &bytes);
-                        self.batch(proxy);
-                        self.settle(proxy);
+                        self.receive_simultaneous(proxy);
+                        self.run_pending_and_send(proxy);
                     }
                 }
-                Come::Refused(proxy, life, peer) => {
-                    let seat = &mut self.seats[proxy];
-                    if seat.life == life && now < seat.stalled_until {
-                        let until = seat.stalled_until;
-                        self.come(until, Come::Refused(proxy, life, peer));
-                    } else if seat.life == life
-                        && let Some(core) = &mut seat.core
+                Input::Refused(proxy, generation, peer) => {
+                    let slot = &mut self.slots[proxy];
+                    if slot.generation == generation && now < slot.stalled_until {
+                        let until = slot.stalled_until;
+                        self.schedule(until, Input::Refused(proxy, generation, peer));
+                    } else if slot.generation == generation
+                        && let Some(core) = &mut slot.core
                     {
                         core.connection_refused(now, Side::Servers, peer);
-                        self.settle(proxy);
+                        self.run_pending_and_send(proxy);
                     }
                 }
-                Come::Look(proxy) => {
-                    let seat = &mut self.seats[proxy];
-                    if now < seat.stalled_until {
-                        let until = seat.stalled_until;
-                        self.come(until, Come::Look(proxy));
-                    } else if seat.look_at <= now {
-                        seat.look_at = f64::INFINITY;
-                        if let Some(core) = &mut seat.core {
+                Input::Turn(proxy) => {
+                    let slot = &mut self.slots[proxy];
+                    if now < slot.stalled_until {
+                        let until = slot.stalled_until;
+                        self.schedule(until, Input::Turn(proxy));
+                    } else if slot.turn_at <= now {
+                        slot.turn_at = f64::INFINITY;
+                        if let Some(core) = &mut slot.core {
                             core.turn(now);
-                            self.settle(proxy);
+                            self.run_pending_and_send(proxy);
                         }
                     }
                 }
@@ -293,51 +300,56 @@
         }
     }
 
-    fn hear_liars(&mut self) {
-        while let Some((from, to, bytes)) = self.liars.outgoing() {
+    fn send_faulty_members_messages(&mut self) {
+        while let Some((from, to, bytes)) = self.faulty_members.outgoing() {
             self.pass(from, to, bytes.into());
         }
     }
 
-    /// What has come for a proxy at the same time is told before it decides, as its sockets would.
-    fn batch(&mut self, proxy: usize) {
-        while let Some(Reverse((at, id))) = self.heap.peek().copied() {
-            let same = matches!(self.coming.get(&id), Some(Come::Proxy(p, life, ..))
-                if *p == proxy && *life == self.seats[proxy].life);
+    /// What has input for a proxy at the same time is told before it decides, as its sockets would.
+    fn receive_simultaneous(&mut self, proxy: usize) {
+        while let Some(Reverse((at, id))) = self.queue.peek().copied() {
+            let same = matches!(self.inputs.get(&id), Some(Input::ToProxy(p, generation, ..))
+                if *p == proxy && *generation == self.slots[proxy].generation);
             if at.0 > self.now || !same {
                 return;
             }
-            self.heap.pop();
-            if let Some(Come::Proxy(_, _, arrived, side, from, bytes)) = self.coming.remove(&id)
-                && let Some(core) = &mut self.seats[proxy].core
+            self.queue.pop();
+            if let Some(Input::ToProxy(_, _, arrived, side, from, bytes)) = self.inputs.remove(&id)
+                && let Some(core) = &mut self.slots[proxy].core
             {
                 core.receive(self.now, arrived, side, from, &bytes);
             }
         }
     }
 
-    fn carry_out(&mut self) {
-        while let Some(out) = self.world.out() {
+    fn run_actions(&mut self) {
+        while let Some(out) = self.cluster.next_action() {
             let now = self.now;
             match out {
-                Out::Datagram { from, to, bytes } => {
+                Action::Datagram { from, to, bytes } => {
                     let proxy = index(to);
                     let (side, peer) = match from {
-                        Place::Callers => (Side::Callers, address(CALLERS, 0)),
-                        Place::Server(server) => (Side::Servers, address(SERVER, server)),
+                        StandIn::Callers => (Side::Callers, address(CALLERS, 0)),
+                        StandIn::Server(server) => (Side::Servers, address(SERVER, server)),
                     };
-                    let life = self.seats[proxy].life;
-                    self.come(now + HOP, Come::Proxy(proxy, life, now + HOP, side, peer, bytes));
+                    let generation = self.slots[proxy].generation;
+                    self.schedule(
+                        now + HOP_MS,
+                        Input::ToProxy(proxy, generation, now + HOP_MS, side, peer, bytes),
+                    );
+                }
+                Action::List { proxy, updates } => self.list(proxy, &updates),
+                Action::ServerDown { .. } | Action::ServerUp { .. } => {}
+                Action::ServerAdded { server } => {
+                    self.cluster.set_server_address(server, address(SERVER, server))
                 }
-                Out::List { proxy, news } => self.list(proxy, &news),
-                Out::Down { .. } | Out::Up { .. } => {}
-                Out::Added { server } => self.world.settle_server(server, address(SERVER, server)),
-                Out::Kill { proxy } => self.seats[proxy].core = None,
-                Out::Start { proxy } => {
-                    self.seats[proxy].look_at = f64::INFINITY;
+                Action::KillProxy { proxy } => self.slots[proxy].core = None,
+                Action::StartProxy { proxy } => {
+                    self.slots[proxy].turn_at = f64::INFINITY;
                     self.start(proxy);
                 }
-                Out::Stall { proxy, span } => self.seats[proxy].stalled_until = now + span,
+                Action::StallProxy { proxy, duration } => self.slots[proxy].stalled_until = now + duration,
             }
         }
     }
--- a/lab/src/drills/sockets/gossip.rs
+++ b/lab/src/drills/sockets/gossip.rs
@@ -15,23 +15,23 @@
 use tokio::sync::mpsc;
 
 use super::datagrams::{bind, loopback, read};
-use super::{Come, Run, Seat, unix};
+use super::{Input, ProxySlot, Run, unix};
 use crate::drills::release;
-use crate::stand_ins::peers::{self, Liars};
+use crate::stand_ins::peers::{self, FaultyMembers};
 
-/// How often proxies are asked which servers they believe silent.
-const ASK_EVERY: Duration = Duration::from_millis(250);
+/// How often proxies are request which servers they believe silent.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Run {
     /// A socket for each member, which the others know it by.
     pub(super) fn open_switch(&mut self) -> Result<()> {
-        let members = self.world.drill.members();
+        let members = self.cluster.drill.gossip_members();
         for member in 0..members {
             let socket = Arc::new(bind(loopback())?);
-            self.switched.push(socket.local_addr()?);
-            let come = self.come.clone();
+            self.switch_addresses.push(socket.local_addr()?);
+            let input = self.input.clone();
             tokio::spawn(read(socket.clone(), move |from, bytes| {
-                come.send(Come::Gossip(member, from, bytes)).is_ok()
+                input.send(Input::Gossip(member, from, bytes)).is_ok()
             }));
             self.switch.push(socket);
         }
@@ -41,30 +41,30 @@
             format!("{} = \"{}\"\n", peers::name(member), hex::encode(peers::secrets(member).public_key()))
         };
         fs::write(folder.join("roster.toml"), (0..members).map(line).collect::<String>())?;
-        let (proxies, roster) = (self.world.drill.fleet.proxies, peers::roster(members));
+        let (proxies, roster) = (self.cluster.drill.fleet.proxies, peers::roster(members));
         let now = self.now();
-        let mut liars = Vec::new();
+        let mut faulty_members = Vec::new();
         for member in proxies..members {
-            let terms = peers::terms(&self.world.drill.gossip, member, &self.switched);
-            let seed = self.chance.random();
-            liars.push(Node::new(terms, peers::secrets(member), roster.clone(), seed, now, unix()?));
+            let terms = peers::terms(&self.cluster.drill.gossip, member, &self.switch_addresses);
+            let seed = self.rng.random();
+            faulty_members.push(Node::new(terms, peers::secrets(member), roster.clone(), seed, now, unix()?));
         }
-        self.liars = Liars::new(proxies, liars);
+        self.faulty_members = FaultyMembers::new(proxies, faulty_members);
         Ok(())
     }
 
     /// What a proxy's settings say of gossip.
     pub(super) fn gossip_settings(&self, proxy: usize) -> Result<String> {
-        let play = &self.world.drill.gossip;
+        let play = &self.cluster.drill.gossip;
         if !play.on {
             return Ok(String::new());
         }
         let folder = self._folder.path();
-        let key = self.seats[proxy].state.join("own.key");
+        let key = self.slots[proxy].state.join("own.key");
         if !key.exists() {
             write_key(&key, &peers::own_key(proxy))?;
         }
-        let terms = peers::terms(play, proxy, &self.switched);
+        let terms = peers::terms(play, proxy, &self.switch_addresses);
         let seeds: Vec<String> = terms.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
         Ok(format!(
             "\n[gossip]\nlisten = \"127.0.0.1:0\"\naddress = \"{}\"\nseeds = [{}]\nkey = {key:?}\nfleet_keys = [{:?}]\n\
@@ -76,18 +76,18 @@
             terms.max_bytes_per_second,
             terms.probe_interval,
             terms.max_faulty,
-            self.world.drill.limit_settings()
-                + &self.world.drill.release.map_or(String::new(), |play| release::settings(&play)),
+            self.cluster.drill.limit_settings()
+                + &self.cluster.drill.release.map_or(String::new(), |play| release::settings(&play)),
         ))
     }
 
     /// Passes a message on between members, or loses it.
     pub(super) fn pass(&mut self, from: usize, to: usize, bytes: &Bytes) {
         let now = self.now();
-        for late in self.world.drill.peer_copies(now, from, to, &mut self.chance) {
-            match self.seats.get(to) {
-                // The other one sees it come from the address that it knows the sender by.
-                Some(Seat { peers: Some(peer), .. }) => {
+        for late in self.cluster.drill.peer_copy_delays(now, from, to, &mut self.rng) {
+            match self.slots.get(to) {
+                // The other one sees it input from the address that it knows the sender by.
+                Some(ProxySlot { peers: Some(peer), .. }) => {
                     let (socket, peer, bytes) = (self.switch[from].clone(), *peer, bytes.clone());
                     tokio::spawn(async move {
                         tokio::time::sleep(Duration::from_secs_f64(late / 1000.0)).await;
@@ -96,16 +96,16 @@
                 }
                 Some(_) => {}
                 None => {
-                    self.liars.receive(now, to, self.switched[from], bytes);
-                    self.hear_liars();
+                    self.faulty_members.receive(now, to, self.switch_addresses[from], bytes);
+                    self.send_faulty_members_messages();
                 }
             }
         }
     }
 
-    pub(super) fn hear_liars(&mut self) {
-        while let Some((from, to, bytes)) = self.liars.outgoing() {
-            if let Some(to) = self.switched.iter().position(|address| *address == to) {
+    pub(super) fn send_faulty_members_messages(&mut self) {
+        while let Some((from, to, bytes)) = self.faulty_members.outgoing() {
+            if let Some(to) = self.switch_addresses.iter().position(|address| *address == to) {
                 self.pass(from, to, &bytes.into());
             }
         }
@@ -118,15 +118,15 @@
 }
 
 /// Asks every proxy in turn which servers it believes silent.
-pub(super) async fn ask_around(controls: Vec<PathBuf>, come: mpsc::UnboundedSender<Come>) {
+pub(super) async fn poll_suspicions(controls: Vec<PathBuf>, input: mpsc::UnboundedSender<Input>) {
     loop {
         for (proxy, control) in controls.iter().enumerate() {
-            tokio::time::sleep(ASK_EVERY / controls.len() as u32).await;
-            let asked = daemon::control::ask::<Vec<SuspicionStatus>>(control, "suspicions");
+            tokio::time::sleep(POLL_INTERVAL / controls.len() as u32).await;
+            let request = daemon::control::ask::<Vec<SuspicionStatus>>(control, "suspicions");
             // One that is down or stands still has nothing to say.
-            let Ok(Ok(suspicions)) = tokio::time::timeout(ASK_EVERY, asked).await else { continue };
+            let Ok(Ok(suspicions)) = tokio::time::timeout(POLL_INTERVAL, request).await else { continue };
             let believed = suspicions.into_iter().filter(|s| s.believed).map(|s| s.server).collect();
-            if come.send(Come::Believed(proxy, believed)).is_err() {
+            if input.send(Input::Believed(proxy, believed)).is_err() {
                 return;
             }
         }
--- a/lab/src/drills/sockets/mod.rs
+++ b/lab/src/drills/sockets/mod.rs
@@ -27,31 +27,31 @@
 use tokio::task::JoinHandle;
 
 use crate::drill::Drill;
+use crate::drills::cluster::{Action, StandIn, TestCluster};
 use crate::drills::release;
-use crate::drills::world::{Out, Place, World};
 use crate::stand_ins::baseline::Routing;
-use crate::stand_ins::peers::Liars;
+use crate::stand_ins::peers::FaultyMembers;
 use crate::witness::events::Events;
 
-use self::gossip::ask_around;
+use self::gossip::poll_suspicions;
 use datagrams::read;
-pub use datagrams::{LARGEST, bind, loopback};
+pub use datagrams::{MAX_DATAGRAM_BYTES, bind, loopback};
 pub use processes::Cost;
 use processes::{Ready, cost};
 
 /// How far the clock at which a datagram is read may lie from when it passed.
-pub const SLACK: f64 = 20.0;
+pub const CLOCK_SLACK_MS: f64 = 20.0;
 /// A proxy that is not ready by then fails the drill.
-const READY_WAIT: Duration = Duration::from_secs(15);
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
 /// A proxy that has not stopped by then is killed.
-const STOP_WAIT: Duration = Duration::from_secs(6);
+const STOP_TIMEOUT: Duration = Duration::from_secs(6);
 
-enum Come {
-    Datagram(Place, SocketAddr, Bytes),
+enum Input {
+    Datagram(StandIn, SocketAddr, Bytes),
     Subscribed(usize, OwnedWriteHalf),
     Ready(usize, Ready),
     Resume(usize),
-    /// A callers' socket gave a sign of life.
+    /// A callers' socket gave a sign of generation.
     Alive(usize),
     /// The release could not be started, or what a proxy makes of it.
     Release(Result<()>),
@@ -65,7 +65,7 @@
     reader: JoinHandle<()>,
 }
 
-struct Seat {
+struct ProxySlot {
     state: PathBuf,
     feed: SocketAddr,
     callers: Option<SocketAddr>,
@@ -76,40 +76,40 @@
 }
 
 struct Run {
-    world: World,
+    cluster: TestCluster,
     routing: Option<Routing>,
     costs: Vec<Cost>,
     began: Instant,
-    places: HashMap<Place, Listening>,
+    listeners: HashMap<StandIn, Listening>,
     addresses: HashMap<usize, SocketAddr>,
-    seats: Vec<Seat>,
-    come: mpsc::UnboundedSender<Come>,
-    comes: mpsc::UnboundedReceiver<Come>,
+    slots: Vec<ProxySlot>,
+    input: mpsc::UnboundedSender<Input>,
+    inputs: mpsc::UnboundedReceiver<Input>,
     /// Every member's socket in the switch that its gossip passes, and loses by.
     switch: Vec<Arc<UdpSocket>>,
-    switched: Vec<SocketAddr>,
-    liars: Liars,
-    chance: Pcg64Mcg,
+    switch_addresses: Vec<SocketAddr>,
+    faulty_members: FaultyMembers,
+    rng: Pcg64Mcg,
     /// Proxies that a baseline has yet to replace, with when.
     replacing: Vec<(f64, usize)>,
-    looked: f64,
+    last_look: f64,
     _folder: TempDir,
 }
 
 /// A drill that was played.
-pub struct Played {
-    pub world: World,
+pub struct DrillResult {
+    pub cluster: TestCluster,
     /// Of each proxy whose process ran from beginning to end.
     pub costs: Vec<Cost>,
 }
 
 /// Plays the drill to its end, with what the proxies cost. Without a routing there are none: callers go
 /// straight to the first server.
-pub fn play(drill: Drill, routing: Option<Routing>, events: Events) -> Result<Played> {
+pub fn play(drill: Drill, routing: Option<Routing>, events: Events) -> Result<DrillResult> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         let mut run = Run::begin(drill, routing).await?;
-        run.world.events = events;
+        run.cluster.events = events;
         run.play().await?;
         run.end().await
     })
@@ -117,40 +117,40 @@
 
 impl Run {
     async fn begin(drill: Drill, routing: Option<Routing>) -> Result<Self> {
-        let (come, comes) = mpsc::unbounded_channel();
+        let (input, inputs) = mpsc::unbounded_channel();
         let folder = tempfile::tempdir()?;
         let proxies = drill.fleet.proxies;
         let mut run = Self {
-            world: World::new(drill, SLACK, unix()?),
+            cluster: TestCluster::new(drill, CLOCK_SLACK_MS, unix()?),
             routing,
             costs: Vec::new(),
             began: Instant::now(),
-            places: HashMap::new(),
+            listeners: HashMap::new(),
             addresses: HashMap::new(),
-            seats: Vec::new(),
-            come,
-            comes,
+            slots: Vec::new(),
+            input,
+            inputs,
             switch: Vec::new(),
-            switched: Vec::new(),
-            liars: Liars::new(proxies, Vec::new()),
-            chance: Pcg64Mcg::seed_from_u64(0),
+            switch_addresses: Vec::new(),
+            faulty_members: FaultyMembers::new(proxies, Vec::new()),
+            rng: Pcg64Mcg::seed_from_u64(0),
             replacing: Vec::new(),
-            looked: 0.0,
+            last_look: 0.0,
             _folder: folder,
         };
-        run.chance = Pcg64Mcg::seed_from_u64(run.world.drill.seed ^ 0x1055);
-        run.open(Place::Callers, loopback())?;
-        for server in 0..run.world.servers.len() {
+        run.rng = Pcg64Mcg::seed_from_u64(run.cluster.drill.seed ^ 0x1055);
+        run.open(StandIn::Callers, loopback())?;
+        for server in 0..run.cluster.servers.len() {
             run.add_server(server)?;
         }
         if routing.is_none() {
-            run.world.whole_list(0);
+            run.cluster.whole_list(0);
             let server = run.addresses[&0];
-            (0..proxies).for_each(|proxy| run.world.settle_proxy(proxy, server));
+            (0..proxies).for_each(|proxy| run.cluster.set_proxy_address(proxy, server));
             run.began = Instant::now();
             return Ok(run);
         }
-        if run.world.drill.gossip.on {
+        if run.cluster.drill.gossip.on {
             run.open_switch()?;
         }
         for proxy in 0..proxies {
@@ -158,8 +158,8 @@
             fs::create_dir(&state)?;
             let feed = TcpListener::bind(loopback()).await?;
             let address = feed.local_addr()?;
-            tokio::spawn(subscribers(feed, proxy, run.come.clone()));
-            run.seats.push(Seat {
+            tokio::spawn(subscribers(feed, proxy, run.input.clone()));
+            run.slots.push(ProxySlot {
                 state,
                 feed: address,
                 callers: None,
@@ -169,24 +169,25 @@
             });
             run.start(proxy)?;
         }
-        let deadline = Instant::now() + READY_WAIT;
-        while run.seats.iter().any(|seat| seat.callers.is_none() || seat.subscriber.is_none()) {
-            ensure!(Instant::now() < deadline, "proxies were not ready: {}", run.last_words());
-            if let Ok(Some(come)) = tokio::time::timeout(Duration::from_millis(100), run.comes.recv()).await {
-                run.take(come).await?;
+        let deadline = Instant::now() + READY_TIMEOUT;
+        while run.slots.iter().any(|slot| slot.callers.is_none() || slot.subscriber.is_none()) {
+            ensure!(Instant::now() < deadline, "proxies were not ready: {}", run.last_log_lines());
+            if let Ok(Some(input)) = tokio::time::timeout(Duration::from_millis(100), run.inputs.recv()).await
+            {
+                run.handle_input(input).await?;
             }
         }
-        for seat in &run.seats {
-            let process = seat.child.as_ref().and_then(Child::id);
+        for slot in &run.slots {
+            let process = slot.child.as_ref().and_then(Child::id);
             let (cpu, memory) = process.map_or((0.0, 0.0), cost);
             run.costs.push(Cost { process, cpu, memory: [memory, memory] });
         }
         // The day begins when all are there.
         run.began = Instant::now();
         run.watch_release();
-        if run.world.drill.gossip.on {
-            let controls = run.seats.iter().map(|seat| seat.state.join("control.sock"));
-            tokio::spawn(ask_around(controls.collect(), run.come.clone()));
+        if run.cluster.drill.gossip.on {
+            let controls = run.slots.iter().map(|slot| slot.state.join("control.sock"));
+            tokio::spawn(poll_suspicions(controls.collect(), run.input.clone()));
         }
         Ok(run)
     }
@@ -195,154 +196,156 @@
         self.began.elapsed().as_secs_f64() * 1000.0
     }
 
-    fn open(&mut self, place: Place, address: SocketAddr) -> Result<SocketAddr> {
+    fn open(&mut self, stand_in: StandIn, address: SocketAddr) -> Result<SocketAddr> {
         let socket = Arc::new(bind(address)?);
         let address = socket.local_addr()?;
-        let come = self.come.clone();
+        let input = self.input.clone();
         let reader = tokio::spawn(read(socket.clone(), move |from, bytes| {
-            come.send(Come::Datagram(place, from, bytes)).is_ok()
+            input.send(Input::Datagram(stand_in, from, bytes)).is_ok()
         }));
-        self.places.insert(place, Listening { socket, reader });
+        self.listeners.insert(stand_in, Listening { socket, reader });
         Ok(address)
     }
 
     fn add_server(&mut self, server: usize) -> Result<()> {
-        let address = self.open(Place::Server(server), loopback())?;
+        let address = self.open(StandIn::Server(server), loopback())?;
         self.addresses.insert(server, address);
-        self.world.settle_server(server, address);
+        self.cluster.set_server_address(server, address);
         Ok(())
     }
 
     async fn play(&mut self) -> Result<()> {
-        let end = self.world.end();
+        let end = self.cluster.end();
         loop {
             let now = self.now();
             if now >= end {
                 return Ok(());
             }
-            self.world.turn(now);
-            self.carry_out().await?;
-            self.look(now)?;
-            if self.liars.due() <= now {
-                self.liars.turn(now);
-                self.hear_liars();
+            self.cluster.turn(now);
+            self.run_actions().await?;
+            self.check_release(now)?;
+            if self.faulty_members.due() <= now {
+                self.faulty_members.turn(now);
+                self.send_faulty_members_messages();
             }
-            let looks = if self.world.away.is_some() { self.looked + 100.0 } else { f64::INFINITY };
-            let due = self.world.due().min(self.liars.due()).min(looks);
+            let looks =
+                if self.cluster.availability.is_some() { self.last_look + 100.0 } else { f64::INFINITY };
+            let due = self.cluster.due().min(self.faulty_members.due()).min(looks);
             let wait = (due.min(end) - self.now()).max(0.0);
-            let first = tokio::time::timeout(Duration::from_secs_f64(wait / 1000.0), self.comes.recv()).await;
+            let first =
+                tokio::time::timeout(Duration::from_secs_f64(wait / 1000.0), self.inputs.recv()).await;
             let mut next = first.ok().flatten();
-            while let Some(come) = next {
-                self.take(come).await?;
-                next = self.comes.try_recv().ok();
+            while let Some(input) = next {
+                self.handle_input(input).await?;
+                next = self.inputs.try_recv().ok();
             }
         }
     }
 
-    async fn take(&mut self, come: Come) -> Result<()> {
-        match come {
-            Come::Datagram(place, from, bytes) => {
+    async fn handle_input(&mut self, input: Input) -> Result<()> {
+        match input {
+            Input::Datagram(stand_in, from, bytes) => {
                 let now = self.now();
-                self.world.arrive(now, place, from, bytes);
+                self.cluster.receive(now, stand_in, from, bytes);
             }
-            Come::Subscribed(proxy, writer) => {
-                self.seats[proxy].subscriber = Some(writer);
-                let news = self.world.whole_list(proxy);
+            Input::Subscribed(proxy, writer) => {
+                self.slots[proxy].subscriber = Some(writer);
+                let updates = self.cluster.whole_list(proxy);
                 if proxy == 0 {
-                    self.liars.listed(self.now(), unix()?, &news);
+                    self.faulty_members.update_server_list(self.now(), unix()?, &updates);
                 }
-                self.tell(proxy, &news.write()).await;
+                self.send_list(proxy, &updates.write()).await;
             }
-            Come::Ready(proxy, Ready { callers, peers }) => {
-                let first = self.seats[proxy].callers.is_none();
-                (self.seats[proxy].callers, self.seats[proxy].peers) = (Some(callers), peers);
-                self.world.settle_proxy(proxy, callers);
-                if first && self.world.drill.release.is_some() {
-                    // By a release it begins anew at the same port.
-                    let config = self.seats[proxy].state.join("settings.toml");
+            Input::Ready(proxy, Ready { callers, peers }) => {
+                let first = self.slots[proxy].callers.is_none();
+                (self.slots[proxy].callers, self.slots[proxy].peers) = (Some(callers), peers);
+                self.cluster.set_proxy_address(proxy, callers);
+                if first && self.cluster.drill.release.is_some() {
+                    // ReplacementMethod a release it begins anew at the same port.
+                    let config = self.slots[proxy].state.join("settings.toml");
                     let settings = fs::read_to_string(&config)?;
                     fs::write(config, settings.replacen("127.0.0.1:0", &callers.to_string(), 1))?;
                 }
             }
-            Come::Alive(proxy) => {
+            Input::Alive(proxy) => {
                 let now = self.now();
-                let image = release::image(self.seats[proxy].child.as_ref().and_then(Child::id));
-                if let Some(away) = &mut self.world.away {
-                    away.heard(now, proxy, &image);
+                let image = release::image(self.slots[proxy].child.as_ref().and_then(Child::id));
+                if let Some(availability) = &mut self.cluster.availability {
+                    availability.answered(now, proxy, &image);
                 }
             }
-            Come::Release(started) => started?,
-            Come::Gossip(to, from, bytes) => {
-                if let Some(member) = self.seats.iter().position(|seat| seat.peers == Some(from)) {
+            Input::Release(started) => started?,
+            Input::Gossip(to, from, bytes) => {
+                if let Some(member) = self.slots.iter().position(|slot| slot.peers == Some(from)) {
                     let now = self.now();
-                    self.world.peers.sent(now, member, bytes.len());
+                    self.cluster.peers.sent(now, member, bytes.len());
                     self.pass(member, to, &bytes);
                 }
             }
-            Come::Believed(proxy, names) => {
+            Input::Believed(proxy, names) => {
                 let now = self.now();
-                self.world.believes(now, proxy, names.iter().map(String::as_str));
+                self.cluster.record_suspicions(now, proxy, names.iter().map(String::as_str));
             }
-            Come::Resume(proxy) => self.signal(proxy, Signal::SIGCONT),
+            Input::Resume(proxy) => self.signal(proxy, Signal::SIGCONT),
         }
         Ok(())
     }
 
-    async fn tell(&mut self, proxy: usize, line: &str) {
-        let seat = &mut self.seats[proxy];
-        if let Some(subscriber) = &mut seat.subscriber
+    async fn send_list(&mut self, proxy: usize, line: &str) {
+        let slot = &mut self.slots[proxy];
+        if let Some(subscriber) = &mut slot.subscriber
             && subscriber.write_all(line.as_bytes()).await.is_err()
         {
-            seat.subscriber = None;
+            slot.subscriber = None;
         }
     }
 
-    async fn carry_out(&mut self) -> Result<()> {
-        while let Some(out) = self.world.out() {
+    async fn run_actions(&mut self) -> Result<()> {
+        while let Some(out) = self.cluster.next_action() {
             match out {
-                Out::Datagram { from, to, bytes } => {
-                    if let Some(place) = self.places.get(&from) {
+                Action::Datagram { from, to, bytes } => {
+                    if let Some(stand_in) = self.listeners.get(&from) {
                         // What finds no room is lost, as datagrams are.
-                        let _ = place.socket.try_send_to(&bytes, to);
+                        let _ = stand_in.socket.try_send_to(&bytes, to);
                     }
                 }
-                Out::List { proxy, news } => {
+                Action::List { proxy, updates } => {
                     if proxy == 0 {
-                        self.liars.listed(self.now(), unix()?, &news);
+                        self.faulty_members.update_server_list(self.now(), unix()?, &updates);
                     }
-                    self.tell(proxy, &news.write()).await;
+                    self.send_list(proxy, &updates.write()).await;
                 }
-                Out::Down { server } => {
-                    if let Some(place) = self.places.remove(&Place::Server(server)) {
-                        place.reader.abort();
-                        let _ = place.reader.await;
+                Action::ServerDown { server } => {
+                    if let Some(stand_in) = self.listeners.remove(&StandIn::Server(server)) {
+                        stand_in.reader.abort();
+                        let _ = stand_in.reader.await;
                     }
                 }
-                Out::Up { server } => {
+                Action::ServerUp { server } => {
                     let address = self.addresses[&server];
-                    self.open(Place::Server(server), address)?;
+                    self.open(StandIn::Server(server), address)?;
                 }
-                Out::Added { server } => self.add_server(server)?,
-                Out::Kill { proxy } => {
+                Action::ServerAdded { server } => self.add_server(server)?,
+                Action::KillProxy { proxy } => {
                     self.script(proxy, f64::INFINITY);
-                    self.seats[proxy].subscriber = None;
-                    if let Some(mut child) = self.seats[proxy].child.take() {
+                    self.slots[proxy].subscriber = None;
+                    if let Some(mut child) = self.slots[proxy].child.take() {
                         child.kill().await?;
                     }
                 }
-                Out::Start { proxy } => {
+                Action::StartProxy { proxy } => {
                     let now = self.now();
                     self.script(proxy, now);
                     self.start(proxy)?;
                 }
-                Out::Stall { proxy, span } => {
+                Action::StallProxy { proxy, duration } => {
                     let now = self.now();
-                    self.script(proxy, now + span);
+                    self.script(proxy, now + duration);
                     self.signal(proxy, Signal::SIGSTOP);
-                    let come = self.come.clone();
+                    let input = self.input.clone();
                     tokio::spawn(async move {
-                        tokio::time::sleep(Duration::from_secs_f64(span / 1000.0)).await;
-                        let _ = come.send(Come::Resume(proxy));
+                        tokio::time::sleep(Duration::from_secs_f64(duration / 1000.0)).await;
+                        let _ = input.send(Input::Resume(proxy));
                     });
                 }
             }
@@ -351,11 +354,11 @@
     }
 
     /// Asks the proxies to stop, and looks whether they do so in order.
-    async fn end(mut self) -> Result<Played> {
+    async fn end(mut self) -> Result<DrillResult> {
         let now = self.now();
-        self.world.witness.close(now);
-        for (seat, spent) in self.seats.iter().zip(&mut self.costs) {
-            let process = seat.child.as_ref().and_then(Child::id);
+        self.cluster.checker.close(now);
+        for (slot, spent) in self.slots.iter().zip(&mut self.costs) {
+            let process = slot.child.as_ref().and_then(Child::id);
             if process != spent.process {
                 spent.process = None;
             }
@@ -363,35 +366,35 @@
             *spent = Cost { cpu: cpu - spent.cpu, memory: [spent.memory[0], memory], ..*spent };
         }
         self.costs.retain(|spent| spent.process.is_some());
-        for proxy in 0..self.seats.len() {
+        for proxy in 0..self.slots.len() {
             self.signal(proxy, Signal::SIGCONT);
             self.signal(proxy, Signal::SIGTERM);
         }
-        for seat in &mut self.seats {
-            let Some(child) = &mut seat.child else { continue };
-            match tokio::time::timeout(STOP_WAIT, child.wait()).await {
+        for slot in &mut self.slots {
+            let Some(child) = &mut slot.child else { continue };
+            match tokio::time::timeout(STOP_TIMEOUT, child.wait()).await {
                 Ok(status) if status.as_ref().is_ok_and(|status| status.success()) => {}
                 Ok(status) => {
-                    let log = fs::read_to_string(seat.state.join("log")).unwrap_or_default();
+                    let log = fs::read_to_string(slot.state.join("log")).unwrap_or_default();
                     bail!("a proxy ended with {status:?}: {}", log.lines().last().unwrap_or_default());
                 }
                 Err(_) => {
                     child.kill().await?;
-                    bail!("a proxy did not stop within {STOP_WAIT:?} of being asked to");
+                    bail!("a proxy did not stop within {STOP_TIMEOUT:?} of being asked to");
                 }
             }
         }
-        Ok(Played { world: self.world, costs: self.costs })
+        Ok(DrillResult { cluster: self.cluster, costs: self.costs })
     }
 }
 
 /// Takes a proxy's subscriptions; what it asks for first is read and answered with the whole list.
-async fn subscribers(listener: TcpListener, proxy: usize, come: mpsc::UnboundedSender<Come>) {
+async fn subscribers(listener: TcpListener, proxy: usize, input: mpsc::UnboundedSender<Input>) {
     while let Ok((stream, _)) = listener.accept().await {
         let (from, to) = stream.into_split();
-        let mut asked = String::new();
-        if BufReader::new(from).read_line(&mut asked).await.is_ok_and(|read| read > 0) {
-            let _ = come.send(Come::Subscribed(proxy, to));
+        let mut request = String::new();
+        if BufReader::new(from).read_line(&mut request).await.is_ok_and(|read| read > 0) {
+            let _ = input.send(Input::Subscribed(proxy, to));
         }
     }
 }
--- a/lab/src/drills/sockets/processes.rs
+++ b/lab/src/drills/sockets/processes.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc;
 
 use super::datagrams::loopback;
-use super::{Come, Run};
+use super::{Input, Run};
 use crate::drills::release;
 use crate::stand_ins::baseline::Routing;
 
@@ -57,13 +57,13 @@
 
 impl Run {
     pub(super) fn start(&mut self, proxy: usize) -> Result<()> {
-        let seat = &self.seats[proxy];
-        let (config, ready) = (seat.state.join("settings.toml"), seat.state.join("ready.json"));
+        let slot = &self.slots[proxy];
+        let (config, ready) = (slot.state.join("settings.toml"), slot.state.join("ready.json"));
         let _ = fs::remove_file(&ready);
-        let callers = seat.callers.unwrap_or(loopback()).to_string();
-        let state = seat.state.to_str().context("a path that is no text")?;
+        let callers = slot.callers.unwrap_or(loopback()).to_string();
+        let state = slot.state.to_str().context("a path that is no text")?;
         let settings =
-            self.world.drill.settings(&format!("p{proxy}"), state, &callers, &seat.feed.to_string());
+            self.cluster.drill.settings(&format!("p{proxy}"), state, &callers, &slot.feed.to_string());
         let gossip = self.gossip_settings(proxy)?;
         fs::write(&config, settings + &gossip)?;
         let routing = self.routing.context("no proxies in this drill")?;
@@ -76,40 +76,40 @@
             command.args(["proxy", "--routing", &routing.to_string(), "--config"]);
             command
         };
-        let seat = &mut self.seats[proxy];
-        let log = File::options().create(true).append(true).open(seat.state.join("log"))?;
+        let slot = &mut self.slots[proxy];
+        let log = File::options().create(true).append(true).open(slot.state.join("log"))?;
         command.arg(&config).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).kill_on_drop(true);
-        seat.child = Some(command.spawn()?);
-        tokio::spawn(await_ready(ready, proxy, self.come.clone()));
+        slot.child = Some(command.spawn()?);
+        tokio::spawn(watch_ready_file(ready, proxy, self.input.clone()));
         Ok(())
     }
 
     pub(super) fn signal(&self, proxy: usize, signal: Signal) {
-        if let Some(id) = self.seats[proxy].child.as_ref().and_then(Child::id) {
+        if let Some(id) = self.slots[proxy].child.as_ref().and_then(Child::id) {
             let _ = kill(Pid::from_raw(id as i32), signal);
         }
     }
 
     pub(super) fn images(&self) -> Vec<String> {
-        self.seats.iter().map(|seat| release::image(seat.child.as_ref().and_then(Child::id))).collect()
+        self.slots.iter().map(|slot| release::image(slot.child.as_ref().and_then(Child::id))).collect()
     }
 
-    pub(super) fn last_words(&self) -> String {
-        let words = self.seats.iter().filter_map(|seat| fs::read_to_string(seat.state.join("log")).ok());
-        words.filter_map(|log| log.lines().last().map(str::to_owned)).collect::<Vec<_>>().join("; ")
+    pub(super) fn last_log_lines(&self) -> String {
+        let logs = self.slots.iter().filter_map(|slot| fs::read_to_string(slot.state.join("log")).ok());
+        logs.filter_map(|log| log.lines().last().map(str::to_owned)).collect::<Vec<_>>().join("; ")
     }
 }
 
-async fn await_ready(file: PathBuf, proxy: usize, come: mpsc::UnboundedSender<Come>) {
-    let mut told = String::new();
+async fn watch_ready_file(file: PathBuf, proxy: usize, input: mpsc::UnboundedSender<Input>) {
+    let mut last_text = String::new();
     loop {
         // A process that becomes another says anew where it listens.
         let text = fs::read_to_string(&file).unwrap_or_default();
-        if text != told
+        if text != last_text
             && let Ok(ready) = serde_json::from_str(&text)
         {
-            told = text;
-            if come.send(Come::Ready(proxy, ready)).is_err() {
+            last_text = text;
+            if input.send(Input::Ready(proxy, ready)).is_err() {
                 return;
             }
         }
--- a/lab/src/drills/sockets/releasing.rs
+++ b/lab/src/drills/sockets/releasing.rs
@@ -1,4 +1,4 @@
-//! A release in a drill: begun in its time, with who is away looked at from outside.
+//! A release in a drill: begun in its time, with who is availability last_look at from outside.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -7,69 +7,72 @@
 use nix::sys::signal::Signal;
 use rand::Rng;
 
-use super::{Come, Run};
-use crate::drill::By;
-use crate::drills::release::{self, AwayWitness};
+use super::{Input, Run};
+use crate::drill::ReplacementMethod;
+use crate::drills::release::{self, AvailabilityChecker};
 
 impl Run {
-    /// Has the release begin in its time, and looks at who is away from now on.
+    /// Has the release begin in its time, and looks at who is availability from now on.
     pub(super) fn watch_release(&mut self) {
-        let Some(play) = self.world.drill.release else { return };
-        let proxies = self.seats.len();
-        self.world.away = Some(AwayWitness::new(proxies, play.most(proxies), self.images()));
-        let addresses = self.seats.iter().filter_map(|seat| seat.callers).collect();
-        let come = self.come.clone();
-        tokio::spawn(release::look_around(addresses, move |proxy| come.send(Come::Alive(proxy)).is_ok()));
+        let Some(play) = self.cluster.drill.release else { return };
+        let proxies = self.slots.len();
+        self.cluster.availability =
+            Some(AvailabilityChecker::new(proxies, play.max_unavailable(proxies), self.images()));
+        let addresses = self.slots.iter().filter_map(|slot| slot.callers).collect();
+        let input = self.input.clone();
+        tokio::spawn(release::probe_callers_sockets(addresses, move |proxy| {
+            input.send(Input::Alive(proxy)).is_ok()
+        }));
         let at = play.at * 1000.0;
         // What the budget gives on average, if each took two seconds.
-        let spread = 2_000.0 * (proxies as f64 / play.most(proxies) as f64).ceil();
-        let states: Vec<PathBuf> = self.seats.iter().map(|seat| seat.state.clone()).collect();
-        match play.by {
-            By::Agreed => {
-                let come = self.come.clone();
+        let spread = 2_000.0 * (proxies as f64 / play.max_unavailable(proxies) as f64).ceil();
+        let states: Vec<PathBuf> = self.slots.iter().map(|slot| slot.state.clone()).collect();
+        match play.method {
+            ReplacementMethod::Agreed => {
+                let input = self.input.clone();
                 tokio::spawn(async move {
                     tokio::time::sleep(Duration::from_secs_f64(at / 1000.0)).await;
-                    let _ = come.send(Come::Release(release::start(states).await));
+                    let _ = input.send(Input::Release(release::start(states).await));
                 });
             }
-            By::Timer => {
-                let draw = |proxy| (at + spread * self.chance.random::<f64>(), proxy);
+            ReplacementMethod::Timer => {
+                let draw = |proxy| (at + spread * self.rng.random::<f64>(), proxy);
                 self.replacing = (0..proxies).map(draw).collect();
             }
-            By::Push => self.replacing = (0..proxies).map(|proxy| (at, proxy)).collect(),
+            ReplacementMethod::Push => self.replacing = (0..proxies).map(|proxy| (at, proxy)).collect(),
         }
     }
 
-    /// Who is away, and proxies that a baseline replaces: told to stop, and started again when they have.
-    pub(super) fn look(&mut self, now: f64) -> Result<()> {
-        if self.world.away.is_none() || now - self.looked < 100.0 {
+    /// Who is availability, and proxies that a baseline replaces: told to stop, and started again when they have.
+    pub(super) fn check_release(&mut self, now: f64) -> Result<()> {
+        if self.cluster.availability.is_none() || now - self.last_look < 100.0 {
             return Ok(());
         }
-        self.looked = now;
+        self.last_look = now;
         let due: Vec<usize> =
             self.replacing.iter().filter(|(at, _)| *at <= now).map(|(_, proxy)| *proxy).collect();
         self.replacing.retain(|(at, _)| *at > now);
         due.iter().for_each(|&proxy| self.signal(proxy, Signal::SIGTERM));
-        if self.world.drill.release.is_some_and(|play| play.by != By::Agreed) {
-            for proxy in 0..self.seats.len() {
-                let child = self.seats[proxy].child.as_mut();
+        if self.cluster.drill.release.is_some_and(|play| play.method != ReplacementMethod::Agreed) {
+            for proxy in 0..self.slots.len() {
+                let child = self.slots[proxy].child.as_mut();
                 if child.is_some_and(|child| matches!(child.try_wait(), Ok(Some(_)))) {
                     self.start(proxy)?;
                 }
             }
         }
         let images = self.images();
-        for proxy in std::mem::take(&mut self.world.witness.stopping) {
-            self.world.away.as_mut().expect("watched").stopping(now, proxy);
+        for proxy in std::mem::take(&mut self.cluster.checker.stopping) {
+            self.cluster.availability.as_mut().expect("watched").stopping(now, proxy);
         }
-        self.world.away.as_mut().expect("watched").look(now, &images);
+        self.cluster.availability.as_mut().expect("watched").observe(now, &images);
         Ok(())
     }
 
     /// What befalls the proxy until then is the script's doing.
     pub(super) fn script(&mut self, proxy: usize, until: f64) {
-        if let Some(away) = &mut self.world.away {
-            away.script(proxy, until);
+        if let Some(availability) = &mut self.cluster.availability {
+            availability.expect_fault(proxy, until);
         }
     }
 }
--- a/lab/src/drills/standalone.rs
+++ b/lab/src/drills/standalone.rs
@@ -21,22 +21,22 @@
 use tokio::sync::mpsc;
 
 use crate::drill::{Drill, LinkFaults};
-use crate::drills::sockets::{LARGEST, bind};
+use crate::drills::sockets::{MAX_DATAGRAM_BYTES, bind};
 use crate::stand_ins::callers::Callers;
 use crate::stand_ins::central::Central;
 use crate::stand_ins::feed::Feed;
 use crate::stand_ins::link::Link;
-use crate::witness::{Verdict, Witness};
+use crate::witness::{RuleChecker, Verdict};
 
 /// How often a list's file is looked at for changes.
-const LOOK: Duration = Duration::from_millis(100);
+const FILE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-struct Watch {
+struct Stopwatch {
     began: Instant,
     end: f64,
 }
 
-impl Watch {
+impl Stopwatch {
     fn new(seconds: Option<f64>) -> Self {
         Self { began: Instant::now(), end: seconds.map_or(f64::INFINITY, |s| s * 1000.0) }
     }
@@ -59,11 +59,11 @@
 /// What comes to a socket before `due`.
 async fn arrival(
     socket: &UdpSocket,
-    watch: &Watch,
+    watch: &Stopwatch,
     due: f64,
     buffer: &mut BytesMut,
 ) -> Option<(SocketAddr, Bytes)> {
-    buffer.reserve(LARGEST);
+    buffer.reserve(MAX_DATAGRAM_BYTES);
     // A refusal tells of an earlier datagram's peer, who is found missing by those who wait for it.
     let (_, from) = tokio::time::timeout(watch.wait(due), socket.recv_buf_from(buffer)).await.ok()?.ok()?;
     Some((from, buffer.split().freeze()))
@@ -77,7 +77,7 @@
 }
 
 /// How a stand-in server behaves; times in seconds since its start.
-pub struct ServerPlay {
+pub struct ServerBehaviour {
     pub listen: SocketAddr,
     pub name: String,
     pub pool: u16,
@@ -96,7 +96,7 @@
 }
 
 /// One stand-in server; its entry for the pool list is printed once it listens.
-pub async fn server(play: ServerPlay) -> Result<()> {
+pub async fn server(play: ServerBehaviour) -> Result<()> {
     let socket = bind(play.listen).with_context(|| format!("listening at {}", play.listen))?;
     let started = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH)?.as_secs_f64() * 1000.0;
     let entry = PoolEntry {
@@ -107,10 +107,10 @@
         started: play.cold.then_some(started.floor()),
     };
     println!("{}", serde_json::to_string(&entry)?);
-    let watch = Watch::new(play.seconds);
+    let watch = Stopwatch::new(play.seconds);
     let since = if play.cold { 0.0 } else { f64::NEG_INFINITY };
-    let chance = Pcg64Mcg::seed_from_u64(rand::rng().random());
-    let mut central = Central::new(Drill::work_at(play.capacity), since, play.reports, chance);
+    let rng = Pcg64Mcg::seed_from_u64(rand::rng().random());
+    let mut central = Central::new(Drill::setup_work_for(play.capacity), since, play.reports, rng);
     central.slow = (f64::INFINITY, play.slow);
     central.faulty = (f64::INFINITY, play.faulty);
     central.lines = play.lines.unwrap_or(usize::MAX);
@@ -151,7 +151,7 @@
 pub async fn list(listen: SocketAddr, file: &Path, late: f64, seconds: Option<f64>) -> Result<()> {
     let listener = TcpListener::bind(listen).await.with_context(|| format!("listening at {listen}"))?;
     println!("{}", serde_json::json!({ "feed": listener.local_addr()? }));
-    let watch = Watch::new(seconds);
+    let watch = Stopwatch::new(seconds);
     let mut listed = entries(file)?;
     let mut feed = Feed::new(1, &listed);
     let (come, mut comes) = mpsc::unbounded_channel::<OwnedWriteHalf>();
@@ -169,7 +169,7 @@
     });
     let mut subscribers: Vec<OwnedWriteHalf> = Vec::new();
     while !watch.over() {
-        let wait = watch.wait(watch.now() + LOOK.as_secs_f64() * 1000.0);
+        let wait = watch.wait(watch.now() + FILE_POLL_INTERVAL.as_secs_f64() * 1000.0);
         if let Ok(Some(mut fresh)) = tokio::time::timeout(wait, comes.recv()).await
             && fresh.write_all(feed.whole(0).write().as_bytes()).await.is_ok()
         {
@@ -214,30 +214,30 @@
     let socket = bind(crate::drills::sockets::loopback())?;
     let mut drill = drill;
     drill.fleet.proxies = proxies.len();
-    let longest = drill.grades.iter().map(|grade| grade.limit).fold(drill.load.patience, f64::max);
-    let watch = Watch::new(Some(drill.seconds + longest));
+    let longest = drill.grades.iter().map(|grade| grade.limit).fold(drill.load.caller_timeout, f64::max);
+    let watch = Stopwatch::new(Some(drill.seconds + longest));
     let mut callers = Callers::new(&drill, Pcg64Mcg::seed_from_u64(drill.seed));
     callers.proxies = proxies.iter().copied().map(Some).collect();
-    let mut witness = Witness::new(crate::drills::sockets::SLACK, None);
+    let mut checker = RuleChecker::new(crate::drills::sockets::CLOCK_SLACK_MS, None);
     let mut buffer = BytesMut::new();
     while !watch.over() {
         if let Some((from, bytes)) = arrival(&socket, &watch, callers.due(), &mut buffer).await {
-            witness.to_caller(watch.now(), &bytes, |number| callers.try_at(from, number));
+            checker.to_caller(watch.now(), &bytes, |number| callers.try_of_call_number(from, number));
             callers.receive(watch.now(), &drill, from, &bytes);
         }
         callers.turn(watch.now(), &drill);
         while let Some(datagram) = callers.datagram() {
             let tries = &callers.tries;
             let of = |number: usize| (tries[number].proxy, tries[number].until);
-            witness.from_caller(watch.now(), datagram.peer, &datagram.bytes, of);
-            callers.sent(&datagram);
+            checker.from_caller(watch.now(), datagram.peer, &datagram.bytes, of);
+            callers.record_sent(&datagram);
             let _ = socket.send_to(&datagram.bytes, datagram.peer).await;
         }
     }
-    witness.close(watch.now());
-    let Verdict { checked, broken, told } = &witness.verdicts[0];
+    checker.close(watch.now());
+    let Verdict { checked, broken, examples } = &checker.verdicts[0];
     let mut delays = Histogram::<u64>::new(3)?;
-    let stood = callers.people.iter().filter_map(|person| Some(person.stood_at? - person.first_at));
+    let stood = callers.people.iter().filter_map(|person| Some(person.answered_at? - person.first_at));
     stood.for_each(|delay| delays.saturating_record(delay.max(1.0) as u64));
     let (worth, earned) = callers.people.iter().fold((0.0, 0.0), |sum, person| {
         let (worth, earned) = callers.earned(&drill, person);
@@ -246,15 +246,15 @@
     println!(
         "{} callers, {} tries; {} stood, {} cut; earned {:.1}%; set-up p50 {} ms, p99 {} ms",
         callers.people.len(),
-        callers.tries.iter().filter(|t| t.at.is_finite()).count(),
-        callers.people.iter().filter(|person| person.stood_at.is_some()).count(),
+        callers.tries.iter().filter(|t| t.started_at.is_finite()).count(),
+        callers.people.iter().filter(|person| person.answered_at.is_some()).count(),
         callers.people.iter().filter(|person| person.cut).count(),
         100.0 * earned / f64::max(worth, 1.0),
         delays.value_at_quantile(0.5),
         delays.value_at_quantile(0.99),
     );
     println!("one answer, in time: {checked} checked, {broken} broken");
-    told.iter().for_each(|told| println!("BROKEN: {told}"));
+    examples.iter().for_each(|example| println!("BROKEN: {example}"));
     Ok(*broken == 0)
 }
 
@@ -268,7 +268,7 @@
 ) -> Result<()> {
     let front = Arc::new(bind(listen).with_context(|| format!("listening at {listen}"))?);
     println!("{}", serde_json::json!({ "relay": front.local_addr()? }));
-    let watch = Watch::new(seconds);
+    let watch = Stopwatch::new(seconds);
     let mut link = Link::new(faults, Pcg64Mcg::seed_from_u64(seed));
     let (come, mut comes) = mpsc::unbounded_channel::<(SocketAddr, Bytes)>();
     let mut backs: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
@@ -318,7 +318,7 @@
 ) {
     let mut buffer = BytesMut::new();
     loop {
-        buffer.reserve(LARGEST);
+        buffer.reserve(MAX_DATAGRAM_BYTES);
         if back.recv_buf_from(&mut buffer).await.is_err() {
             continue;
         }
--- a/lab/src/reports/page.rs
+++ b/lab/src/reports/page.rs
@@ -11,21 +11,21 @@
 use crate::reports::summary::Summary;
 
 const PAGE: &str = include_str!("page.html");
-const SIZE: (u32, u32) = (960, 320);
-const INKS: [RGBColor; 5] =
+const PLOT_SIZE: (u32, u32) = (960, 320);
+const LINE_COLOURS: [RGBColor; 5] =
     [RGBColor(31, 119, 180), RGBColor(214, 39, 40), RGBColor(44, 160, 44), RGBColor(148, 103, 189), BLACK];
 
 /// A named line of a plot.
 pub type Line = (String, Vec<(f64, f64)>);
 
-/// An SVG with some lines over a common x axis; `marks` are upright lines, as for troubles.
+/// An SVG with some lines over a common x axis; `marks` are upright lines, as for faults.
 pub fn plot(title: &str, axes: [&str; 2], lines: &[Line], marks: &[f64]) -> Result<String> {
     let mut svg = String::new();
     let points = || lines.iter().flat_map(|line| &line.1);
     let right = points().map(|point| point.0).fold(1.0, f64::max);
     let top = points().map(|point| point.1).fold(0.0, f64::max).max(1e-9) * 1.05;
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
         let wrong = |error: &dyn std::fmt::Display| anyhow!("plot {title}: {error}");
         area.fill(&WHITE).map_err(|e| wrong(&e))?;
         let mut chart = ChartBuilder::on(&area)
@@ -47,7 +47,7 @@
             chart.draw_series(mark).map_err(|e| wrong(&e))?;
         }
         for (i, (name, points)) in lines.iter().enumerate() {
-            let ink = INKS[i % INKS.len()];
+            let ink = LINE_COLOURS[i % LINE_COLOURS.len()];
             let series = LineSeries::new(points.iter().copied(), ink.stroke_width(2));
             let legend = move |(x, y)| PathElement::new([(x, y), (x + 16, y)], ink.stroke_width(2));
             chart.draw_series(series).map_err(|e| wrong(&e))?.label(name).legend(legend);
@@ -62,7 +62,7 @@
 /// Writes `summary.json` and `report.html` into the folder.
 pub fn write(folder: &Path, drill: &Drill, summaries: &[Summary]) -> Result<()> {
     fs::write(folder.join("summary.json"), serde_json::to_string_pretty(summaries)? + "\n")?;
-    let marks: Vec<f64> = drill.troubles.iter().map(|trouble| trouble.at).collect();
+    let marks: Vec<f64> = drill.faults.iter().map(|fault| fault.at).collect();
     let seconds = |by: &[(f64, f64)], of: fn(&(f64, f64)) -> f64| -> Vec<(f64, f64)> {
         by.iter().enumerate().map(|(i, slot)| (i as f64, of(slot))).collect()
     };
--- a/lab/src/reports/summary.rs
+++ b/lab/src/reports/summary.rs
@@ -5,9 +5,9 @@
 use serde::Serialize;
 use tabled::{Table, Tabled, settings::Style};
 
-use crate::drill::{By, Drill};
+use crate::drill::{Drill, ReplacementMethod};
+use crate::drills::cluster::TestCluster;
 use crate::drills::sockets::Cost;
-use crate::drills::world::World;
 use crate::witness::Verdict;
 
 /// What the five rules are called in a summary.
@@ -40,7 +40,7 @@
     /// What capacity alone would have let through.
     pub bound: f64,
     pub worst_ten_seconds: f64,
-    /// By grade and by tenant.
+    /// ReplacementMethod grade and by tenant.
     pub grades: Vec<(String, f64)>,
     pub tenants: Vec<(String, f64)>,
     pub cut: usize,
@@ -49,11 +49,13 @@
     /// From a caller's first try until it stood, in milliseconds.
     pub delay_median: f64,
     pub delay_p99: f64,
-    /// By second of the first try: offered and served.
+    /// ReplacementMethod second of the first try: offered and served.
     pub by_second: Vec<(f64, f64)>,
-    pub fallen_servers: usize,
+    #[serde(rename = "fallen_servers")]
+    pub overloaded_servers: usize,
     /// Shots at servers that had been silent for five seconds.
-    pub late_shots: u64,
+    #[serde(rename = "late_shots")]
+    pub late_attempts: u64,
     pub gossip: Option<GossipSummary>,
     /// On sockets, of the proxies that ran throughout, on average: milliseconds of processor time, and bytes
     /// of memory at the end. A process and its cores are no virtual clock's.
@@ -70,8 +72,8 @@
 /// What a release came to, as seen at callers' sockets and processes.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReleaseSummary {
-    pub by: By,
-    /// Proxies that may be away at once, the most that were, looks at which more were, and the first of
+    pub by: ReplacementMethod,
+    /// Proxies that may be availability at once, the most that were, looks at which more were, and the first of
     /// those.
     pub allowed: usize,
     pub most: usize,
@@ -87,15 +89,18 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct GossipSummary {
     pub members: usize,
-    pub liars: usize,
-    pub liars_borne: usize,
+    #[serde(rename = "liars")]
+    pub faulty_members: usize,
+    #[serde(rename = "liars_borne")]
+    pub max_faulty: usize,
     pub loss: f64,
     /// From when a server fell silent until proxies believed it: the median and the last.
     pub know_median: Option<f64>,
     pub know_p99: Option<f64>,
     pub know_worst: Option<f64>,
     /// Pairs of a proxy and a silent server that it never believed silent.
-    pub unaware: usize,
+    #[serde(rename = "unaware")]
+    pub undetected: usize,
     /// Pairs of a proxy and a sound server that it believed silent.
     pub wrong: usize,
     /// The most bytes that any member sent in any second.
@@ -105,23 +110,23 @@
 }
 
 impl GossipSummary {
-    fn of(world: &World) -> Self {
-        let (drill, seen) = (&world.drill, &world.peers);
-        let took = seen.took();
-        let seconds = world.capacity.len().max(1) as f64;
+    fn of(cluster: &TestCluster) -> Self {
+        let (drill, stats) = (&cluster.drill, &cluster.peers);
+        let detection_times = stats.detection_times();
+        let seconds = cluster.capacity.len().max(1) as f64;
         Self {
-            members: drill.members(),
-            liars: drill.gossip.liars,
-            liars_borne: drill.gossip.liars_borne,
+            members: drill.gossip_members(),
+            faulty_members: drill.gossip.faulty_members,
+            max_faulty: drill.gossip.max_faulty,
             loss: drill.gossip.loss,
-            know_median: took.get(took.len() / 2).copied(),
-            know_p99: took.get(took.len() * 99 / 100).copied(),
-            know_worst: took.last().copied(),
-            unaware: drill.fleet.proxies * seen.silent.len() - took.len(),
-            wrong: seen.wrongly.len(),
-            most_bytes: seen.most,
-            cap: drill.gossip.cap,
-            mean_bytes: seen.bytes as f64 / seconds / drill.members() as f64,
+            know_median: detection_times.get(detection_times.len() / 2).copied(),
+            know_p99: detection_times.get(detection_times.len() * 99 / 100).copied(),
+            know_worst: detection_times.last().copied(),
+            undetected: drill.fleet.proxies * stats.silent_since.len() - detection_times.len(),
+            wrong: stats.false_suspicions.len(),
+            most_bytes: stats.max_bytes_per_second,
+            cap: drill.gossip.max_bytes_per_second,
+            mean_bytes: stats.bytes as f64 / seconds / drill.gossip_members() as f64,
         }
     }
 
@@ -132,8 +137,8 @@
 }
 
 impl Summary {
-    pub fn of(world: &World, routing: &str, virtual_clock: bool) -> Self {
-        let drill = &world.drill;
+    pub fn of(cluster: &TestCluster, routing: &str, virtual_clock: bool) -> Self {
+        let drill = &cluster.drill;
         let seconds = drill.seconds.ceil() as usize;
         let mut by_second = vec![(0.0, 0.0); seconds.max(1)];
         let mut grades = vec![(0.0, 0.0); drill.grades.len()];
@@ -142,8 +147,8 @@
         let (mut offered, mut served, mut earned) = (0.0, 0.0, 0.0);
         let mut delays = Histogram::<u64>::new_with_bounds(1, 600_000, 3).expect("fixed bounds");
         let mut cut = 0;
-        for person in &world.callers.people {
-            let (worth, got) = world.callers.earned(drill, person);
+        for person in &cluster.callers.people {
+            let (worth, got) = cluster.callers.earned(drill, person);
             let in_time = if got == worth { got } else { 0.0 };
             let second = ((person.first_at / 1000.0) as usize).min(by_second.len() - 1);
             for slot in [&mut by_second[second], &mut grades[person.grade], &mut tenants[person.tenant]] {
@@ -153,7 +158,7 @@
             demand[second].push(worth);
             (offered, served, earned) = (offered + worth, served + in_time, earned + got);
             cut += usize::from(person.cut);
-            if let Some(at) = person.stood_at {
+            if let Some(at) = person.answered_at {
                 delays.saturating_record((at - person.first_at).max(1.0) as u64);
             }
         }
@@ -164,7 +169,7 @@
         let named = |names: Vec<&String>, slots: &[(f64, f64)]| {
             names.into_iter().cloned().zip(slots.iter().map(part)).collect()
         };
-        let rules = RULES.iter().zip(&world.witness.verdicts);
+        let rules = RULES.iter().zip(&cluster.checker.verdicts);
         Self {
             drill: drill.name.clone(),
             routing: routing.to_owned(),
@@ -172,39 +177,42 @@
             seed: drill.seed,
             proxies: drill.fleet.proxies,
             servers: drill.fleet.servers,
-            people: world.callers.people.len(),
-            tries: world.callers.tries.iter().filter(|t| t.at.is_finite()).count(),
+            people: cluster.callers.people.len(),
+            tries: cluster.callers.tries.iter().filter(|t| t.started_at.is_finite()).count(),
             rules: rules.map(|(rule, verdict)| Rule { rule, verdict: verdict.clone() }).collect(),
-            unknowable: world.witness.unknowable,
-            cold_peak: world.witness.cold_peak,
+            unknowable: cluster.checker.unjudged,
+            cold_peak: cluster.checker.cold_peak,
             served: served / offered,
             earned: earned / offered,
-            bound: bound(drill, &demand, &world.capacity) / offered,
+            bound: bound(drill, &demand, &cluster.capacity) / offered,
             worst_ten_seconds: by_second.windows(10.min(by_second.len())).map(ten).fold(1.0, f64::min),
             grades: named(drill.grades.iter().map(|g| &g.name).collect(), &grades),
             tenants: named(drill.tenants.iter().map(|t| &t.name).collect(), &tenants),
             cut,
-            setups: world.witness.setups,
-            setups_again: world.witness.copies,
+            setups: cluster.checker.setups,
+            setups_again: cluster.checker.copies,
             delay_median: delays.value_at_quantile(0.5) as f64,
             delay_p99: delays.value_at_quantile(0.99) as f64,
             by_second,
-            late_shots: world.peers.late_shots,
-            gossip: drill.gossip.on.then(|| GossipSummary::of(world)),
+            late_attempts: cluster.peers.late_attempts,
+            gossip: drill.gossip.on.then(|| GossipSummary::of(cluster)),
             cost: None,
-            limit: (drill.gossip.limit > 0)
-                .then(|| (drill.gossip.limit, world.witness.most, world.witness.limited.clone())),
-            release: drill.release.zip(world.away.as_ref()).map(|(play, away)| ReleaseSummary {
-                by: play.by,
-                allowed: play.most(drill.fleet.proxies),
-                most: away.most,
-                broken: away.broken,
-                told: away.told.clone(),
-                replaced: away.replaced,
-                took: away.replaced_at.map(|at| at / 1000.0 - play.at),
+            limit: (drill.gossip.limit > 0).then(|| {
+                (drill.gossip.limit, cluster.checker.max_in_window, cluster.checker.limit_verdict.clone())
             }),
-            capacity: world.capacity.clone(),
-            fallen_servers: world.servers.iter().filter(|s| s.central.fallen).count(),
+            release: drill.release.zip(cluster.availability.as_ref()).map(|(play, availability)| {
+                ReleaseSummary {
+                    by: play.method,
+                    allowed: play.max_unavailable(drill.fleet.proxies),
+                    most: availability.max_unavailable,
+                    broken: availability.broken,
+                    told: availability.told.clone(),
+                    replaced: availability.replaced,
+                    took: availability.replaced_at.map(|at| at / 1000.0 - play.at),
+                }
+            }),
+            capacity: cluster.capacity.clone(),
+            overloaded_servers: cluster.servers.iter().filter(|s| s.central.overloaded).count(),
         }
     }
 
@@ -226,7 +234,7 @@
     pub fn print_rules(&self) {
         if let Some((limit, most, limited)) = &self.limit {
             println!("limit of the fleet: at most {most} of {limit} set-ups in any second at any server");
-            limited.told.iter().for_each(|told| println!("BROKEN: {told}"));
+            limited.examples.iter().for_each(|told| println!("BROKEN: {told}"));
         }
         if let Some(release) = &self.release {
             let took = release.took.map_or_else(
@@ -234,7 +242,7 @@
                 |took| format!("all replaced in {took:.1} s"),
             );
             println!(
-                "release {:?}: {took}; at most {} of {} away at once",
+                "release {:?}: {took}; at most {} of {} unavailable at once",
                 release.by, release.most, release.allowed
             );
             release.told.iter().for_each(|told| println!("BROKEN: {told}"));
@@ -252,7 +260,7 @@
         });
         println!("{}", Table::new(rows).with(Style::sharp()));
         for rule in &self.rules {
-            for told in &rule.verdict.told {
+            for told in &rule.verdict.examples {
                 println!("BROKEN, {}: {told}", rule.rule);
             }
         }
@@ -287,7 +295,7 @@
         delay_p99: String,
         set_ups: u64,
         cut: usize,
-        fallen: usize,
+        overloaded: usize,
         rules_broken: u64,
     }
     let percent = |part: f64| format!("{:.1}%", part * 100.0);
@@ -302,7 +310,7 @@
         delay_p99: format!("{:.0} ms", s.delay_p99),
         set_ups: s.setups,
         cut: s.cut,
-        fallen: s.fallen_servers,
+        overloaded: s.overloaded_servers,
         rules_broken: s.broken(),
     });
     println!("{}", Table::new(rows).with(Style::sharp()));
@@ -317,11 +325,11 @@
         know_p50: String,
         know_p99: String,
         know_worst: String,
-        unaware: String,
+        undetected: String,
         wrong: String,
         most_bytes_a_second: String,
         mean: String,
-        late_shots: u64,
+        late_attempts: u64,
         served: String,
     }
     let seconds = |ms: Option<f64>| ms.map_or("-".to_owned(), |ms| format!("{:.1} s", ms / 1000.0));
@@ -333,19 +341,19 @@
                 format!(
                     "{} members, {} lie, {} borne, {:.0}% lost",
                     g.members,
-                    g.liars,
-                    g.liars_borne,
+                    g.faulty_members,
+                    g.max_faulty,
                     g.loss * 100.0
                 )
             }),
             know_p50: of(&|g| seconds(g.know_median)),
             know_p99: of(&|g| seconds(g.know_p99)),
             know_worst: of(&|g| seconds(g.know_worst)),
-            unaware: of(&|g| g.unaware.to_string()),
+            undetected: of(&|g| g.undetected.to_string()),
             wrong: of(&|g| g.wrong.to_string()),
             most_bytes_a_second: of(&|g| format!("{} of {:.0}", g.most_bytes, g.cap)),
             mean: of(&|g| format!("{:.0}", g.mean_bytes)),
-            late_shots: s.late_shots,
+            late_attempts: s.late_attempts,
             served: format!("{:.1}%", s.served * 100.0),
         }
     });
--- a/lab/src/stand_ins/baseline.rs
+++ b/lab/src/stand_ins/baseline.rs
@@ -1,5 +1,5 @@
 //! Baselines: the same border proxy with a plain rule in place of the module, to compare against. And proxies
-//! broken on purpose, one for each rule, that the witness must catch.
+//! defects on purpose, one for each rule, that the witness must catch.
 
 use std::fmt;
 use std::str::FromStr;
@@ -17,11 +17,11 @@
 pub enum Routing {
     /// The module.
     Ours,
-    /// Any running server, by chance.
+    /// Any running server, by rng.
     Random,
     /// One running server after the other.
     RoundRobin,
-    /// The running server with the fewest shots of this proxy out.
+    /// The running server with the fewest attempts of this proxy out.
     LeastOut,
 }
 
@@ -49,94 +49,97 @@
     }
 }
 
-/// What is wrong with a proxy that is broken on purpose.
+/// What is wrong with a proxy that is defects on purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Broken {
+pub struct Defects {
     /// Never answers a caller whose shot was nacked or timed out.
-    pub forgets: bool,
+    pub never_answers_failed: bool,
     /// Shoots at servers that drain or are gone.
     pub ignores_list: bool,
-    /// Sends again at once after a time-out.
+    /// Sends may_retry at once after a time-out.
     pub skips_release: bool,
     /// Shoots at whoever has just started.
-    pub loves_cold: bool,
+    pub prefers_cold: bool,
 }
 
-struct Kept {
+struct CallState {
     until: f64,
-    shots: u32,
+    attempts: u32,
     server: Option<usize>,
-    rest_until: f64,
-    over: bool,
+    released_at: f64,
+    caller_gone: bool,
 }
 
-/// A plain rule: any running server, the next after a nack or time-out, nothing held but for the release.
-pub struct Plain {
+/// A plain rule: any running server, the next after a nack or time-out, nothing queue but for the release.
+pub struct Baseline {
     routing: Routing,
-    broken: Broken,
+    defects: Defects,
     terms: Terms,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     now: f64,
     servers: Vec<Option<(State, usize, f64)>>,
     next: usize,
-    kept: Vec<Option<Kept>>,
-    held: Vec<Handle>,
+    calls: Vec<Option<CallState>>,
+    queue: Vec<Handle>,
 }
 
-impl Plain {
-    pub fn new(routing: Routing, broken: Broken, terms: Terms, seed: u64, now: f64) -> Self {
+impl Baseline {
+    pub fn new(routing: Routing, defects: Defects, terms: Terms, seed: u64, now: f64) -> Self {
         Self {
             routing,
-            broken,
+            defects,
             terms,
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             now,
             servers: Vec::new(),
             next: 0,
-            kept: Vec::new(),
-            held: Vec::new(),
+            calls: Vec::new(),
+            queue: Vec::new(),
         }
     }
 
     fn choose(&mut self) -> Option<usize> {
-        let fit = |s: &Option<(State, usize, f64)>| match s {
+        let candidates = |s: &Option<(State, usize, f64)>| match s {
             Some((State::Running, ..)) => true,
-            Some(_) => self.broken.ignores_list,
+            Some(_) => self.defects.ignores_list,
             None => false,
         };
-        let mut fit: Vec<usize> = (0..self.servers.len()).filter(|&i| fit(&self.servers[i])).collect();
-        if self.broken.loves_cold {
+        let mut candidates: Vec<usize> =
+            (0..self.servers.len()).filter(|&i| candidates(&self.servers[i])).collect();
+        if self.defects.prefers_cold {
             let youngest = |&i: &usize| self.servers[i].map_or(f64::NEG_INFINITY, |s| s.2);
-            let last = fit.iter().copied().max_by(|a, b| youngest(a).total_cmp(&youngest(b)));
-            fit = last.into_iter().collect();
+            let last = candidates.iter().copied().max_by(|a, b| youngest(a).total_cmp(&youngest(b)));
+            candidates = last.into_iter().collect();
         }
-        if fit.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
         Some(match self.routing {
             Routing::RoundRobin => {
                 self.next += 1;
-                fit[self.next % fit.len()]
+                candidates[self.next % candidates.len()]
             }
             Routing::LeastOut => {
-                let least = fit.iter().filter_map(|&i| self.servers[i].map(|s| s.1)).min()?;
-                let least: Vec<usize> =
-                    fit.into_iter().filter(|&i| self.servers[i].is_some_and(|s| s.1 == least)).collect();
-                least[self.chance.random_range(0..least.len())]
+                let fewest = candidates.iter().filter_map(|&i| self.servers[i].map(|s| s.1)).min()?;
+                let fewest: Vec<usize> = candidates
+                    .into_iter()
+                    .filter(|&i| self.servers[i].is_some_and(|s| s.1 == fewest))
+                    .collect();
+                fewest[self.rng.random_range(0..fewest.len())]
             }
-            _ => fit[self.chance.random_range(0..fit.len())],
+            _ => candidates[self.rng.random_range(0..candidates.len())],
         })
     }
 
-    fn off(&mut self, handle: Handle) {
-        let server = self.kept[handle.0 as usize].as_mut().and_then(|kept| kept.server.take());
+    fn attempt_ended(&mut self, handle: Handle) {
+        let server = self.calls[handle.0 as usize].as_mut().and_then(|calls| calls.server.take());
         if let Some(Some((_, out, _))) = server.map(|server| &mut self.servers[server]) {
             *out -= 1;
         }
     }
 }
 
-impl Decisions for Plain {
+impl Decisions for Baseline {
     fn advance_clock(&mut self, now: f64) {
         self.now = now;
     }
@@ -160,87 +163,88 @@
     fn set_suspicion(&mut self, _server: Server, _suspicion: Option<Suspicion>) {}
 
     fn accept(&mut self, call: &Call) -> Handle {
-        let kept = Kept {
+        let calls = CallState {
             until: self.now + call.remaining,
-            shots: 0,
+            attempts: 0,
             server: None,
-            rest_until: f64::NEG_INFINITY,
-            over: false,
+            released_at: f64::NEG_INFINITY,
+            caller_gone: false,
         };
-        let free = self.kept.iter().position(Option::is_none);
+        let free = self.calls.iter().position(Option::is_none);
         let place = free.unwrap_or_else(|| {
-            self.kept.push(None);
-            self.kept.len() - 1
+            self.calls.push(None);
+            self.calls.len() - 1
         });
-        self.kept[place] = Some(kept);
+        self.calls[place] = Some(calls);
         Handle(place as u32)
     }
 
     fn place(&mut self, handle: Handle) {
-        self.held.push(handle);
+        self.queue.push(handle);
     }
 
     fn established(&mut self, handle: Handle) {
-        self.off(handle);
+        self.attempt_ended(handle);
     }
 
     fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
-        self.off(handle);
-        let Some(kept) = &mut self.kept[handle.0 as usize] else { return };
-        if finished || kept.over {
-            self.kept[handle.0 as usize] = None;
+        self.attempt_ended(handle);
+        let Some(calls) = &mut self.calls[handle.0 as usize] else { return };
+        if finished || calls.caller_gone {
+            self.calls[handle.0 as usize] = None;
             return;
         }
         if matches!(ending, Ending::TimedOut | Ending::Reset | Ending::Cancelled)
-            && !self.broken.skips_release
+            && !self.defects.skips_release
         {
-            kept.rest_until = self.now + self.terms.release + 1.0;
+            calls.released_at = self.now + self.terms.release + 1.0;
         }
-        let again =
-            kept.shots < self.terms.max_attempts && kept.rest_until < kept.until && self.now < kept.until;
-        if self.broken.forgets {
-        } else if again && ending != Ending::Busy {
-            self.held.push(handle);
+        let may_retry = calls.attempts < self.terms.max_attempts
+            && calls.released_at < calls.until
+            && self.now < calls.until;
+        if self.defects.never_answers_failed {
+        } else if may_retry && ending != Ending::Busy {
+            self.queue.push(handle);
         } else {
-            self.kept[handle.0 as usize] = None;
+            self.calls[handle.0 as usize] = None;
             host.refuse(handle, self.terms.max_retry_after);
         }
     }
 
     fn caller_gone(&mut self, handle: Handle) {
-        self.held.retain(|held| *held != handle);
+        self.queue.retain(|queue| *queue != handle);
         let index = handle.0 as usize;
-        match &mut self.kept[index] {
-            Some(kept) if kept.server.is_some() => kept.over = true,
-            _ => self.kept[index] = None,
+        match &mut self.calls[index] {
+            Some(calls) if calls.server.is_some() => calls.caller_gone = true,
+            _ => self.calls[index] = None,
         }
     }
 
     fn run_pending(&mut self, host: &mut impl Host) {
         let mut due = f64::INFINITY;
-        for handle in std::mem::take(&mut self.held) {
-            let Some(kept) = &self.kept[handle.0 as usize] else { continue };
-            let (until, rest) = (kept.until, kept.rest_until);
-            if rest > self.now {
-                due = due.min(rest);
-                self.held.push(handle);
+        for handle in std::mem::take(&mut self.queue) {
+            let Some(calls) = &self.calls[handle.0 as usize] else { continue };
+            let (until, released_at) = (calls.until, calls.released_at);
+            if released_at > self.now {
+                due = due.min(released_at);
+                self.queue.push(handle);
                 continue;
             }
             let chosen = if until > self.now { self.choose() } else { None };
             let Some(server) = chosen else {
-                self.kept[handle.0 as usize] = None;
+                self.calls[handle.0 as usize] = None;
                 host.refuse(handle, self.terms.max_retry_after);
                 continue;
             };
-            let kept = self.kept[handle.0 as usize].as_mut().expect("just seen");
-            kept.shots += 1;
-            kept.server = Some(server);
+            let calls = self.calls[handle.0 as usize].as_mut().expect("just seen");
+            calls.attempts += 1;
+            calls.server = Some(server);
             if let Some((_, out, _)) = &mut self.servers[server] {
                 *out += 1;
             }
-            // An even share of what is left for each shot that it may have.
-            let left = f64::from(self.terms.max_attempts + 1 - kept.shots);
-            host.send_attempt(handle, Server(server as u32), (until - self.now) / left);
+            // An even share of what is attempts_left for each shot that it may have.
+            let attempts_left = f64::from(self.terms.max_attempts + 1 - calls.attempts);
+            host.send_attempt(handle, Server(server as u32), (until - self.now) / attempts_left);
         }
         if due.is_finite() {
             host.wake(due);
@@ -253,71 +257,71 @@
 }
 
 /// Whoever decides in a simulated proxy.
-pub enum Decider {
+pub enum RoutingDecisions {
     Ours(Box<Proxy>),
-    Plain(Box<Plain>),
+    Baseline(Box<Baseline>),
 }
 
-impl Decider {
-    pub fn new(routing: Routing, broken: Broken, terms: Terms, seed: u64, now: f64) -> Self {
+impl RoutingDecisions {
+    pub fn new(routing: Routing, defects: Defects, terms: Terms, seed: u64, now: f64) -> Self {
         match routing {
             Routing::Ours => Self::Ours(Box::new(Proxy::new(terms, seed, now))),
-            plain => Self::Plain(Box::new(Plain::new(plain, broken, terms, seed, now))),
+            plain => Self::Baseline(Box::new(Baseline::new(plain, defects, terms, seed, now))),
         }
     }
 }
 
 /// Passes a call on to whoever decides.
-macro_rules! pass_on {
+macro_rules! delegate {
     ($self:ident, $call:ident($($argument:expr),*)) => {
         match $self {
             Self::Ours(module) => Decisions::$call(module.as_mut(), $($argument),*),
-            Self::Plain(plain) => Decisions::$call(plain.as_mut(), $($argument),*),
+            Self::Baseline(plain) => Decisions::$call(plain.as_mut(), $($argument),*),
         }
     };
 }
 
-impl Decisions for Decider {
+impl Decisions for RoutingDecisions {
     fn advance_clock(&mut self, now: f64) {
-        pass_on!(self, advance_clock(now));
+        delegate!(self, advance_clock(now));
     }
     fn update_server_list(&mut self, lines: &[ServerEntry], whole: bool, host: &mut impl Host) {
-        pass_on!(self, update_server_list(lines, whole, host));
+        delegate!(self, update_server_list(lines, whole, host));
     }
     fn reported(&mut self, server: Server, report: Report) {
-        pass_on!(self, reported(server, report));
+        delegate!(self, reported(server, report));
     }
     fn set_suspicion(&mut self, server: Server, suspicion: Option<Suspicion>) {
-        pass_on!(self, set_suspicion(server, suspicion));
+        delegate!(self, set_suspicion(server, suspicion));
     }
-    fn set_fleet_limit(&mut self, server: Server, shots: Option<u32>) -> u32 {
-        pass_on!(self, set_fleet_limit(server, shots))
+    fn set_fleet_limit(&mut self, server: Server, attempts: Option<u32>) -> u32 {
+        delegate!(self, set_fleet_limit(server, attempts))
     }
     fn set_within_share(&mut self, tenant: usize, within: Option<bool>) {
-        pass_on!(self, set_within_share(tenant, within));
+        delegate!(self, set_within_share(tenant, within));
     }
     fn accept(&mut self, call: &Call) -> Handle {
-        pass_on!(self, accept(call))
+        delegate!(self, accept(call))
     }
     fn place(&mut self, handle: Handle) {
-        pass_on!(self, place(handle));
+        delegate!(self, place(handle));
     }
     fn established(&mut self, handle: Handle) {
-        pass_on!(self, established(handle));
+        delegate!(self, established(handle));
     }
     fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
-        pass_on!(self, ended(handle, ending, finished, host));
+        delegate!(self, ended(handle, ending, finished, host));
     }
     fn caller_gone(&mut self, handle: Handle) {
-        pass_on!(self, caller_gone(handle));
+        delegate!(self, caller_gone(handle));
     }
     fn run_pending(&mut self, host: &mut impl Host) {
-        pass_on!(self, run_pending(host));
+        delegate!(self, run_pending(host));
     }
     fn view(&self, server: Server) -> Option<ServerView> {
         match self {
             Self::Ours(module) => Proxy::view(module, server),
-            Self::Plain(plain) => plain.view(server),
+            Self::Baseline(plain) => plain.view(server),
         }
     }
 }
--- a/lab/src/stand_ins/link.rs
+++ b/lab/src/stand_ins/link.rs
@@ -6,34 +6,34 @@
 use crate::drill::LinkFaults;
 
 /// How much later than others a datagram comes that is overtaken.
-const OVERTAKEN: f64 = 25.0;
+const MAX_REORDER_DELAY_MS: f64 = 25.0;
 /// Time on the way, and how much it varies.
-const WAY: f64 = 1.0;
-const JITTER: f64 = 1.0;
+const BASE_DELAY_MS: f64 = 1.0;
+const JITTER_MS: f64 = 1.0;
 
 pub struct Link {
     faults: LinkFaults,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
 }
 
 impl Link {
-    pub fn new(faults: LinkFaults, chance: Pcg64Mcg) -> Self {
-        Self { faults, chance }
+    pub fn new(faults: LinkFaults, rng: Pcg64Mcg) -> Self {
+        Self { faults, rng }
     }
 
     /// When the copies of a datagram that is sent now come through: none, one or two.
     pub fn pass(&mut self, now: f64) -> impl Iterator<Item = f64> + use<> {
         let LinkFaults { loss, double, reorder } = self.faults;
-        let copies = match self.chance.random::<f64>() {
+        let copies = match self.rng.random::<f64>() {
             x if x < loss => 0,
             x if x < loss + double => 2,
             _ => 1,
         };
         let mut at = [0.0; 2];
         for at in &mut at[..copies] {
-            *at = now + WAY + JITTER * self.chance.random::<f64>();
-            if self.chance.random::<f64>() < reorder {
-                *at += OVERTAKEN * self.chance.random::<f64>();
+            *at = now + BASE_DELAY_MS + JITTER_MS * self.rng.random::<f64>();
+            if self.rng.random::<f64>() < reorder {
+                *at += MAX_REORDER_DELAY_MS * self.rng.random::<f64>();
             }
         }
         at.into_iter().take(copies)
--- a/lab/src/stand_ins/mod.rs
+++ b/lab/src/stand_ins/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what surrounds a border proxy: central servers, callers, the pool list, a faulty link,
+//! StandInServer-ins for what surrounds a border proxy: central servers, callers, the pool list, a faulty link,
 //! gossip members that misbehave, the platform, and simpler routings to compare ours with.
 
 pub mod baseline;
--- a/lab/src/stand_ins/peers.rs
+++ b/lab/src/stand_ins/peers.rs
@@ -1,5 +1,5 @@
 //! Gossip in a drill as its driver sees it: what each member sent in any second, who believed which server
-//! silent and when, and members that lie.
+//! silent_since and when, and members that lie.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -9,12 +9,12 @@
 use gossip::keys::{Roster, Secrets};
 use gossip::{GossipTerms, Node};
 
-use crate::drill::{GossipPlay, REPEAT};
+use crate::drill::{GossipSettings, RESEND_INTERVAL_MS};
 
 /// Members that are known to all from the start.
 const SEEDS: usize = 3;
 /// How often a liar speaks of each server.
-const LIE_EVERY: f64 = 500.0;
+const FALSE_REPORT_INTERVAL_MS: f64 = 500.0;
 /// The fleet's key in every drill.
 pub const FLEET_KEY: [u8; 32] = [0xf7; 32];
 
@@ -33,7 +33,7 @@
     format!("p{member}")
 }
 
-/// All members of a drill: its proxies, then its liars.
+/// All members of a drill: its proxies, then its faulty_members.
 pub fn roster(members: usize) -> Roster {
     let names: Vec<String> = (0..members).map(name).collect();
     let keys = (0..members).map(|member| secrets(member).public_key());
@@ -41,35 +41,35 @@
 }
 
 /// What a member of the drill gossips by; `addresses` are all members'.
-pub fn terms(play: &GossipPlay, member: usize, addresses: &[SocketAddr]) -> GossipTerms {
+pub fn terms(play: &GossipSettings, member: usize, addresses: &[SocketAddr]) -> GossipTerms {
     GossipTerms {
         address: addresses[member],
         seeds: addresses.iter().copied().take(SEEDS).collect(),
-        max_bytes_per_second: play.cap,
-        probe_interval: play.beat * 1000.0,
-        max_faulty: play.liars_borne,
-        resend_interval: REPEAT,
+        max_bytes_per_second: play.max_bytes_per_second,
+        probe_interval: play.probe_interval * 1000.0,
+        max_faulty: play.max_faulty,
+        resend_interval: RESEND_INTERVAL_MS,
     }
 }
 
 /// What is seen of the gossip of all.
 #[derive(Default)]
-pub struct Seen {
+pub struct GossipStats {
     sent: BTreeMap<usize, VecDeque<(f64, usize)>>,
     pub bytes: u64,
-    /// The most that any member sent in any second.
-    pub most: usize,
-    /// By proxy and server: when it was first believed silent while it was.
-    pub rightly: BTreeMap<(usize, usize), f64>,
-    /// Pairs of a proxy and a server that it believed silent while it was sound.
-    pub wrongly: BTreeSet<(usize, usize)>,
-    /// Since when servers have been silent, the first time each.
-    pub silent: BTreeMap<usize, f64>,
-    /// Shots that reached silent servers once the time to know was over.
-    pub late_shots: u64,
+    /// The max_bytes_per_second that any member sent in any second.
+    pub max_bytes_per_second: usize,
+    /// ReplacementMethod proxy and server: when it was first believed silent_since while it was.
+    pub detected_at: BTreeMap<(usize, usize), f64>,
+    /// Pairs of a proxy and a server that it believed silent_since while it was sound.
+    pub false_suspicions: BTreeSet<(usize, usize)>,
+    /// Since when servers have been silent_since, the first time each.
+    pub silent_since: BTreeMap<usize, f64>,
+    /// Shots that reached silent_since servers once the time to know was over.
+    pub late_attempts: u64,
 }
 
-impl Seen {
+impl GossipStats {
     pub fn sent(&mut self, now: f64, member: usize, bytes: usize) {
         self.bytes += bytes as u64;
         let sent = self.sent.entry(member).or_default();
@@ -77,45 +77,46 @@
         while sent.front().is_some_and(|packet| packet.0 <= now - 1000.0) {
             sent.pop_front();
         }
-        self.most = self.most.max(sent.iter().map(|packet| packet.1).sum());
+        self.max_bytes_per_second = self.max_bytes_per_second.max(sent.iter().map(|packet| packet.1).sum());
     }
 
-    /// A proxy believes the server silent.
-    pub fn believes(&mut self, now: f64, proxy: usize, server: usize, rightly: bool) {
-        if rightly {
-            self.rightly.entry((proxy, server)).or_insert(now);
+    /// A proxy record_suspicion the server silent_since.
+    pub fn record_suspicion(&mut self, now: f64, proxy: usize, server: usize, silent: bool) {
+        if silent {
+            self.detected_at.entry((proxy, server)).or_insert(now);
         } else {
-            self.wrongly.insert((proxy, server));
+            self.false_suspicions.insert((proxy, server));
         }
     }
 
-    /// How long after it fell silent each proxy knew of a server, in order.
-    pub fn took(&self) -> Vec<f64> {
-        let took = |(&(_, server), at): (&(usize, usize), &f64)| Some(at - self.silent.get(&server)?);
-        let mut took: Vec<f64> = self.rightly.iter().filter_map(took).collect();
-        took.sort_by(f64::total_cmp);
-        took
+    /// How long after it fell silent_since each proxy knew of a server, in order.
+    pub fn detection_times(&self) -> Vec<f64> {
+        let detection_times =
+            |(&(_, server), at): (&(usize, usize), &f64)| Some(at - self.silent_since.get(&server)?);
+        let mut detection_times: Vec<f64> = self.detected_at.iter().filter_map(detection_times).collect();
+        detection_times.sort_by(f64::total_cmp);
+        detection_times
     }
 }
 
-/// Members that say of every server that it is silent.
-pub struct Liars {
+/// Members that say of every server that it is silent_since.
+pub struct FaultyMembers {
     nodes: Vec<Node>,
     first: usize,
     pool: PoolList,
-    lie_at: f64,
+    report_at: f64,
 }
 
-impl Liars {
+impl FaultyMembers {
     /// The drill's last members; `nodes` are theirs.
     pub fn new(first: usize, nodes: Vec<Node>) -> Self {
-        Self { nodes, first, pool: PoolList::default(), lie_at: 0.0 }
+        Self { nodes, first, pool: PoolList::default(), report_at: 0.0 }
     }
 
     /// Whom they can lie of.
-    pub fn listed(&mut self, now: f64, unix: f64, news: &PoolUpdates) {
+    pub fn update_server_list(&mut self, now: f64, unix: f64, updates: &PoolUpdates) {
         // A change that does not follow on what they know is none of theirs.
-        let _ = self.pool.apply(news, now, unix);
+        let _ = self.pool.apply(updates, now, unix);
     }
 
     pub fn receive(&mut self, now: f64, member: usize, from: SocketAddr, datagram: &[u8]) {
@@ -125,15 +126,16 @@
     }
 
     pub fn turn(&mut self, now: f64) {
-        let lies = now >= self.lie_at;
-        if lies {
-            self.lie_at = now + LIE_EVERY;
+        let reports = now >= self.report_at;
+        if reports {
+            self.report_at = now + FALSE_REPORT_INTERVAL_MS;
         }
         for node in &mut self.nodes {
             let servers: Vec<Server> = self.pool.servers().collect();
-            for life in servers.into_iter().filter(|_| lies).filter_map(|server| self.pool.generation(server))
+            for generation in
+                servers.into_iter().filter(|_| reports).filter_map(|server| self.pool.generation(server))
             {
-                node.evidence.attempt_sent(now, life);
+                node.evidence.attempt_sent(now, generation);
             }
             if node.due() <= now {
                 node.turn(now);
--- a/lab/src/stand_ins/platform.rs
+++ b/lab/src/stand_ins/platform.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for the platform's protocol on loopback: central servers that speak SIP, a change log, callers,
 //! and a border proxy started as the platform starts one. What a central server does with a set-up is a
-//! [`Script`]'s to say. [`visit`] plays a short calm visit for a first look.
+//! [`Behaviour`]'s to send. [`run_calls`] plays a short calm run_calls for a first look.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -18,9 +18,9 @@
 use sip::{Message, Reader, Request, Response, StartLine};
 use tempfile::TempDir;
 
-const PAUSE: Duration = Duration::from_millis(10);
-/// Whatever a stand-in waits for has come by then, on the slowest machine too.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Whatever a accept-in waits for has come by then, on the slowest machine too.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
@@ -28,19 +28,19 @@
 
 /// What a central server does with a set-up.
 #[derive(Clone, Debug, Default)]
-pub struct Play {
+pub struct SetupBehaviour {
     /// The answer's code and note, if there is one.
     pub answer: Option<(u16, Option<&'static str>)>,
     /// The description of a 200.
     pub desc: String,
     /// Bytes sent before the answer, or in its place.
-    pub spoilt: Option<Vec<u8>>,
+    pub malformed: Option<Vec<u8>>,
     /// Releases the call after this, with a cause.
     pub release: Option<(Duration, u8)>,
 }
 
-impl Play {
-    pub fn stand(setup: &Message) -> Self {
+impl SetupBehaviour {
+    pub fn accept(setup: &Message) -> Self {
         Self { answer: Some((200, None)), desc: desc_of(&setup.call_id), ..Self::default() }
     }
 
@@ -49,20 +49,20 @@
     }
 }
 
-/// The description that a stand-in gives for a call.
+/// The description that a accept-in gives for a call.
 pub fn desc_of(call: &str) -> String {
     format!("{call}\r\nc=IN IP4 127.0.0.1\r\n")
 }
 
-pub type Script = Box<dyn Fn(&Message) -> Play + Send + Sync>;
+pub type Behaviour = Box<dyn Fn(&Message) -> SetupBehaviour + Send + Sync>;
 
 struct CentralState {
     name: String,
-    script: Script,
-    over: AtomicBool,
+    behaviour: Behaviour,
+    stopped: AtomicBool,
     connections: Mutex<Vec<TcpStream>>,
     /// Methods that came, by call.
-    heard: Mutex<BTreeMap<String, Vec<String>>>,
+    methods_received: Mutex<BTreeMap<String, Vec<String>>>,
 }
 
 /// A central server.
@@ -72,25 +72,25 @@
 }
 
 impl Central {
-    pub fn start(name: &str, script: Script) -> Result<Self> {
+    pub fn start(name: &str, behaviour: Behaviour) -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let state = Arc::new(CentralState {
             name: name.to_owned(),
-            script,
-            over: AtomicBool::new(false),
+            behaviour,
+            stopped: AtomicBool::new(false),
             connections: Mutex::default(),
-            heard: Mutex::default(),
+            methods_received: Mutex::default(),
         });
-        let own = state.clone();
+        let shared = state.clone();
         thread::spawn(move || {
-            while !own.over.load(Ordering::Relaxed) {
+            while !shared.stopped.load(Ordering::Relaxed) {
                 if let Ok((stream, _)) = listener.accept() {
-                    let own = own.clone();
-                    thread::spawn(move || own.serve(stream));
+                    let shared = shared.clone();
+                    thread::spawn(move || shared.serve(stream));
                 } else {
-                    thread::sleep(PAUSE);
+                    thread::sleep(POLL_INTERVAL);
                 }
             }
         });
@@ -104,8 +104,8 @@
     }
 
     /// The methods that came for a call.
-    pub fn heard(&self, call: &str) -> Vec<String> {
-        locked(&self.state.heard).get(call).cloned().unwrap_or_default()
+    pub fn methods_received(&self, call: &str) -> Vec<String> {
+        locked(&self.state.methods_received).get(call).cloned().unwrap_or_default()
     }
 
     /// Ends all connections that are open now.
@@ -116,7 +116,7 @@
     }
 
     /// Sends a message on the latest connection that is open.
-    pub fn say(&self, bytes: &[u8]) -> Result<()> {
+    pub fn send(&self, bytes: &[u8]) -> Result<()> {
         let connections = locked(&self.state.connections);
         let mut stream = connections.last().context("no connection is open")?;
         Ok(stream.write_all(bytes)?)
@@ -125,7 +125,7 @@
 
 impl Drop for Central {
     fn drop(&mut self) {
-        self.state.over.store(true, Ordering::Relaxed);
+        self.state.stopped.store(true, Ordering::Relaxed);
         self.hang_up();
     }
 }
@@ -142,11 +142,11 @@
         let Ok(mut from) = stream.try_clone() else { return };
         let _ = stream.set_nonblocking(false);
         let _ = from.set_read_timeout(Some(Duration::from_secs(1)));
-        if let Ok(kept) = stream.try_clone() {
-            locked(&self.connections).push(kept);
+        if let Ok(clone) = stream.try_clone() {
+            locked(&self.connections).push(clone);
         }
         let (mut reader, mut bytes) = (Reader::default(), [0; 4096]);
-        while !self.over.load(Ordering::Relaxed) {
+        while !self.stopped.load(Ordering::Relaxed) {
             match from.read(&mut bytes) {
                 Ok(0) => return,
                 Ok(n) => reader.feed(&bytes[..n]),
@@ -154,14 +154,14 @@
                 Err(_) => return,
             }
             while let Ok(Some(message)) = reader.message() {
-                self.heard(&stream, &message);
+                self.methods_received(&stream, &message);
             }
         }
     }
 
-    fn heard(&self, mut stream: &TcpStream, message: &Message) {
+    fn methods_received(&self, mut stream: &TcpStream, message: &Message) {
         let StartLine::Request { method, .. } = &message.start else { return };
-        locked(&self.heard).entry(message.call_id.clone()).or_default().push(method.clone());
+        locked(&self.methods_received).entry(message.call_id.clone()).or_default().push(method.clone());
         let answer = |code, headers, body| {
             let (call_id, number, method) = (message.call_id.as_str(), message.number, method.as_str());
             Response { code, phrase: "said", call_id, number, method, headers, body }.write()
@@ -169,15 +169,15 @@
         match method.as_str() {
             "BYE" | "CANCEL" | "OPTIONS" => drop(stream.write_all(&answer(200, &[], b""))),
             "INVITE" => {
-                let play = (self.script)(message);
-                if let Some(spoilt) = &play.spoilt {
-                    let _ = stream.write_all(spoilt);
+                let behaviour = (self.behaviour)(message);
+                if let Some(malformed) = &behaviour.malformed {
+                    let _ = stream.write_all(malformed);
                 }
-                if let Some((code, note)) = play.answer {
+                if let Some((code, note)) = behaviour.answer {
                     let headers: Vec<(&str, &str)> = note.map(|n| ("X-Outcome", n)).into_iter().collect();
-                    let _ = stream.write_all(&answer(code, &headers, play.desc.as_bytes()));
+                    let _ = stream.write_all(&answer(code, &headers, behaviour.desc.as_bytes()));
                 }
-                if let (Some((after, cause)), Ok(mut stream)) = (play.release, stream.try_clone()) {
+                if let (Some((after, cause)), Ok(mut stream)) = (behaviour.release, stream.try_clone()) {
                     let call = message.call_id.clone();
                     thread::spawn(move || {
                         thread::sleep(after);
@@ -193,14 +193,14 @@
 #[derive(Default)]
 struct LogState {
     events: Mutex<Vec<String>>,
-    over: AtomicBool,
-    /// Connections answered; those up to `ended` are closed, those up to `silenced` are told nothing.
+    stopped: AtomicBool,
+    /// Connections answered; those up to `ended` are closed, those up to `muted_up_to` are last_sent nothing.
     calls: AtomicU64,
     ended: AtomicU64,
-    silenced: AtomicU64,
+    muted_up_to: AtomicU64,
 }
 
-/// The change log. Events are told from the one that is asked for, with the one before it once more.
+/// The change log. Events are last_sent from the one that is asked for, with the one before it once more.
 pub struct ChangeLog {
     pub address: SocketAddr,
     state: Arc<LogState>,
@@ -212,14 +212,14 @@
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let state = Arc::new(LogState::default());
-        let own = state.clone();
+        let shared = state.clone();
         thread::spawn(move || {
-            while !own.over.load(Ordering::Relaxed) {
+            while !shared.stopped.load(Ordering::Relaxed) {
                 if let Ok((stream, _)) = listener.accept() {
-                    let own = own.clone();
-                    thread::spawn(move || drop(own.serve(stream)));
+                    let shared = shared.clone();
+                    thread::spawn(move || drop(shared.serve(stream)));
                 } else {
-                    thread::sleep(PAUSE);
+                    thread::sleep(POLL_INTERVAL);
                 }
             }
         });
@@ -249,19 +249,19 @@
     }
 
     /// Breaks the answers off that are under way, in the middle of an event.
-    pub fn break_off(&self) {
+    pub fn break_connections(&self) {
         self.state.ended.store(self.calls(), Ordering::Relaxed);
     }
 
     /// Says nothing more on the answers that are under way.
-    pub fn fall_silent(&self) {
-        self.state.silenced.store(self.calls(), Ordering::Relaxed);
+    pub fn stop_sending(&self) {
+        self.state.muted_up_to.store(self.calls(), Ordering::Relaxed);
     }
 }
 
 impl Drop for ChangeLog {
     fn drop(&mut self) {
-        self.state.over.store(true, Ordering::Relaxed);
+        self.state.stopped.store(true, Ordering::Relaxed);
     }
 }
 
@@ -281,23 +281,23 @@
         let mut next = last.trim().parse::<usize>()?.saturating_sub(1);
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n")?;
-        let mut told = Instant::now();
-        while !self.over.load(Ordering::Relaxed) {
+        let mut last_sent = Instant::now();
+        while !self.stopped.load(Ordering::Relaxed) {
             if self.ended.load(Ordering::Relaxed) >= call {
                 return Ok(stream.write_all(b"id: 99\ndata: {\"seq\":99,\"fl")?);
             }
-            if self.silenced.load(Ordering::Relaxed) < call {
+            if self.muted_up_to.load(Ordering::Relaxed) < call {
                 let events = locked(&self.events).clone();
                 for (n, event) in events.iter().enumerate().skip(next) {
                     stream.write_all(format!("id: {}\ndata: {event}\n\n", n + 1).as_bytes())?;
                 }
                 next = next.max(events.len());
-                if told.elapsed() > Duration::from_millis(500) {
+                if last_sent.elapsed() > Duration::from_millis(500) {
                     stream.write_all(b": here\n\n")?;
-                    told = Instant::now();
+                    last_sent = Instant::now();
                 }
             }
-            thread::sleep(PAUSE);
+            thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
@@ -334,24 +334,28 @@
 }
 
 impl Proxy {
-    /// `program` and its words play the border proxy. Gives it once it takes callers.
-    pub fn start(program: &Path, words: &[&str], configuration: &Value) -> Result<Self> {
+    /// `program` and its arguments behaviour the border proxy. Gives it once it takes callers.
+    pub fn start(program: &Path, arguments: &[&str], configuration: &Value) -> Result<Self> {
         let folder = tempfile::tempdir()?;
         let file = folder.path().join("config.json");
         fs::write(&file, configuration.to_string())?;
         let listen: SocketAddr = configuration["listen"].as_str().context("listen")?.parse()?;
         let mut command = Command::new(program);
-        command.args(words).env("LB_NAME", "p1").env("LB_LISTEN", listen.to_string()).env("LB_CONFIG", file);
+        command
+            .args(arguments)
+            .env("LB_NAME", "p1")
+            .env("LB_LISTEN", listen.to_string())
+            .env("LB_CONFIG", file);
         let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null()).spawn()?;
         let proxy = Self { listen, child, folder };
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         while Instant::now() < end {
             if let Ok(mut caller) = Caller::connect(listen)
-                && caller.passes_test()
+                && caller.answers_test()
             {
                 return Ok(proxy);
             }
-            thread::sleep(PAUSE);
+            thread::sleep(POLL_INTERVAL);
         }
         bail!("the border proxy did not get ready")
     }
@@ -391,28 +395,28 @@
 
 impl Caller {
     pub fn connect(proxy: SocketAddr) -> Result<Self> {
-        let stream = TcpStream::connect_timeout(&proxy, PATIENCE)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        let stream = TcpStream::connect_timeout(&proxy, TIMEOUT)?;
+        stream.set_read_timeout(Some(TIMEOUT))?;
         stream.set_nodelay(true)?;
         Ok(Self { stream, buffer: Vec::new() })
     }
 
-    pub fn say(&mut self, bytes: &[u8]) -> Result<()> {
+    pub fn send(&mut self, bytes: &[u8]) -> Result<()> {
         Ok(self.stream.write_all(bytes)?)
     }
 
     pub fn offer(&mut self, call: &str, key: &str) -> Result<()> {
         let with = json!({"class": "voice", "left": "4000", "key": key, "extras": "dest:0;width:1;via:-1"});
         let offer = json!({"op": "offer", "call": call, "with": with, "desc": desc_of(call)});
-        self.say(format!("{offer}\n").as_bytes())
+        self.send(format!("{offer}\n").as_bytes())
     }
 
     pub fn end(&mut self, call: &str) -> Result<()> {
-        self.say(format!("{}\n", json!({"op": "end", "call": call, "with": {}, "why": 16})).as_bytes())
+        self.send(format!("{}\n", json!({"op": "end", "call": call, "with": {}, "why": 16})).as_bytes())
     }
 
     /// The next line that is said to it; none where the connection ends instead.
-    pub fn hear(&mut self) -> Result<Option<Value>> {
+    pub fn receive(&mut self) -> Result<Option<Value>> {
         loop {
             if let Some(end) = self.buffer.iter().position(|&b| b == b'\n') {
                 let line: Vec<u8> = self.buffer.drain(..=end).collect();
@@ -428,10 +432,10 @@
         }
     }
 
-    fn passes_test(&mut self) -> bool {
+    fn answers_test(&mut self) -> bool {
         let test = json!({"op": "test", "call": "00000000000000aa", "with": {}, "why": 0});
-        self.say(format!("{test}\n").as_bytes()).is_ok()
-            && self.hear().is_ok_and(|line| line.is_some_and(|line| line["why"] == 1))
+        self.send(format!("{test}\n").as_bytes()).is_ok()
+            && self.receive().is_ok_and(|line| line.is_some_and(|line| line["why"] == 1))
     }
 }
 
@@ -440,36 +444,38 @@
     format!("{:016x}", 0x9b1f_03aa_5c7e_0000_u64 + n as u64)
 }
 
-/// A border proxy before two stand-in central servers takes so many calls, each of which is cleared soon
-/// after. Gives how many stood and were released as they should.
-pub fn visit(program: &Path, words: &[&str], calls: usize) -> Result<usize> {
-    let script =
-        |setup: &Message| Play { release: Some((Duration::from_millis(200), 16)), ..Play::stand(setup) };
-    let centrals = [Central::start("s-0", Box::new(script))?, Central::start("s-1", Box::new(script))?];
+/// A border proxy before two accept-in central servers takes so many calls, each of which is cleared soon
+/// after. Gives how many accepted and were released as they should.
+pub fn run_calls(program: &Path, arguments: &[&str], calls: usize) -> Result<usize> {
+    let behaviour = |setup: &Message| SetupBehaviour {
+        release: Some((Duration::from_millis(200), 16)),
+        ..SetupBehaviour::accept(setup)
+    };
+    let centrals = [Central::start("s-0", Box::new(behaviour))?, Central::start("s-1", Box::new(behaviour))?];
     let changelog = ChangeLog::start()?;
     changelog.add(&[centrals[0].entry("in_service", 0), centrals[1].entry("in_service", 1)]);
-    let proxy = Proxy::start(program, words, &configuration(&changelog, 256)?)?;
+    let proxy = Proxy::start(program, arguments, &configuration(&changelog, 256)?)?;
     let mut caller = Caller::connect(proxy.listen)?;
-    let mut stood = BTreeSet::new();
+    let mut accepted = BTreeSet::new();
     let mut released = 0;
     for n in 0..calls {
         caller.offer(&call_id(n), &format!("{:016x}", n + 1))?;
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
-    let mut owed = 2 * calls;
-    while owed > 0 {
-        let line = caller.hear()?.context("the border proxy closed the connection")?;
+    let mut outstanding = 2 * calls;
+    while outstanding > 0 {
+        let line = caller.receive()?.context("the border proxy closed the connection")?;
         let call = line["call"].as_str().unwrap_or("").to_owned();
         match line["op"].as_str() {
             Some("accept") if line["desc"] == desc_of(&call) => {
-                stood.insert(call);
-                owed -= 1;
+                accepted.insert(call);
+                outstanding -= 1;
             }
-            Some("end") if line["why"] == 16 && stood.remove(&call) => {
+            Some("end") if line["why"] == 16 && accepted.remove(&call) => {
                 released += 1;
-                owed -= 1;
+                outstanding -= 1;
             }
-            _ => owed = owed.saturating_sub(2),
+            _ => outstanding = outstanding.saturating_sub(2),
         }
     }
     Ok(released)
