--- a/lab/src/commands/caller.rs
+++ b/lab/src/commands/caller.rs
@@ -61,6 +61,6 @@
         drill.tenants = arguments.tenant.into_iter().map(|name| Tenant { name, share }).collect();
     }
     drill.validate()?;
-    let sound = block_on(standalone::callers(drill, &arguments.proxies))?;
-    Ok(if sound { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let passed = block_on(standalone::callers(drill, &arguments.proxies))?;
+    Ok(if passed { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/lab/src/commands/drill.rs
+++ b/lab/src/commands/drill.rs
@@ -69,14 +69,14 @@
 
 /// Plays the drill and its comparisons; fails if a rule was violated.
 pub fn run(arguments: &DrillArguments) -> Result<ExitCode> {
-    let drill = changed(arguments)?;
+    let drill = configured_drill(arguments)?;
     if let Some(folder) = &arguments.out {
         fs::create_dir_all(folder).with_context(|| folder.display().to_string())?;
     }
     let mut summaries = Vec::new();
-    for (place, (routing, drill)) in plays(&drill, arguments).into_iter().enumerate() {
+    for (index, (routing, drill)) in runs(&drill, arguments).into_iter().enumerate() {
         let events = match &arguments.out {
-            Some(folder) if place == 0 => {
+            Some(folder) if index == 0 => {
                 Events::to(BufWriter::new(File::create(folder.join("events.jsonl"))?))
             }
             _ => Events::default(),
@@ -92,12 +92,12 @@
         print(&drill, &summaries);
     }
     let ours = &summaries[0];
-    let sound = ours.gossip.as_ref().is_none_or(|gossip| gossip.sound());
-    Ok(if ours.broken() > 0 || !sound { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+    let passed = ours.gossip.as_ref().is_none_or(|gossip| gossip.passed());
+    Ok(if ours.broken() > 0 || !passed { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
 
 /// Reads the drill and applies the arguments to it.
-fn changed(arguments: &DrillArguments) -> Result<Drill> {
+fn configured_drill(arguments: &DrillArguments) -> Result<Drill> {
     let mut drill = Drill::named(&arguments.drill)?;
     let set = |to: &mut usize, from: Option<usize>| *to = from.unwrap_or(*to);
     set(&mut drill.fleet.proxies, arguments.proxies);
@@ -120,17 +120,17 @@
 }
 
 /// The runs to play: the module first, then the requested routings and the drill without gossip.
-fn plays(drill: &Drill, arguments: &DrillArguments) -> Vec<(Routing, Drill)> {
-    let mut plays: Vec<(Routing, Drill)> = std::iter::once(Routing::Ours)
+fn runs(drill: &Drill, arguments: &DrillArguments) -> Vec<(Routing, Drill)> {
+    let mut runs: Vec<(Routing, Drill)> = std::iter::once(Routing::Ours)
         .chain(arguments.against.iter().copied())
         .map(|routing| (routing, drill.clone()))
         .collect();
     if arguments.without_gossip {
         let mut without = drill.clone();
         without.gossip.on = false;
-        plays.push((Routing::Ours, without));
+        runs.push((Routing::Ours, without));
     }
-    plays
+    runs
 }
 
 fn play(drill: Drill, routing: Routing, events: Events, simulated: bool) -> Result<Summary> {
@@ -139,7 +139,7 @@
         return Ok(Summary::of(&cluster, &routing.to_string(), true));
     }
     let played = sockets::play(drill, Some(routing), events)?;
-    Ok(Summary::of(&played.cluster, &routing.to_string(), false).costing(&played.costs))
+    Ok(Summary::of(&played.cluster, &routing.to_string(), false).with_cost(&played.costs))
 }
 
 fn print(drill: &Drill, summaries: &[Summary]) {
@@ -149,7 +149,7 @@
         ours.drill, ours.proxies, ours.servers, ours.seed, ours.people, ours.tries
     );
     ours.print_rules();
-    summary::print_beside(summaries);
+    summary::print_comparison(summaries);
     if drill.gossip.on {
         summary::print_gossip(summaries);
     }
--- a/lab/src/commands/limits.rs
+++ b/lab/src/commands/limits.rs
@@ -59,13 +59,13 @@
     let (fault, way) = (name_of(&case.fault), name_of(&case.way));
     let outcomes: Vec<Outcome> = (0..seeds).map(|seed| permits::run(Case { seed, ..case })).collect();
     let used = |pick: fn(f64, f64) -> f64, from| outcomes.iter().map(|o| o.used).fold(from, pick);
-    let (least, greatest) = (used(f64::min, f64::INFINITY), used(f64::max, 0.0));
+    let (min_used, max_used) = (used(f64::min, f64::INFINITY), used(f64::max, 0.0));
     let mean = outcomes.iter().map(|o| o.used).sum::<f64>() / outcomes.len().max(1) as f64;
     let max_in_window = outcomes.iter().map(|o| o.max_in_window).max().unwrap_or(0);
     let bytes = outcomes.iter().map(|o| o.bytes).max().unwrap_or(0);
     let over = max_in_window.saturating_sub(case.rate as usize);
     println!(
-        "load {}, {fault}, {way}: over by {over}; used {mean:.3} ({least:.3} to {greatest:.3}); \
+        "load {}, {fault}, {way}: over by {over}; used {mean:.3} ({min_used:.3} to {max_used:.3}); \
          {bytes} bytes",
         case.load
     );
--- a/lab/src/drills/cluster.rs
+++ b/lab/src/drills/cluster.rs
@@ -131,7 +131,7 @@
     epoch: f64,
     /// Capacity of all servers at each second, in conversations per second.
     pub capacity: Vec<f64>,
-    pub peers: GossipStats,
+    pub gossip: GossipStats,
     pub events: Events,
     now: f64,
 }
@@ -139,8 +139,8 @@
 impl TestCluster {
     pub fn new(drill: Drill, slack: f64, epoch: f64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(drill.seed);
-        let mut own = || Pcg64Mcg::seed_from_u64(rng.random());
-        let stand_in = |i: usize, rng| StandInServer {
+        let mut new_rng = || Pcg64Mcg::seed_from_u64(rng.random());
+        let new_server = |i: usize, rng| StandInServer {
             central: Central::for_drill(&drill, f64::NEG_INFINITY, rng),
             name: format!("central-{i}"),
             address: None,
@@ -149,11 +149,11 @@
             silent_until: 0.0,
             draining: false,
         };
-        let servers = (0..drill.fleet.servers).map(|i| stand_in(i, own())).collect();
+        let servers = (0..drill.fleet.servers).map(|i| new_server(i, new_rng())).collect();
         let mut cluster = Self {
             servers,
-            callers: Callers::new(&drill, own()),
-            link: Link::new(drill.link, own()),
+            callers: Callers::new(&drill, new_rng()),
+            link: Link::new(drill.link, new_rng()),
             availability: None,
             checker: RuleChecker::new(slack, (drill.gossip.limit > 0).then_some(drill.gossip.limit)),
             feed: None,
@@ -169,10 +169,10 @@
             addresses: vec![None; drill.fleet.proxies],
             epoch,
             capacity: Vec::new(),
-            peers: GossipStats::default(),
+            gossip: GossipStats::default(),
             events: Events::default(),
             now: 0.0,
-            rng: own(),
+            rng: new_rng(),
             drill,
         };
         for (i, fault) in cluster.drill.faults.clone().iter().enumerate() {
@@ -208,7 +208,7 @@
                 (0..self.servers.len()).map(|server| self.entry(server, Readiness::Running)).collect();
             self.feed = Some(Feed::new(self.drill.fleet.proxies, &entries));
         }
-        let updates = self.feed.as_ref().expect("just made").whole(proxy);
+        let updates = self.feed.as_ref().expect("made above").whole(proxy);
         self.record_list(proxy, &updates);
         updates
     }
@@ -221,7 +221,7 @@
             };
             let stand_in = &self.servers[server];
             let answers = stand_in.up && now >= stand_in.silent_until && now >= stand_in.central.hung_until;
-            self.peers.record_suspicion(now, proxy, server, !answers || stand_in.central.overloaded);
+            self.gossip.record_suspicion(now, proxy, server, !answers || stand_in.central.overloaded);
         }
     }
 
@@ -235,7 +235,7 @@
         let started = stand_in.central.started_at;
         PoolEntry {
             name: stand_in.name.clone(),
-            address: stand_in.address.expect("settled"),
+            address: stand_in.address.expect("address is set"),
             state,
             pool: stand_in.pool,
             started: started.is_finite().then_some(self.epoch + started),
@@ -282,9 +282,9 @@
     }
 
     /// Handles a datagram of a proxy at a stand-in's socket.
-    pub fn receive(&mut self, now: f64, at: StandIn, from: SocketAddr, bytes: Bytes) {
+    pub fn receive(&mut self, now: f64, receiver: StandIn, from: SocketAddr, bytes: Bytes) {
         self.now = now;
-        match at {
+        match receiver {
             StandIn::Callers => {
                 let legs = &self.callers;
                 self.events.frame(now, "callers", "in", from, &bytes);
@@ -302,9 +302,9 @@
                 };
                 let before = self.checker.setups;
                 self.checker.to_server(now, server, from, &bytes, &facts);
-                let silent = self.peers.silent_since.get(&server).filter(|_| now < stand_in.silent_until);
+                let silent = self.gossip.silent_since.get(&server).filter(|_| now < stand_in.silent_until);
                 if silent.is_some_and(|since| now > since + MAX_DETECTION_MS) {
-                    self.peers.late_attempts += self.checker.setups - before;
+                    self.gossip.late_attempts += self.checker.setups - before;
                 }
                 self.events.frame(now, &stand_in.name, "in", from, &bytes);
                 if now < stand_in.silent_until {
@@ -312,7 +312,7 @@
                 }
             }
         }
-        self.transmit(|| InTransit::ToStandIn(at, from, bytes.clone()));
+        self.transmit(|| InTransit::ToStandIn(receiver, from, bytes.clone()));
         self.send_outgoing();
     }
 
@@ -423,7 +423,7 @@
             Step::Begin(fault) => self.begin_fault(at, &self.drill.faults[fault].clone()),
             Step::Silent { server, until } => {
                 self.servers[server].silent_until = until;
-                self.peers.silent_since.entry(server).or_insert(at);
+                self.gossip.silent_since.entry(server).or_insert(at);
                 self.schedule(until, Step::Return { server });
                 self.schedule(at + 1.0, Step::ListSilent { server });
             }
--- a/lab/src/drills/simulated.rs
+++ b/lab/src/drills/simulated.rs
@@ -217,7 +217,7 @@
     /// Sends a message between members, or loses it.
     fn pass(&mut self, from: usize, to: SocketAddr, bytes: Bytes) {
         let now = self.now;
-        self.cluster.peers.sent(now, from, bytes.len());
+        self.cluster.gossip.sent(now, from, bytes.len());
         let (to, sender) = (index(to), address(PEERS, from));
         for late in self.cluster.drill.peer_copy_delays(now, from, to, &mut self.rng) {
             let at = now + late + PEER_DELAY_MS * (0.2 + 1.8 * self.rng.random::<f64>());
--- a/lab/src/drills/sockets/gossip.rs
+++ b/lab/src/drills/sockets/gossip.rs
@@ -30,9 +30,9 @@
         for member in 0..members {
             let socket = Arc::new(bind(loopback())?);
             self.switch_addresses.push(socket.local_addr()?);
-            let input = self.input.clone();
+            let sender = self.input_sender.clone();
             tokio::spawn(read(socket.clone(), move |from, bytes| {
-                input.send(Input::Gossip(member, from, bytes)).is_ok()
+                sender.send(Input::Gossip(member, from, bytes)).is_ok()
             }));
             self.switch.push(socket);
         }
@@ -119,15 +119,15 @@
 }
 
 /// Asks every proxy in turn which servers it suspects to be silent.
-pub(super) async fn poll_suspicions(controls: Vec<PathBuf>, input: mpsc::UnboundedSender<Input>) {
+pub(super) async fn poll_suspicions(controls: Vec<PathBuf>, sender: mpsc::UnboundedSender<Input>) {
     loop {
         for (proxy, control) in controls.iter().enumerate() {
             tokio::time::sleep(POLL_INTERVAL / controls.len() as u32).await;
             let request = daemon::control::ask::<Vec<SuspicionStatus>>(control, "suspicions");
             // A proxy that is down or stopped does not answer.
             let Ok(Ok(suspicions)) = tokio::time::timeout(POLL_INTERVAL, request).await else { continue };
-            let believed = suspicions.into_iter().filter(|s| s.believed).map(|s| s.server).collect();
-            if input.send(Input::Believed(proxy, believed)).is_err() {
+            let suspected = suspicions.into_iter().filter(|s| s.believed).map(|s| s.server).collect();
+            if sender.send(Input::Suspicions(proxy, suspected)).is_err() {
                 return;
             }
         }
--- a/lab/src/drills/sockets/mod.rs
+++ b/lab/src/drills/sockets/mod.rs
@@ -57,7 +57,7 @@
     Release(Result<()>),
     /// A datagram at a member's socket in the switch.
     Gossip(usize, SocketAddr, Bytes),
-    Believed(usize, Vec<String>),
+    Suspicions(usize, Vec<String>),
 }
 
 struct Listening {
@@ -79,11 +79,11 @@
     cluster: TestCluster,
     routing: Option<Routing>,
     costs: Vec<Cost>,
-    began: Instant,
+    started_at: Instant,
     listeners: HashMap<StandIn, Listening>,
     addresses: HashMap<usize, SocketAddr>,
     slots: Vec<ProxySlot>,
-    input: mpsc::UnboundedSender<Input>,
+    input_sender: mpsc::UnboundedSender<Input>,
     inputs: mpsc::UnboundedReceiver<Input>,
     /// A socket for each member; all gossip goes through them, and is lost here.
     switch: Vec<Arc<UdpSocket>>,
@@ -117,18 +117,18 @@
 
 impl Run {
     async fn begin(drill: Drill, routing: Option<Routing>) -> Result<Self> {
-        let (input, inputs) = mpsc::unbounded_channel();
+        let (input_sender, inputs) = mpsc::unbounded_channel();
         let folder = tempfile::tempdir()?;
         let proxies = drill.fleet.proxies;
         let mut run = Self {
             cluster: TestCluster::new(drill, CLOCK_SLACK_MS, unix()?),
             routing,
             costs: Vec::new(),
-            began: Instant::now(),
+            started_at: Instant::now(),
             listeners: HashMap::new(),
             addresses: HashMap::new(),
             slots: Vec::new(),
-            input,
+            input_sender,
             inputs,
             switch: Vec::new(),
             switch_addresses: Vec::new(),
@@ -147,7 +147,7 @@
             run.cluster.whole_list(0);
             let server = run.addresses[&0];
             (0..proxies).for_each(|proxy| run.cluster.set_proxy_address(proxy, server));
-            run.began = Instant::now();
+            run.started_at = Instant::now();
             return Ok(run);
         }
         if run.cluster.drill.gossip.on {
@@ -158,7 +158,7 @@
             fs::create_dir(&state)?;
             let feed = TcpListener::bind(loopback()).await?;
             let address = feed.local_addr()?;
-            tokio::spawn(subscribers(feed, proxy, run.input.clone()));
+            tokio::spawn(subscribers(feed, proxy, run.input_sender.clone()));
             run.slots.push(ProxySlot {
                 state,
                 feed: address,
@@ -183,25 +183,25 @@
             run.costs.push(Cost { process, cpu, memory: [memory, memory] });
         }
         // The drill's time starts when all proxies are ready.
-        run.began = Instant::now();
+        run.started_at = Instant::now();
         run.watch_release();
         if run.cluster.drill.gossip.on {
             let controls = run.slots.iter().map(|slot| slot.state.join("control.sock"));
-            tokio::spawn(poll_suspicions(controls.collect(), run.input.clone()));
+            tokio::spawn(poll_suspicions(controls.collect(), run.input_sender.clone()));
         }
         Ok(run)
     }
 
     fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64() * 1000.0
+        self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
     fn open(&mut self, stand_in: StandIn, address: SocketAddr) -> Result<SocketAddr> {
         let socket = Arc::new(bind(address)?);
         let address = socket.local_addr()?;
-        let input = self.input.clone();
+        let sender = self.input_sender.clone();
         let reader = tokio::spawn(read(socket.clone(), move |from, bytes| {
-            input.send(Input::Datagram(stand_in, from, bytes)).is_ok()
+            sender.send(Input::Datagram(stand_in, from, bytes)).is_ok()
         }));
         self.listeners.insert(stand_in, Listening { socket, reader });
         Ok(address)
@@ -278,11 +278,11 @@
             Input::Gossip(to, from, bytes) => {
                 if let Some(member) = self.slots.iter().position(|slot| slot.peers == Some(from)) {
                     let now = self.now();
-                    self.cluster.peers.sent(now, member, bytes.len());
+                    self.cluster.gossip.sent(now, member, bytes.len());
                     self.pass(member, to, &bytes);
                 }
             }
-            Input::Believed(proxy, names) => {
+            Input::Suspicions(proxy, names) => {
                 let now = self.now();
                 self.cluster.record_suspicions(now, proxy, names.iter().map(String::as_str));
             }
@@ -342,10 +342,10 @@
                     let now = self.now();
                     self.script(proxy, now + duration);
                     self.signal(proxy, Signal::SIGSTOP);
-                    let input = self.input.clone();
+                    let sender = self.input_sender.clone();
                     tokio::spawn(async move {
                         tokio::time::sleep(Duration::from_secs_f64(duration / 1000.0)).await;
-                        let _ = input.send(Input::Resume(proxy));
+                        let _ = sender.send(Input::Resume(proxy));
                     });
                 }
             }
@@ -389,12 +389,12 @@
 }
 
 /// Accepts a proxy's subscriptions: reads the request, and hands on the connection for the whole list.
-async fn subscribers(listener: TcpListener, proxy: usize, input: mpsc::UnboundedSender<Input>) {
+async fn subscribers(listener: TcpListener, proxy: usize, sender: mpsc::UnboundedSender<Input>) {
     while let Ok((stream, _)) = listener.accept().await {
         let (from, to) = stream.into_split();
         let mut request = String::new();
         if BufReader::new(from).read_line(&mut request).await.is_ok_and(|read| read > 0) {
-            let _ = input.send(Input::Subscribed(proxy, to));
+            let _ = sender.send(Input::Subscribed(proxy, to));
         }
     }
 }
--- a/lab/src/drills/sockets/processes.rs
+++ b/lab/src/drills/sockets/processes.rs
@@ -81,7 +81,7 @@
         let log = File::options().create(true).append(true).open(slot.state.join("log"))?;
         command.arg(&config).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).kill_on_drop(true);
         slot.child = Some(command.spawn()?);
-        tokio::spawn(watch_ready_file(ready, proxy, self.input.clone()));
+        tokio::spawn(watch_ready_file(ready, proxy, self.input_sender.clone()));
         Ok(())
     }
 
@@ -101,7 +101,7 @@
     }
 }
 
-async fn watch_ready_file(file: PathBuf, proxy: usize, input: mpsc::UnboundedSender<Input>) {
+async fn watch_ready_file(file: PathBuf, proxy: usize, sender: mpsc::UnboundedSender<Input>) {
     let mut last_text = String::new();
     loop {
         // A process that executes another program writes its addresses again.
@@ -110,7 +110,7 @@
             && let Ok(ready) = serde_json::from_str(&text)
         {
             last_text = text;
-            if input.send(Input::Ready(proxy, ready)).is_err() {
+            if sender.send(Input::Ready(proxy, ready)).is_err() {
                 return;
             }
         }
--- a/lab/src/drills/sockets/releasing.rs
+++ b/lab/src/drills/sockets/releasing.rs
@@ -19,9 +19,9 @@
         self.cluster.availability =
             Some(AvailabilityChecker::new(proxies, play.max_unavailable(proxies), self.images()));
         let addresses = self.slots.iter().filter_map(|slot| slot.callers).collect();
-        let input = self.input.clone();
+        let sender = self.input_sender.clone();
         tokio::spawn(release::probe_callers_sockets(addresses, move |proxy| {
-            input.send(Input::Alive(proxy)).is_ok()
+            sender.send(Input::Alive(proxy)).is_ok()
         }));
         let at = play.at * 1000.0;
         // The interval that the budget allows on average if each replacement takes two seconds.
@@ -29,10 +29,10 @@
         let states: Vec<PathBuf> = self.slots.iter().map(|slot| slot.state.clone()).collect();
         match play.method {
             ReplacementMethod::Agreed => {
-                let input = self.input.clone();
+                let sender = self.input_sender.clone();
                 tokio::spawn(async move {
                     tokio::time::sleep(Duration::from_secs_f64(at / 1000.0)).await;
-                    let _ = input.send(Input::Release(release::start(states).await));
+                    let _ = sender.send(Input::Release(release::start(states).await));
                 });
             }
             ReplacementMethod::Timer => {
--- a/lab/src/drills/standalone.rs
+++ b/lab/src/drills/standalone.rs
@@ -32,40 +32,41 @@
 const FILE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 struct Stopwatch {
-    began: Instant,
+    started_at: Instant,
     end: f64,
 }
 
 impl Stopwatch {
     fn new(seconds: Option<f64>) -> Self {
-        Self { began: Instant::now(), end: seconds.map_or(f64::INFINITY, |s| s * 1000.0) }
+        Self { started_at: Instant::now(), end: seconds.map_or(f64::INFINITY, |s| s * 1000.0) }
     }
 
     fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64() * 1000.0
+        self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
-    fn over(&self) -> bool {
+    fn is_over(&self) -> bool {
         self.now() >= self.end
     }
 
     /// Time until `due` or the end; an hour if neither is known.
     fn wait(&self, due: f64) -> Duration {
-        let span = (due.min(self.end) - self.now()).clamp(0.0, 3_600_000.0);
-        Duration::from_secs_f64(span / 1000.0)
+        let duration = (due.min(self.end) - self.now()).clamp(0.0, 3_600_000.0);
+        Duration::from_secs_f64(duration / 1000.0)
     }
 }
 
 /// Receives a datagram, or nothing by `due`.
 async fn arrival(
     socket: &UdpSocket,
-    watch: &Stopwatch,
+    stopwatch: &Stopwatch,
     due: f64,
     buffer: &mut BytesMut,
 ) -> Option<(SocketAddr, Bytes)> {
     buffer.reserve(MAX_DATAGRAM_BYTES);
     // An error here concerns the peer of an earlier datagram; whoever waits for that peer detects it.
-    let (_, from) = tokio::time::timeout(watch.wait(due), socket.recv_buf_from(buffer)).await.ok()?.ok()?;
+    let (_, from) =
+        tokio::time::timeout(stopwatch.wait(due), socket.recv_buf_from(buffer)).await.ok()?.ok()?;
     Some((from, buffer.split().freeze()))
 }
 
@@ -96,34 +97,34 @@
 }
 
 /// Runs one stand-in server; prints its entry for the pool list once it listens.
-pub async fn server(play: ServerBehaviour) -> Result<()> {
-    let socket = bind(play.listen).with_context(|| format!("listening at {}", play.listen))?;
+pub async fn server(behaviour: ServerBehaviour) -> Result<()> {
+    let socket = bind(behaviour.listen).with_context(|| format!("listening at {}", behaviour.listen))?;
     let started = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH)?.as_secs_f64() * 1000.0;
     let entry = PoolEntry {
-        name: play.name,
+        name: behaviour.name,
         address: socket.local_addr()?,
         state: Readiness::Running,
-        pool: play.pool,
-        started: play.cold.then_some(started.floor()),
+        pool: behaviour.pool,
+        started: behaviour.cold.then_some(started.floor()),
     };
     println!("{}", serde_json::to_string(&entry)?);
-    let watch = Stopwatch::new(play.seconds);
-    let since = if play.cold { 0.0 } else { f64::NEG_INFINITY };
+    let stopwatch = Stopwatch::new(behaviour.seconds);
+    let since = if behaviour.cold { 0.0 } else { f64::NEG_INFINITY };
     let rng = Pcg64Mcg::seed_from_u64(rand::rng().random());
-    let mut central = Central::new(Drill::setup_work_for(play.capacity), since, play.reports, rng);
-    central.slow = (f64::INFINITY, play.slow);
-    central.faulty = (f64::INFINITY, play.faulty);
-    central.lines = play.lines.unwrap_or(usize::MAX);
+    let mut central = Central::new(Drill::setup_work_for(behaviour.capacity), since, behaviour.reports, rng);
+    central.slow = (f64::INFINITY, behaviour.slow);
+    central.faulty = (f64::INFINITY, behaviour.faulty);
+    central.lines = behaviour.lines.unwrap_or(usize::MAX);
     let mut buffer = BytesMut::new();
-    while !watch.over() {
-        let arrived = arrival(&socket, &watch, central.due(), &mut buffer).await;
-        let now = watch.now();
-        if let Some((from, for_so_long)) = play.hang
+    while !stopwatch.is_over() {
+        let arrived = arrival(&socket, &stopwatch, central.due(), &mut buffer).await;
+        let now = stopwatch.now();
+        if let Some((from, duration)) = behaviour.hang
             && now >= from * 1000.0
         {
-            central.hung_until = (from + for_so_long) * 1000.0;
+            central.hung_until = (from + duration) * 1000.0;
         }
-        if now >= play.silent * 1000.0 {
+        if now >= behaviour.silent * 1000.0 {
             continue;
         }
         if let Some((from, bytes)) = arrived {
@@ -151,50 +152,50 @@
 pub async fn list(listen: SocketAddr, file: &Path, late: f64, seconds: Option<f64>) -> Result<()> {
     let listener = TcpListener::bind(listen).await.with_context(|| format!("listening at {listen}"))?;
     println!("{}", serde_json::json!({ "feed": listener.local_addr()? }));
-    let watch = Stopwatch::new(seconds);
-    let mut listed = entries(file)?;
-    let mut feed = Feed::new(1, &listed);
-    let (come, mut comes) = mpsc::unbounded_channel::<OwnedWriteHalf>();
+    let stopwatch = Stopwatch::new(seconds);
+    let mut current = entries(file)?;
+    let mut feed = Feed::new(1, &current);
+    let (sender, mut receiver) = mpsc::unbounded_channel::<OwnedWriteHalf>();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let come = come.clone();
+            let sender = sender.clone();
             tokio::spawn(async move {
                 let (from, to) = stream.into_split();
-                let mut asked = String::new();
-                if BufReader::new(from).read_line(&mut asked).await.is_ok_and(|read| read > 0) {
-                    let _ = come.send(to);
+                let mut request = String::new();
+                if BufReader::new(from).read_line(&mut request).await.is_ok_and(|read| read > 0) {
+                    let _ = sender.send(to);
                 }
             });
         }
     });
     let mut subscribers: Vec<OwnedWriteHalf> = Vec::new();
-    while !watch.over() {
-        let wait = watch.wait(watch.now() + FILE_POLL_INTERVAL.as_secs_f64() * 1000.0);
-        if let Ok(Some(mut fresh)) = tokio::time::timeout(wait, comes.recv()).await
-            && fresh.write_all(feed.whole(0).write().as_bytes()).await.is_ok()
+    while !stopwatch.is_over() {
+        let wait = stopwatch.wait(stopwatch.now() + FILE_POLL_INTERVAL.as_secs_f64() * 1000.0);
+        if let Ok(Some(mut subscriber)) = tokio::time::timeout(wait, receiver.recv()).await
+            && subscriber.write_all(feed.whole(0).write().as_bytes()).await.is_ok()
         {
-            subscribers.push(fresh);
+            subscribers.push(subscriber);
         }
-        let now = watch.now();
+        let now = stopwatch.now();
         match entries(file) {
-            Ok(news) => {
-                for entry in changes(&listed, &news) {
+            Ok(updates) => {
+                for entry in changes(&current, &updates) {
                     feed.change(&entry, |_| now + late * 1000.0);
                 }
-                listed = news;
+                current = updates;
             }
             // A file that is being written is read again at the next check.
             Err(error) => eprintln!("list: {error:#}"),
         }
-        for (_, news) in feed.deliver(now) {
-            let line = news.write();
-            let mut left = Vec::new();
+        for (_, updates) in feed.deliver(now) {
+            let line = updates.write();
+            let mut remaining = Vec::new();
             for mut subscriber in subscribers.drain(..) {
                 if subscriber.write_all(line.as_bytes()).await.is_ok() {
-                    left.push(subscriber);
+                    remaining.push(subscriber);
                 }
             }
-            subscribers = left;
+            subscribers = remaining;
         }
     }
     Ok(())
@@ -214,27 +215,27 @@
     let socket = bind(crate::drills::sockets::loopback())?;
     let mut drill = drill;
     drill.fleet.proxies = proxies.len();
-    let longest = drill.grades.iter().map(|grade| grade.limit).fold(drill.load.caller_timeout, f64::max);
-    let watch = Stopwatch::new(Some(drill.seconds + longest));
+    let max_wait = drill.grades.iter().map(|grade| grade.limit).fold(drill.load.caller_timeout, f64::max);
+    let stopwatch = Stopwatch::new(Some(drill.seconds + max_wait));
     let mut callers = Callers::new(&drill, Pcg64Mcg::seed_from_u64(drill.seed));
     callers.proxies = proxies.iter().copied().map(Some).collect();
     let mut checker = RuleChecker::new(crate::drills::sockets::CLOCK_SLACK_MS, None);
     let mut buffer = BytesMut::new();
-    while !watch.over() {
-        if let Some((from, bytes)) = arrival(&socket, &watch, callers.due(), &mut buffer).await {
-            checker.to_caller(watch.now(), &bytes, |number| callers.try_of_call_number(from, number));
-            callers.receive(watch.now(), &drill, from, &bytes);
+    while !stopwatch.is_over() {
+        if let Some((from, bytes)) = arrival(&socket, &stopwatch, callers.due(), &mut buffer).await {
+            checker.to_caller(stopwatch.now(), &bytes, |number| callers.try_of_call_number(from, number));
+            callers.receive(stopwatch.now(), &drill, from, &bytes);
         }
-        callers.turn(watch.now(), &drill);
+        callers.turn(stopwatch.now(), &drill);
         while let Some(datagram) = callers.datagram() {
             let tries = &callers.tries;
             let of = |number: usize| (tries[number].proxy, tries[number].until);
-            checker.from_caller(watch.now(), datagram.peer, &datagram.bytes, of);
+            checker.from_caller(stopwatch.now(), datagram.peer, &datagram.bytes, of);
             callers.record_sent(&datagram);
             let _ = socket.send_to(&datagram.bytes, datagram.peer).await;
         }
     }
-    checker.close(watch.now());
+    checker.close(stopwatch.now());
     let Verdict { checked, broken, examples } = &checker.verdicts[0];
     let mut delays = Histogram::<u64>::new(3)?;
     let stood = callers.people.iter().filter_map(|person| Some(person.answered_at? - person.first_at));
@@ -268,61 +269,61 @@
 ) -> Result<()> {
     let front = Arc::new(bind(listen).with_context(|| format!("listening at {listen}"))?);
     println!("{}", serde_json::json!({ "relay": front.local_addr()? }));
-    let watch = Stopwatch::new(seconds);
+    let stopwatch = Stopwatch::new(seconds);
     let mut link = Link::new(faults, Pcg64Mcg::seed_from_u64(seed));
-    let (come, mut comes) = mpsc::unbounded_channel::<(SocketAddr, Bytes)>();
-    let mut backs: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
-    let mut flying: VecDeque<(f64, Arc<UdpSocket>, SocketAddr, Bytes)> = VecDeque::new();
+    let (sender, mut receiver) = mpsc::unbounded_channel::<(SocketAddr, Bytes)>();
+    let mut return_sockets: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
+    let mut in_transit: VecDeque<(f64, Arc<UdpSocket>, SocketAddr, Bytes)> = VecDeque::new();
     let mut buffer = BytesMut::new();
-    while !watch.over() {
-        let due = flying.iter().map(|flight| flight.0).fold(f64::INFINITY, f64::min);
-        let came = tokio::select! {
-            Some((client, bytes)) = comes.recv() => Some((front.clone(), client, bytes)),
-            came = arrival(&front, &watch, due, &mut buffer) => match came {
+    while !stopwatch.is_over() {
+        let due = in_transit.iter().map(|datagram| datagram.0).fold(f64::INFINITY, f64::min);
+        let datagram = tokio::select! {
+            Some((client, bytes)) = receiver.recv() => Some((front.clone(), client, bytes)),
+            datagram = arrival(&front, &stopwatch, due, &mut buffer) => match datagram {
                 None => None,
                 Some((client, bytes)) => {
-                    let back = match backs.get(&client) {
-                        Some(back) => back.clone(),
+                    let return_socket = match return_sockets.get(&client) {
+                        Some(return_socket) => return_socket.clone(),
                         None => {
-                            let back = Arc::new(bind(crate::drills::sockets::loopback())?);
-                            tokio::spawn(carry_back(back.clone(), client, come.clone()));
-                            backs.insert(client, back.clone());
-                            back
+                            let return_socket = Arc::new(bind(crate::drills::sockets::loopback())?);
+                            tokio::spawn(forward_replies(return_socket.clone(), client, sender.clone()));
+                            return_sockets.insert(client, return_socket.clone());
+                            return_socket
                         }
                     };
-                    Some((back, to, bytes))
+                    Some((return_socket, to, bytes))
                 }
             }
         };
-        let now = watch.now();
-        if let Some((socket, peer, bytes)) = came {
-            flying.extend(link.pass(now).map(|at| (at, socket.clone(), peer, bytes.clone())));
+        let now = stopwatch.now();
+        if let Some((socket, peer, bytes)) = datagram {
+            in_transit.extend(link.pass(now).map(|at| (at, socket.clone(), peer, bytes.clone())));
         }
-        let mut left = VecDeque::new();
-        for (at, socket, peer, bytes) in flying.drain(..) {
+        let mut remaining = VecDeque::new();
+        for (at, socket, peer, bytes) in in_transit.drain(..) {
             if at <= now {
                 let _ = socket.send_to(&bytes, peer).await;
             } else {
-                left.push_back((at, socket, peer, bytes));
+                remaining.push_back((at, socket, peer, bytes));
             }
         }
-        flying = left;
+        in_transit = remaining;
     }
     Ok(())
 }
 
-async fn carry_back(
-    back: Arc<UdpSocket>,
+async fn forward_replies(
+    return_socket: Arc<UdpSocket>,
     client: SocketAddr,
-    come: mpsc::UnboundedSender<(SocketAddr, Bytes)>,
+    sender: mpsc::UnboundedSender<(SocketAddr, Bytes)>,
 ) {
     let mut buffer = BytesMut::new();
     loop {
         buffer.reserve(MAX_DATAGRAM_BYTES);
-        if back.recv_buf_from(&mut buffer).await.is_err() {
+        if return_socket.recv_buf_from(&mut buffer).await.is_err() {
             continue;
         }
-        if come.send((client, buffer.split().freeze())).is_err() {
+        if sender.send((client, buffer.split().freeze())).is_err() {
             return;
         }
     }
--- a/lab/src/reports/summary.rs
+++ b/lab/src/reports/summary.rs
@@ -111,7 +111,7 @@
 
 impl GossipSummary {
     fn of(cluster: &TestCluster) -> Self {
-        let (drill, stats) = (&cluster.drill, &cluster.peers);
+        let (drill, stats) = (&cluster.drill, &cluster.gossip);
         let detection_times = stats.detection_times();
         let seconds = cluster.capacity.len().max(1) as f64;
         Self {
@@ -131,7 +131,7 @@
     }
 
     /// Whether the byte limit held, and no healthy server was suspected.
-    pub fn sound(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.wrong == 0 && self.most_bytes as f64 <= self.cap
     }
 }
@@ -194,7 +194,7 @@
             delay_median: delays.value_at_quantile(0.5) as f64,
             delay_p99: delays.value_at_quantile(0.99) as f64,
             by_second,
-            late_attempts: cluster.peers.late_attempts,
+            late_attempts: cluster.gossip.late_attempts,
             gossip: drill.gossip.on.then(|| GossipSummary::of(cluster)),
             cost: None,
             limit: (drill.gossip.limit > 0).then(|| {
@@ -224,7 +224,7 @@
     }
 
     /// Adds the mean cost of the proxies that ran throughout, if any did.
-    pub fn costing(self, costs: &[Cost]) -> Self {
+    pub fn with_cost(self, costs: &[Cost]) -> Self {
         let mean = |of: fn(&Cost) -> f64| costs.iter().map(of).sum::<f64>() / costs.len() as f64;
         let cost = (!costs.is_empty()).then(|| (mean(|cost| cost.cpu), mean(|cost| cost.memory[1])));
         Self { cost, ..self }
@@ -282,7 +282,7 @@
 }
 
 /// Prints the same drill's results for each routing.
-pub fn print_beside(summaries: &[Summary]) {
+pub fn print_comparison(summaries: &[Summary]) {
     #[derive(Tabled)]
     struct Row {
         routing: String,
--- a/lab/src/stand_ins/baseline.rs
+++ b/lab/src/stand_ins/baseline.rs
@@ -100,13 +100,13 @@
     }
 
     fn choose(&mut self) -> Option<usize> {
-        let candidates = |s: &Option<(State, usize, f64)>| match s {
+        let eligible = |s: &Option<(State, usize, f64)>| match s {
             Some((State::Running, ..)) => true,
             Some(_) => self.defects.ignores_list,
             None => false,
         };
         let mut candidates: Vec<usize> =
-            (0..self.servers.len()).filter(|&i| candidates(&self.servers[i])).collect();
+            (0..self.servers.len()).filter(|&i| eligible(&self.servers[i])).collect();
         if self.defects.prefers_cold {
             let youngest = |&i: &usize| self.servers[i].map_or(f64::NEG_INFINITY, |s| s.2);
             let last = candidates.iter().copied().max_by(|a, b| youngest(a).total_cmp(&youngest(b)));
--- a/lab/src/stand_ins/callers.rs
+++ b/lab/src/stand_ins/callers.rs
@@ -113,15 +113,14 @@
         callers
     }
 
-    fn schedule(&mut self, started_at: f64, schedule: PlannedEvent) {
+    fn schedule(&mut self, due: f64, event: PlannedEvent) {
         self.events_planned += 1;
-        self.planned_events.push(Reverse((OrderedFloat(started_at), self.events_planned, schedule)));
+        self.planned_events.push(Reverse((OrderedFloat(due), self.events_planned, event)));
     }
 
     pub fn due(&self) -> f64 {
-        let schedule =
-            self.planned_events.peek().map_or(f64::INFINITY, |Reverse((started_at, ..))| started_at.0);
-        schedule.min(self.endpoint.due().unwrap_or(f64::INFINITY))
+        let next = self.planned_events.peek().map_or(f64::INFINITY, |Reverse((due, ..))| due.0);
+        next.min(self.endpoint.due().unwrap_or(f64::INFINITY))
     }
 
     pub fn datagram(&mut self) -> Option<Datagram> {
@@ -136,13 +135,13 @@
     pub fn turn(&mut self, now: f64, drill: &Drill) {
         self.endpoint.turn(now);
         self.handle_events(now, drill);
-        while let Some(Reverse((started_at, _, schedule))) = self.planned_events.peek().copied() {
-            if started_at.0 > now {
+        while let Some(Reverse((due, _, event))) = self.planned_events.peek().copied() {
+            if due.0 > now {
                 break;
             }
             self.planned_events.pop();
-            match schedule {
-                PlannedEvent::Arrive => self.arrive(started_at.0, now, drill),
+            match event {
+                PlannedEvent::Arrive => self.arrive(due.0, now, drill),
                 PlannedEvent::Dial(person) => self.dial(now, drill, person),
                 PlannedEvent::GiveUp(number) => {
                     let Try { leg, ended, person, .. } = self.tries[number];
@@ -189,11 +188,11 @@
         }
     }
 
-    fn arrive(&mut self, events_planned: f64, now: f64, drill: &Drill) {
+    fn arrive(&mut self, planned_at: f64, now: f64, drill: &Drill) {
         let rate_factor = if now < self.faults.burst.0 { self.faults.burst.1 } else { 1.0 };
         let interval: f64 = Exp1.sample(&mut self.rng);
         // From the planned time, so that a drill that runs late offers the same load.
-        let next = events_planned + interval * 1000.0 / (drill.load.rate * rate_factor);
+        let next = planned_at + interval * 1000.0 / (drill.load.rate * rate_factor);
         if next < drill.seconds * 1000.0 {
             self.schedule(next, PlannedEvent::Arrive);
         }
@@ -321,8 +320,8 @@
         let grade = &drill.grades[person.grade];
         let worth = grade.earnings;
         let share = match person.answered_at {
-            Some(started_at) if !person.cut && started_at - person.first_at <= grade.quoted * 1000.0 => 1.0,
-            Some(started_at) if !person.cut && started_at - person.first_at <= grade.limit * 1000.0 => {
+            Some(answered_at) if !person.cut && answered_at - person.first_at <= grade.quoted * 1000.0 => 1.0,
+            Some(answered_at) if !person.cut && answered_at - person.first_at <= grade.limit * 1000.0 => {
                 grade.late_share
             }
             _ => 0.0,
@@ -334,9 +333,9 @@
 /// Draws an index by weight.
 fn weighted_choice(rng: &mut Pcg64Mcg, weights: impl Iterator<Item = f64> + Clone) -> usize {
     let mut draw = rng.random::<f64>() * weights.clone().sum::<f64>();
-    let started_at = weights.clone().position(|weight| {
+    let index = weights.clone().position(|weight| {
         draw -= weight;
         draw <= 0.0
     });
-    started_at.unwrap_or(weights.count().saturating_sub(1))
+    index.unwrap_or(weights.count().saturating_sub(1))
 }
--- a/lab/src/witness/checker.rs
+++ b/lab/src/witness/checker.rs
@@ -53,7 +53,7 @@
 /// An attempt at a server, by its leg.
 struct AttemptSeen {
     number: usize,
-    from: f64,
+    sent_at: f64,
 }
 
 #[derive(Default)]
@@ -155,11 +155,11 @@
         }
     }
 
-    fn broken(&mut self, rule: usize, examples: impl FnOnce() -> String) {
+    fn count_violation(&mut self, rule: usize, describe: impl FnOnce() -> String) {
         let verdict = &mut self.verdicts[rule - 1];
         verdict.broken += 1;
         if verdict.examples.len() < MAX_EXAMPLES {
-            verdict.examples.push(examples());
+            verdict.examples.push(describe());
         }
     }
 
@@ -235,7 +235,7 @@
 
     fn record_violation(&mut self, rule: usize, number: usize, what: &str) {
         let history = self.describe_try(number);
-        self.broken(rule, || format!("{what}: {history}"));
+        self.count_violation(rule, || format!("{what}: {history}"));
     }
 
     /// Records a datagram to the callers, before the link's faults.
@@ -310,7 +310,7 @@
         self.setups += 1;
         // If another conversation had this call number before, that one's leg is over.
         self.attempt_ended(now, key, false);
-        self.attempts.insert(key, AttemptSeen { number, from: now });
+        self.attempts.insert(key, AttemptSeen { number, sent_at: now });
         let attempts = self.attempts_of_try.entry(number).or_default();
         let (in_flight, waited) = (attempts.in_flight.len(), now - attempts.release_since);
         let must_wait = attempts.release_since > 0.0;
@@ -381,7 +381,7 @@
         self.verdicts[3].checked += 1;
         if sent > bearable {
             let (name, age) = (facts.name.to_owned(), now - facts.started);
-            self.broken(4, || {
+            self.count_violation(4, || {
                 format!("{now:.0} ms: {name}, started {age:.0} ms ago, was sent {sent} set-ups in {OVERLOAD_WINDOW_MS} ms and bears {bearable:.1}")
             });
         }
@@ -403,7 +403,7 @@
 
     fn attempt_ended(&mut self, now: f64, key: (usize, SocketAddr, u16), must_wait: bool) {
         let Some(attempt) = self.attempts.remove(&key) else { return };
-        self.ended_attempts.insert(key, (attempt.number, attempt.from));
+        self.ended_attempts.insert(key, (attempt.number, attempt.sent_at));
         let attempts = self.attempts_of_try.entry(attempt.number).or_default();
         attempts.in_flight.retain(|in_flight| *in_flight != key);
         attempts.release_since = if must_wait { now } else { 0.0 };
--- a/lab/tests/permits.rs
+++ b/lab/tests/permits.rs
@@ -12,13 +12,13 @@
 #[case(Fault::OneWay)]
 #[case(Fault::Restart)]
 #[case(Fault::Moves)]
-fn permits_that_are_lent_hold_where_parts_by_told_demand_are_caught(#[case] fault: Fault) {
+fn lent_permits_keep_the_limit_where_shares_by_reported_demand_exceed_it(#[case] fault: Fault) {
     assert!(max_in_window(Scheme::Lent, fault) <= 24);
     assert!(max_in_window(Scheme::Counts, fault) > 24);
 }
 
 #[test]
-fn the_same_seed_plays_the_same() {
+fn the_same_seed_gives_the_same_outcome() {
     let case = Case { way: Scheme::Lent, fault: Fault::Loss, members: 12, rate: 24.0, load: 0.7, seed: 3 };
     assert_eq!(run(case), run(case));
 }
--- a/lab/tests/platform.rs
+++ b/lab/tests/platform.rs
@@ -27,7 +27,7 @@
 }
 
 /// A proxy before one central server.
-fn before_one(
+fn proxy_with_one_server(
     behaviour: impl Fn(&sip::Message) -> SetupBehaviour + Send + Sync + 'static,
     sockets: usize,
 ) -> Result<(Central, ChangeLog, Proxy)> {
@@ -40,14 +40,14 @@
 }
 
 /// Whether a new call is established through the proxy.
-fn stands(proxy: &Proxy, n: usize) -> bool {
+fn is_established(proxy: &Proxy, n: usize) -> bool {
     let Ok(mut caller) = Caller::connect(proxy.listen) else { return false };
     caller.offer(&call_id(n), KEY).is_ok()
         && caller.receive().is_ok_and(|reply| reply.is_some_and(|reply| reply["op"] == "accept"))
 }
 
 #[test]
-fn a_calm_visit() -> Result<()> {
+fn every_call_of_a_run_without_faults_is_answered_and_released() -> Result<()> {
     let (program, arguments) = program();
     assert_eq!(run_calls(program, arguments, 30)?, 30);
     Ok(())
@@ -58,12 +58,13 @@
 #[case::engaged(486, Some("engaged"), &[34, 42, 102])]
 #[case::no_circuit(503, Some("congestion"), &[34, 42, 102])]
 #[case::throttled(503, Some("throttled"), &[41])]
-fn what_a_central_server_can_t_set_up_is_answered_at_once(
+fn a_call_that_a_central_server_rejects_is_answered_at_once(
     #[case] code: u16,
     #[case] note: Option<&'static str>,
     #[case] causes: &[u8],
 ) -> Result<()> {
-    let (_central, _changelog, proxy) = before_one(move |_| SetupBehaviour::refuse(code, note), 256)?;
+    let (_central, _changelog, proxy) =
+        proxy_with_one_server(move |_| SetupBehaviour::refuse(code, note), 256)?;
     let mut caller = Caller::connect(proxy.listen)?;
     caller.offer(&call_id(1), KEY)?;
     let reply = caller.receive()?.expect("an answer");
@@ -72,14 +73,14 @@
 }
 
 #[test]
-fn a_spoilt_answer_is_not_passed_on() -> Result<()> {
+fn a_malformed_answer_is_not_passed_on() -> Result<()> {
     let malformed =
         b"SIP/2.0 200 OK\r\nCall-ID: x\r\nCSeq: 1 INVITE\r\nContent-Length: 3000000000\r\n\r\n".to_vec();
     let first = move |setup: &sip::Message| match setup.number {
         1 => SetupBehaviour { malformed: Some(malformed.clone()), ..SetupBehaviour::default() },
         _ => SetupBehaviour::accept(setup),
     };
-    let (_central, _changelog, proxy) = before_one(first, 256)?;
+    let (_central, _changelog, proxy) = proxy_with_one_server(first, 256)?;
     let mut caller = Caller::connect(proxy.listen)?;
     caller.offer(&call_id(1), KEY)?;
     let reply = caller.receive()?.expect("an answer");
@@ -89,7 +90,7 @@
 
 #[test]
 fn a_call_outlives_its_connections_on_both_sides() -> Result<()> {
-    let (central, _changelog, proxy) = before_one(SetupBehaviour::accept, 256)?;
+    let (central, _changelog, proxy) = proxy_with_one_server(SetupBehaviour::accept, 256)?;
     let mut caller = Caller::connect(proxy.listen)?;
     caller.offer(&call_id(1), KEY)?;
     assert_eq!(caller.receive()?.expect("an answer")["op"], "accept");
@@ -105,7 +106,7 @@
 
 #[test]
 fn a_caller_releases_its_call() -> Result<()> {
-    let (central, _changelog, proxy) = before_one(SetupBehaviour::accept, 256)?;
+    let (central, _changelog, proxy) = proxy_with_one_server(SetupBehaviour::accept, 256)?;
     let mut caller = Caller::connect(proxy.listen)?;
     caller.offer(&call_id(1), KEY)?;
     assert_eq!(caller.receive()?.expect("an answer")["op"], "accept");
@@ -117,19 +118,21 @@
 #[rstest]
 #[case::broken_off(ChangeLog::break_connections)]
 #[case::silent(ChangeLog::stop_sending)]
-fn a_change_log_that_fails_is_asked_again(#[case] fail: fn(&ChangeLog)) -> Result<()> {
-    let (_central, changelog, proxy) = before_one(|_| SetupBehaviour::refuse(503, Some("throttled")), 256)?;
+fn a_failed_change_log_connection_is_opened_again(#[case] fail: fn(&ChangeLog)) -> Result<()> {
+    let (_central, changelog, proxy) =
+        proxy_with_one_server(|_| SetupBehaviour::refuse(503, Some("throttled")), 256)?;
     until("the first call", || changelog.calls() > 0);
     fail(&changelog);
     let other = Central::start("s-1", Box::new(SetupBehaviour::accept))?;
     changelog.add(&[other.entry("in_service", 1)]);
-    until("a set-up at the new server", || stands(&proxy, 1));
+    until("a set-up at the new server", || is_established(&proxy, 1));
     Ok(())
 }
 
 #[test]
-fn another_configuration_names_another_change_log() -> Result<()> {
-    let (_central, changelog, proxy) = before_one(|_| SetupBehaviour::refuse(503, Some("throttled")), 256)?;
+fn a_new_configuration_switches_to_another_change_log() -> Result<()> {
+    let (_central, changelog, proxy) =
+        proxy_with_one_server(|_| SetupBehaviour::refuse(503, Some("throttled")), 256)?;
     proxy.reconfigure("{ this is no JSON")?;
     let moved = ChangeLog::start()?;
     let mut reply = configuration(&changelog, 256)?;
@@ -140,13 +143,13 @@
     moved.add(&[other.entry("in_service", 1)]);
     reply["changelog"] = moved.address.to_string().into();
     proxy.reconfigure(&reply.to_string())?;
-    until("a set-up at the new server", || stands(&proxy, 1));
+    until("a set-up at the new server", || is_established(&proxy, 1));
     Ok(())
 }
 
 #[test]
-fn who_is_told_to_stop_answers_what_it_has_taken() -> Result<()> {
-    let (central, _changelog, mut proxy) = before_one(|_| SetupBehaviour::default(), 256)?;
+fn a_stopping_proxy_answers_the_calls_it_has_accepted() -> Result<()> {
+    let (central, _changelog, mut proxy) = proxy_with_one_server(|_| SetupBehaviour::default(), 256)?;
     let mut caller = Caller::connect(proxy.listen)?;
     caller.offer(&call_id(1), KEY)?;
     until("the set-up", || {
@@ -166,23 +169,23 @@
 }
 
 #[test]
-fn silent_connections_past_the_budget_keep_nobody_out() -> Result<()> {
-    let (_central, _changelog, proxy) = before_one(SetupBehaviour::accept, 96)?;
+fn silent_connections_beyond_the_socket_budget_do_not_block_callers() -> Result<()> {
+    let (_central, _changelog, proxy) = proxy_with_one_server(SetupBehaviour::accept, 96)?;
     let silent: Vec<Caller> = (0..150).map(|_| Caller::connect(proxy.listen)).collect::<Result<_>>()?;
-    assert!(stands(&proxy, 1));
+    assert!(is_established(&proxy, 1));
     drop(silent);
     Ok(())
 }
 
 #[test]
-fn an_endless_line_is_closed_and_harms_nobody() -> Result<()> {
-    let (_central, _changelog, proxy) = before_one(SetupBehaviour::accept, 256)?;
+fn a_caller_with_an_endless_line_is_disconnected_without_harm_to_others() -> Result<()> {
+    let (_central, _changelog, proxy) = proxy_with_one_server(SetupBehaviour::accept, 256)?;
     let mut rude = Caller::connect(proxy.listen)?;
     let sending = thread::spawn(move || {
         let _ = (0..600).try_for_each(|_| rude.send(&[b'{'; 100_000]));
         rude.receive()
     });
-    assert!(stands(&proxy, 1));
+    assert!(is_established(&proxy, 1));
     assert_eq!(sending.join().expect("sent")?, None);
     Ok(())
 }
--- a/lab/tests/release.rs
+++ b/lab/tests/release.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn two_away_at_once_break_a_budget_of_one_and_one_after_another_does_not() {
+fn two_unavailable_at_once_break_a_budget_of_one_and_one_after_another_does_not() {
     let mut checker = AvailabilityChecker::new(4, 1, images(&[]));
     for proxy in 0..4 {
         let now = 500.0 * proxy as f64;
--- a/lab/tests/rules.rs
+++ b/lab/tests/rules.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn ours_keeps_all_rules_on_the_bad_day_and_one_seed_gives_one_course() {
+fn the_module_keeps_all_rules_on_the_bad_day_and_the_same_seed_gives_the_same_events() {
     let first = Summary::of(&play("bad-day", 30.0, Routing::Ours, Defects::default()), "ours", true);
     let again = Summary::of(&play("bad-day", 30.0, Routing::Ours, Defects::default()), "ours", true);
     let text = |summary: &Summary| serde_json::to_string(summary).expect("plain data");
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn lost_answers_leave_one_answer_a_conversation_and_no_early_shot() {
+fn lost_answers_leave_one_answer_per_conversation_and_no_early_attempt() {
     let cluster = play("kind:answer_lost", 16.0, Routing::Ours, Defects::default());
     let lost: u64 = cluster.servers.iter().map(|server| server.central.answers_lost).sum();
     assert!(lost > 50, "{lost} lost");
@@ -45,9 +45,9 @@
 }
 
 #[rstest]
-#[case::as_they_will_be(false, true)]
-#[case::probed_as_before(true, false)]
-fn ours_keeps_all_rules_where_servers_are_laid_out_otherwise(#[case] probes: bool, #[case] unprobed: bool) {
+#[case::without_probes(false, true)]
+#[case::with_probes(true, false)]
+fn the_module_keeps_all_rules_with_another_server_deployment(#[case] probes: bool, #[case] unprobed: bool) {
     let mut drill = Drill::named("new-shape").expect("a drill");
     drill.deployment.probes = probes;
     let cluster =
@@ -58,7 +58,7 @@
 }
 
 #[rstest]
-fn ours_keeps_all_rules_in_each_kind_of_trouble(
+fn the_module_keeps_all_rules_under_each_kind_of_fault(
     #[values(
         "vanish",
         "slow",
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_proxy_that_shoots_at_the_youngest_breaks_the_fourth_rule() {
+fn a_proxy_that_prefers_the_newest_server_breaks_the_fourth_rule() {
     let broken = Defects { prefers_cold: true, ..Defects::default() };
     let cluster = play("kind:mass_restart", 16.0, Routing::Random, broken);
     assert!(broken_rules(&cluster).contains(&4));
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn two_shots_out_for_one_break_the_second_rule_but_a_copy_does_not() {
+fn two_attempts_in_flight_for_one_try_break_the_second_rule_but_a_copy_does_not() {
     let (proxy, caller) =
         ("127.0.0.1:9".parse().expect("an address"), "127.0.0.1:8".parse().expect("an address"));
     let facts = ServerFacts { name: "central-0", started: f64::NEG_INFINITY, capacity: 10.0 };
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn answered_twice_breaks_the_first_rule() {
+fn two_final_answers_break_the_first_rule() {
     let proxy = "127.0.0.1:9".parse().expect("an address");
     let mut checker = RuleChecker::new(0.0, None);
     checker.from_caller(0.0, proxy, &new(1, 5), |_| (0, 3000.0));
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_file_with_an_unknown_key_is_told() {
+fn a_drill_file_with_an_unknown_key_is_rejected() {
     let error =
         Drill::read("name = \"x\"\nseed = 1\nseconds = 1\nsecnods = 2").expect_err("unfit").to_string();
     assert!(error.contains("secnods"), "{error}");
