--- a/lab/src/commands/drill.rs
+++ b/lab/src/commands/drill.rs
@@ -1,4 +1,4 @@
-//! `drill`: plays a drill, beside others if asked, and judges the rules.
+//! `drill`: plays a drill, alone or next to other routings, and checks the rules.
 
 use std::fs::{self, File};
 use std::io::BufWriter;
@@ -7,18 +7,18 @@
 
 use anyhow::{Context, Result, ensure};
 use clap::Args;
-use lab::drill::{By, Drill};
+use lab::drill::{Drill, ReplacementMethod};
 use lab::drills::{simulated, sockets};
 use lab::reports::page;
 use lab::reports::summary::{self, Summary};
-use lab::stand_ins::baseline::{Broken, Routing};
+use lab::stand_ins::baseline::{Defects, Routing};
 use lab::witness::events::Events;
 
-/// Which drill, what is changed in it, what is played beside it and what is kept.
+/// Which drill to play, what to change in it, what to compare it with and which files to write.
 #[derive(Args)]
 pub struct DrillArguments {
     drill: String,
-    /// Under a virtual clock, in this process
+    /// Run under a virtual clock, in this process
     #[arg(long = "virtual")]
     simulated: bool,
     #[arg(long)]
@@ -28,7 +28,7 @@
     /// First tries a second
     #[arg(long)]
     rate: Option<f64>,
-    /// What that is of the servers' capacity when all is well
+    /// That rate as a share of the servers' capacity when all are healthy
     #[arg(long)]
     of_capacity: Option<f64>,
     #[arg(long)]
@@ -38,45 +38,45 @@
     /// Play it again with another routing: random, round-robin or least-out
     #[arg(long)]
     against: Vec<Routing>,
-    /// Let proxies gossip, whatever the drill says
+    /// Let proxies gossip, whatever the drill's file has
     #[arg(long)]
     gossip: bool,
-    /// Lose such a part of their messages
+    /// Share of gossip messages that is lost
     #[arg(long)]
     gossip_loss: Option<f64>,
-    /// Members beside the proxies that call every server silent
-    #[arg(long)]
-    liars: Option<usize>,
-    /// Of how many members it is borne that they lie
-    #[arg(long)]
-    liars_borne: Option<usize>,
-    /// Do not tell the proxies of the fleet's limit: the check is to catch them
+    /// Members besides the proxies that report every server as silent
+    #[arg(long = "liars", value_name = "LIARS")]
+    faulty_members: Option<usize>,
+    /// How many faulty members the suspicion rule tolerates
+    #[arg(long = "liars-borne", value_name = "LIARS_BORNE")]
+    max_faulty: Option<usize>,
+    /// Do not give the proxies the fleet's limit, so that the check must catch them
     #[arg(long)]
     unlimited: bool,
     /// How the proxies of a drill with a release are replaced
     #[arg(long, value_enum)]
-    release_by: Option<By>,
+    release_by: Option<ReplacementMethod>,
     /// Play it again without gossip
     #[arg(long)]
     without_gossip: bool,
-    /// Keep summary.json, events.jsonl (ours only) and report.html in this directory
+    /// Write summary.json, events.jsonl (of the first run only) and report.html to this directory
     #[arg(long)]
     out: Option<PathBuf>,
-    /// One JSON object in place of tables
+    /// Print one JSON object instead of tables
     #[arg(long)]
     json: bool,
 }
 
-/// Plays the drill and what is asked beside it; fails if a rule broke.
+/// Plays the drill and its comparisons; fails if a rule was violated.
 pub fn run(arguments: &DrillArguments) -> Result<ExitCode> {
-    let drill = changed(arguments)?;
+    let drill = configured_drill(arguments)?;
     if let Some(folder) = &arguments.out {
         fs::create_dir_all(folder).with_context(|| folder.display().to_string())?;
     }
     let mut summaries = Vec::new();
-    for (place, (routing, drill)) in plays(&drill, arguments).into_iter().enumerate() {
+    for (index, (routing, drill)) in runs(&drill, arguments).into_iter().enumerate() {
         let events = match &arguments.out {
-            Some(folder) if place == 0 => {
+            Some(folder) if index == 0 => {
                 Events::to(BufWriter::new(File::create(folder.join("events.jsonl"))?))
             }
             _ => Events::default(),
@@ -92,12 +92,12 @@
         print(&drill, &summaries);
     }
     let ours = &summaries[0];
-    let sound = ours.gossip.as_ref().is_none_or(|gossip| gossip.sound());
-    Ok(if ours.broken() > 0 || !sound { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+    let passed = ours.gossip.as_ref().is_none_or(|gossip| gossip.passed());
+    Ok(if ours.broken() > 0 || !passed { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
 
-/// The drill that is named, as the arguments change it.
-fn changed(arguments: &DrillArguments) -> Result<Drill> {
+/// Reads the drill and applies the arguments to it.
+fn configured_drill(arguments: &DrillArguments) -> Result<Drill> {
     let mut drill = Drill::named(&arguments.drill)?;
     let set = |to: &mut usize, from: Option<usize>| *to = from.unwrap_or(*to);
     set(&mut drill.fleet.proxies, arguments.proxies);
@@ -107,39 +107,39 @@
     drill.seconds = arguments.seconds.unwrap_or(drill.seconds);
     drill.seed = arguments.seed.unwrap_or(drill.seed);
     drill.gossip.on |= arguments.gossip;
-    drill.gossip.limit_told &= !arguments.unlimited;
+    drill.gossip.limit_announced &= !arguments.unlimited;
     if let Some((play, by)) = drill.release.as_mut().zip(arguments.release_by) {
-        play.by = by;
+        play.method = by;
     }
     ensure!(!(arguments.simulated && drill.release.is_some()), "a release is played on sockets");
     drill.gossip.loss = arguments.gossip_loss.unwrap_or(drill.gossip.loss);
-    set(&mut drill.gossip.liars, arguments.liars);
-    set(&mut drill.gossip.liars_borne, arguments.liars_borne);
-    drill.check()?;
+    set(&mut drill.gossip.faulty_members, arguments.faulty_members);
+    set(&mut drill.gossip.max_faulty, arguments.max_faulty);
+    drill.validate()?;
     Ok(drill)
 }
 
-/// What is played: ours first, then the routings and the drill without gossip that are asked for.
-fn plays(drill: &Drill, arguments: &DrillArguments) -> Vec<(Routing, Drill)> {
-    let mut plays: Vec<(Routing, Drill)> = std::iter::once(Routing::Ours)
+/// The runs to play: the module first, then the requested routings and the drill without gossip.
+fn runs(drill: &Drill, arguments: &DrillArguments) -> Vec<(Routing, Drill)> {
+    let mut runs: Vec<(Routing, Drill)> = std::iter::once(Routing::Ours)
         .chain(arguments.against.iter().copied())
         .map(|routing| (routing, drill.clone()))
         .collect();
     if arguments.without_gossip {
         let mut without = drill.clone();
         without.gossip.on = false;
-        plays.push((Routing::Ours, without));
+        runs.push((Routing::Ours, without));
     }
-    plays
+    runs
 }
 
 fn play(drill: Drill, routing: Routing, events: Events, simulated: bool) -> Result<Summary> {
     if simulated {
-        let world = simulated::run(drill, routing, Broken::default(), events)?;
-        return Ok(Summary::of(&world, &routing.to_string(), true));
+        let cluster = simulated::run(drill, routing, Defects::default(), events)?;
+        return Ok(Summary::of(&cluster, &routing.to_string(), true));
     }
     let played = sockets::play(drill, Some(routing), events)?;
-    Ok(Summary::of(&played.world, &routing.to_string(), false).costing(&played.costs))
+    Ok(Summary::of(&played.cluster, &routing.to_string(), false).with_cost(&played.costs))
 }
 
 fn print(drill: &Drill, summaries: &[Summary]) {
@@ -149,7 +149,7 @@
         ours.drill, ours.proxies, ours.servers, ours.seed, ours.people, ours.tries
     );
     ours.print_rules();
-    summary::print_beside(summaries);
+    summary::print_comparison(summaries);
     if drill.gossip.on {
         summary::print_gossip(summaries);
     }
--- a/lab/src/commands/platform.rs
+++ b/lab/src/commands/platform.rs
@@ -15,15 +15,16 @@
     calls: usize,
 }
 
-/// Starts a border proxy as the platform does and calls it; fails unless every call stood and was released.
+/// Starts a border proxy as the platform does and calls it; fails unless each call was answered and
+/// released.
 pub fn run(arguments: &PlatformArguments) -> Result<ExitCode> {
     let calls = arguments.calls;
-    let released = platform::visit(&std::env::current_exe()?, &["serve"], calls)?;
-    println!("{calls} calls, {released} stood and were released in the usual way");
+    let released = platform::run_calls(&std::env::current_exe()?, &["serve"], calls)?;
+    println!("{calls} calls, {released} answered and released in the usual way");
     Ok(if released == calls { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// The border proxy that [`run`] starts.
+/// Runs the border proxy that [`run`] starts.
 pub fn serve() -> Result<ExitCode> {
     block_on(daemon::serve::serve())?;
     Ok(ExitCode::SUCCESS)
--- a/lab/src/commands/sizes.rs
+++ b/lab/src/commands/sizes.rs
@@ -10,10 +10,10 @@
 use lab::drills::simulated;
 use lab::reports::page;
 use lab::reports::summary::{self, GossipSummary, Summary};
-use lab::stand_ins::baseline::{Broken, Routing};
+use lab::stand_ins::baseline::{Defects, Routing};
 use lab::witness::events::Events;
 
-/// Sizes to play, and where the plots go.
+/// Sizes to play, and the directory for the plots.
 #[derive(Args)]
 pub struct SizesArguments {
     #[arg(long, num_args = 1.., default_values_t = [100, 200, 400, 700, 1000])]
@@ -34,13 +34,13 @@
 fn play(size: usize) -> Result<Summary> {
     let mut drill = Drill::named("gossip-100")?;
     drill.fleet.proxies = size;
-    drill.check()?;
-    let world = simulated::run(drill, Routing::Ours, Broken::default(), Events::default())?;
-    Ok(Summary::of(&world, &size.to_string(), true))
+    drill.validate()?;
+    let cluster = simulated::run(drill, Routing::Ours, Defects::default(), Events::default())?;
+    Ok(Summary::of(&cluster, &size.to_string(), true))
 }
 
 fn write_plots(summaries: &[Summary], folder: &Path) -> Result<()> {
-    // Where nobody came to know there is no point.
+    // A size at which no proxy detected a silent server has no point.
     let line = |name: &str, of: &dyn Fn(&GossipSummary) -> Option<f64>| -> page::Line {
         let points = summaries.iter().filter_map(|s| Some((s.proxies as f64, of(s.gossip.as_ref()?)?)));
         (name.to_owned(), points.collect())
