--- a/distribution/src/control.rs
+++ b/distribution/src/control.rs
@@ -192,7 +192,7 @@
     /// Creates a control machine that serves nothing yet: [`Control::restore`] and
     /// [`Control::update_certificate`] provide what to serve.
     pub fn new(terms: ControlTerms, seed: u64, now: f64) -> Self {
-        let bytes = new_byte_budget(terms.bytes_per_second, now);
+        let byte_budget = new_byte_budget(terms.bytes_per_second, now);
         Self {
             sweep_at: now + terms.heartbeat,
             terms,
@@ -203,7 +203,7 @@
             snapshots: BTreeMap::new(),
             deferred: (0, 0),
             progress: ChangeTracker::default(),
-            byte_budget: bytes,
+            byte_budget,
             polls: Vec::new(),
             gather_until: f64::INFINITY,
             freshness_requests: VecDeque::new(),
@@ -277,7 +277,7 @@
         self.close(id);
     }
 
-    /// Handles a datagram from a member authenticated by its packet.
+    /// Handles a datagram whose sender was authenticated by its packet.
     pub fn receive(&mut self, now: f64, from: Id, bytes: &[u8]) {
         self.counts.received += 1;
         self.counts.received_bytes += bytes.len() as u64;
@@ -319,8 +319,8 @@
         if !known && full {
             return self.defer(now, from);
         }
-        let bytes = new_byte_budget(self.terms.subscriber_bytes_per_second, now);
-        let session = self.sessions.open(from, bytes, self.terms.heartbeat, now);
+        let byte_budget = new_byte_budget(self.terms.subscriber_bytes_per_second, now);
+        let session = self.sessions.open(from, byte_budget, self.terms.heartbeat, now);
         if !session.poll_budget.try_spend(now, 1.0) {
             self.counts.rate_limited += 1;
             return;
@@ -331,13 +331,13 @@
                 continue;
             }
             self.counts.ahead += u64::from(position.in_force > index);
-            let before = session.scopes.remove(&scope);
-            if before.as_ref().is_some_and(|before| before.position != position)
-                && let Some(at) = self.snapshots.get_mut(&from)
+            let previous = session.scopes.remove(&scope);
+            if previous.as_ref().is_some_and(|previous| previous.position != position)
+                && let Some(progress_at) = self.snapshots.get_mut(&from)
             {
-                *at = now;
+                *progress_at = now;
             }
-            let (sent, proved) = before.map_or((None, f64::NEG_INFINITY), |subscription| {
+            let (sent, proved_at) = previous.map_or((None, f64::NEG_INFINITY), |subscription| {
                 (subscription.sent, subscription.proved_at)
             });
             let acknowledged = position.in_force.min(index);
@@ -346,7 +346,7 @@
                 acknowledged,
                 polled_at: now,
                 wants_proof: true,
-                proved_at: proved,
+                proved_at,
                 sent,
             };
             session.scopes.insert(scope, subscription);
@@ -396,11 +396,11 @@
         let heartbeat = self.terms.heartbeat;
         self.sweep_at = now + heartbeat;
         self.deferred = (0, self.deferred.0);
-        let ended = self.sessions.expire(now - EXPIRY_HEARTBEATS * heartbeat);
-        self.counts.expired += ended.len() as u64;
-        let lapsed = now - SNAPSHOT_SLOT_HEARTBEATS * heartbeat;
-        self.snapshots.retain(|_, at| *at >= lapsed);
-        self.pending_batches.retain(|pending| pending.requested_at >= lapsed);
+        let expired_ids = self.sessions.expire(now - EXPIRY_HEARTBEATS * heartbeat);
+        self.counts.expired += expired_ids.len() as u64;
+        let expired_before = now - SNAPSHOT_SLOT_HEARTBEATS * heartbeat;
+        self.snapshots.retain(|_, progress_at| *progress_at >= expired_before);
+        self.pending_batches.retain(|pending| pending.requested_at >= expired_before);
     }
 
     /// Asks the council for a freshness proof for all collected polls.
@@ -645,7 +645,12 @@
 }
 
 /// Reads the changes of one message.
-fn read_changes(state: &ScopedState, scope: Scope, seen: Version, transfer: &Transfer) -> Option<Changes> {
+fn read_changes(
+    state: &ScopedState,
+    scope: Scope,
+    source_version: Version,
+    transfer: &Transfer,
+) -> Option<Changes> {
     let (base, after) = (transfer.base, transfer.after.clone());
     let run = state.changes(scope, base, &after, MAX_CHANGES_BYTES).ok()?;
     let change = |(version, key, value)| KeyChange { version, key, value };
@@ -656,5 +661,5 @@
         changes.retain(|change| change.version <= base);
         complete |= changes.len() < before;
     }
-    Some(Changes { scope, base, source_version: seen, after, changes, complete })
+    Some(Changes { scope, base, source_version, after, changes, complete })
 }
--- a/distribution/src/placement.rs
+++ b/distribution/src/placement.rs
@@ -106,7 +106,7 @@
             (self.unanswered_since, self.pending_switch) = (None, None);
             return None;
         }
-        let rank = |id| self.order.iter().position(|&of| of == id);
+        let rank = |id| self.order.iter().position(|&other| other == id);
         let preferred = rank(from) < rank(self.current) && rank(from).is_some();
         (was_suspected && preferred).then(|| {
             let before = self.current;
@@ -182,8 +182,10 @@
         hasher.update(&id.to_le_bytes()).update(&subscriber.to_le_bytes());
         *hasher.finalize().as_bytes()
     };
-    let mut order: Vec<_> =
-        controls.iter().map(|of| (of.region != region, std::cmp::Reverse(weight(of.id)), of.id)).collect();
+    let mut order: Vec<_> = controls
+        .iter()
+        .map(|control| (control.region != region, std::cmp::Reverse(weight(control.id)), control.id))
+        .collect();
     order.sort_unstable();
     order.into_iter().map(|(_, _, id)| id).collect()
 }
--- a/distribution/src/scope_store.rs
+++ b/distribution/src/scope_store.rs
@@ -112,7 +112,7 @@
         self.fresh_since
     }
 
-    /// Records that nothing was decided after an index before a time.
+    /// Records that at a time nothing after this index had been decided.
     pub fn record_freshness(&mut self, index: Version, at: f64) {
         if self.verified.is_some() && index <= self.index() {
             self.fresh_since = Some(self.fresh_since.map_or(at, |previous| previous.max(at)));
@@ -177,7 +177,7 @@
 
     /// Takes the proof that waits for the certificate of an index.
     pub fn take_deferred_proof(&mut self, index: Version) -> Option<ScopeProof> {
-        self.deferred_proof.take_if(|(of, _)| *of == index).map(|(_, proof)| proof)
+        self.deferred_proof.take_if(|(awaited, _)| *awaited == index).map(|(_, proof)| proof)
     }
 
     /// Keeps a proof that was verified with a certificate.
--- a/distribution/src/sessions.rs
+++ b/distribution/src/sessions.rs
@@ -121,14 +121,14 @@
     }
 
     /// Opens a session, or returns the existing one.
-    pub fn open(&mut self, id: Id, bytes: TokenBucket, heartbeat: f64, now: f64) -> &mut Session {
+    pub fn open(&mut self, id: Id, byte_budget: TokenBucket, heartbeat: f64, now: f64) -> &mut Session {
         self.sessions.entry(id).or_insert_with(|| Session {
             scopes: BTreeMap::new(),
             started_at: now,
             polled_at: now,
             council_since: 0,
             pushed_at: f64::NEG_INFINITY,
-            byte_budget: bytes,
+            byte_budget,
             poll_budget: TokenBucket::new(POLLS_PER_HEARTBEAT / heartbeat * 1000.0, POLLS_PER_HEARTBEAT, now),
             due: None,
         })
--- a/distribution/src/subscriber.rs
+++ b/distribution/src/subscriber.rs
@@ -275,7 +275,7 @@
         restored
     }
 
-    /// Handles a datagram from a member authenticated by its packet.
+    /// Handles a datagram whose sender was authenticated by its packet.
     pub fn receive(&mut self, now: f64, from: Id, bytes: &[u8]) {
         if !self.placement.order().contains(&from) {
             self.counts.unexpected += 1;
@@ -307,8 +307,8 @@
         if !self.sent_polls.iter().any(|poll| poll.nonce == nonce && poll.to == from) {
             return;
         }
-        if let Some(before) = self.placement.poll_answered(from, now) {
-            self.unsubscribe_from(before);
+        if let Some(previous) = self.placement.poll_answered(from, now) {
+            self.unsubscribe_from(previous);
             self.counts.switched += 1;
             (self.poll_at, self.held_off_until) = (now, f64::NEG_INFINITY);
             return;
@@ -349,7 +349,8 @@
         self.update_ages();
     }
 
-    /// Applies freshness proofs to the scopes that have reached their index.
+    /// Applies freshness proofs to the scopes that have reached their index: what was decided by the time of
+    /// the poll is in force there.
     fn update_ages(&mut self) {
         for store in self.scopes.values_mut() {
             self.freshness.iter().for_each(|&(index, at)| store.record_freshness(index, at));
@@ -454,8 +455,8 @@
 
     /// Schedules a poll shortly, to acknowledge what arrived.
     fn schedule_acknowledgement(&mut self, now: f64) {
-        let soon = ACKNOWLEDGE_HEARTBEATS * self.terms.heartbeat;
-        let at = (now + soon * self.rng.random::<f64>()).max(self.polled_at + soon);
+        let max_delay = ACKNOWLEDGE_HEARTBEATS * self.terms.heartbeat;
+        let at = (now + max_delay * self.rng.random::<f64>()).max(self.polled_at + max_delay);
         self.acknowledge_at = self.acknowledge_at.min(at).max(self.held_off_until);
     }
 
@@ -497,9 +498,9 @@
 
     /// When the serving control machine is taken for failed because it answers but sends nothing new.
     fn lease_expires_at(&self) -> f64 {
-        let oldest = |at: f64, of: &ScopeStore| at.min(of.fresh_since().unwrap_or(f64::NEG_INFINITY));
-        let fresh = self.scopes.values().fold(f64::INFINITY, oldest);
-        let since = fresh.max(self.progress_at).max(self.placement.current().1);
+        let oldest = |at: f64, store: &ScopeStore| at.min(store.fresh_since().unwrap_or(f64::NEG_INFINITY));
+        let fresh_since = self.scopes.values().fold(f64::INFINITY, oldest);
+        let since = fresh_since.max(self.progress_at).max(self.placement.current().1);
         since + self.terms.lease
     }
 
@@ -518,9 +519,9 @@
     fn schedule_poll(&mut self, unanswered: bool) {
         let jitter = self.rng.random_range(1.0 - POLL_JITTER_FRACTION..1.0 + POLL_JITTER_FRACTION);
         let in_progress = unanswered || self.scopes.values().any(ScopeStore::is_in_progress);
-        let pace =
+        let interval =
             if in_progress { self.terms.heartbeat / FAST_POLLS_PER_HEARTBEAT } else { self.terms.heartbeat };
-        self.poll_at = (self.polled_at + jitter * pace).max(self.held_off_until);
+        self.poll_at = (self.polled_at + jitter * interval).max(self.held_off_until);
     }
 
     fn send_poll(&mut self, now: f64, to: Id, scopes: Vec<(Scope, Position)>) {
--- a/distribution/tests/cluster/mod.rs
+++ b/distribution/tests/cluster/mod.rs
@@ -15,15 +15,15 @@
 use distribution::{Control, ControlTerms, Scope, Subscriber, SubscriberTerms, Version};
 use links::{Links, NodeIndex};
 
-pub const HEARTBEAT: f64 = 1000.0;
-pub const LEASE: f64 = 10_000.0;
-pub const STEP: f64 = 5.0;
+pub const HEARTBEAT_MS: f64 = 1000.0;
+pub const LEASE_MS: f64 = 10_000.0;
+pub const STEP_MS: f64 = 5.0;
 /// Time within which a change has to be in force everywhere, in milliseconds.
-pub const IN_FORCE_WITHIN: f64 = 4_000.0;
+pub const IN_FORCE_WITHIN_MS: f64 = 4_000.0;
 /// Bytes of the packet around each datagram, which count against the limits.
 const PACKET_OVERHEAD_BYTES: usize = 120;
 /// Time that the council takes to answer with a freshness proof, in milliseconds.
-const FRESHNESS_DELAY: f64 = 30.0;
+const FRESHNESS_DELAY_MS: f64 = 30.0;
 pub const COUNCIL: NodeIndex = 0;
 /// First node index of the subscribers.
 pub const SUBSCRIBERS: NodeIndex = 100;
@@ -43,7 +43,7 @@
 
 pub fn control_terms() -> ControlTerms {
     ControlTerms {
-        heartbeat: HEARTBEAT,
+        heartbeat: HEARTBEAT_MS,
         max_subscribers: 3000,
         bytes_per_second: 8e6,
         subscriber_bytes_per_second: 6000.0,
@@ -187,8 +187,8 @@
             region: proxy.region,
             controls,
             bootstrap_members: self.council.bootstrap_members(),
-            heartbeat: HEARTBEAT,
-            lease: LEASE,
+            heartbeat: HEARTBEAT_MS,
+            lease: LEASE_MS,
             max_scope_bytes: 1 << 20,
         };
         let mut subscriber = Subscriber::new(terms, Keys(subscriber_id(number)), seed, now);
@@ -262,7 +262,7 @@
     }
 
     pub fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_MS;
         self.follow();
         self.deliver_freshness_proofs();
         while let Some((from, to, bytes)) = self.links.next_arrival(self.now) {
@@ -325,7 +325,7 @@
         while let Some(nonce) = control.next_freshness_request() {
             if !cut && !self.leaderless {
                 self.freshness_proofs.push_back((
-                    now + FRESHNESS_DELAY,
+                    now + FRESHNESS_DELAY_MS,
                     number,
                     self.council.freshness_proof(nonce),
                 ));
--- a/distribution/tests/many_subscribers.rs
+++ b/distribution/tests/many_subscribers.rs
@@ -2,7 +2,7 @@
 
 mod cluster;
 
-use cluster::{Cluster, HEARTBEAT, IN_FORCE_WITHIN};
+use cluster::{Cluster, HEARTBEAT_MS, IN_FORCE_WITHIN_MS};
 use distribution::Scope;
 use rstest::rstest;
 
@@ -55,15 +55,15 @@
     let mut cluster = zone_cluster(2100);
     if disks {
         (0..2100).for_each(|number| cluster.start_proxy(number));
-        cluster.run_until_converged(60.0 * HEARTBEAT);
+        cluster.run_until_converged(60.0 * HEARTBEAT_MS);
         (0..2100).for_each(|number| cluster.kill_proxy(number));
         cluster.set(Scope::All, "limit", &[2; 20]);
-        cluster.run(12.0 * HEARTBEAT);
+        cluster.run(12.0 * HEARTBEAT_MS);
         assert_eq!(cluster.control(0).status().subscribers, 0, "stopped subscribers are removed");
     }
     let before = cluster.control(0).status().counts;
     (0..2100).for_each(|number| cluster.start_proxy(number));
-    let took = cluster.run_until_converged(heartbeats * HEARTBEAT);
+    let took = cluster.run_until_converged(heartbeats * HEARTBEAT_MS);
     let status = cluster.control(0).status();
     let sent = status.counts.sent_bytes - before.sent_bytes;
     let deferred = status.counts.deferred - before.deferred;
@@ -77,11 +77,11 @@
 fn a_change_for_all_2750_subscribers_of_a_control_machine_is_in_force_within_4_s() {
     let mut cluster = zone_cluster(2750);
     (0..2750).for_each(|number| cluster.start_proxy(number));
-    cluster.run_until_converged(60.0 * HEARTBEAT);
+    cluster.run_until_converged(60.0 * HEARTBEAT_MS);
     cluster.links.loss = 0.3;
-    cluster.run(2.0 * HEARTBEAT);
+    cluster.run(2.0 * HEARTBEAT_MS);
     cluster.set(Scope::All, "limit", &[2; 20]);
-    let took = cluster.run_until_converged(IN_FORCE_WITHIN);
+    let took = cluster.run_until_converged(IN_FORCE_WITHIN_MS);
     println!("{took} ms, 30 in 100 lost");
     assert_bounds(&cluster);
 }
@@ -95,7 +95,7 @@
     for _ in 0..28 {
         cluster.add_proxy(&[Scope::All]);
     }
-    cluster.run_until_converged(60.0 * HEARTBEAT);
+    cluster.run_until_converged(60.0 * HEARTBEAT_MS);
     let statuses = [cluster.control(0).status(), cluster.control(1).status()];
     assert!(statuses.iter().all(|status| status.subscribers <= 15));
 }
@@ -110,19 +110,19 @@
     for _ in 0..10 {
         cluster.add_proxy(&[Scope::All]);
     }
-    cluster.run_until_converged(IN_FORCE_WITHIN);
+    cluster.run_until_converged(IN_FORCE_WITHIN_MS);
     for _ in 0..10 {
         cluster.add_proxy(&[Scope::All, Scope::Service(1)]);
     }
-    cluster.run(2.0 * HEARTBEAT);
+    cluster.run(2.0 * HEARTBEAT_MS);
     for round in 0..5 {
         cluster.set(Scope::All, "limit", &[round; 20]);
-        cluster.run(HEARTBEAT);
+        cluster.run(HEARTBEAT_MS);
         let newest = cluster.council.scope_version(Scope::All);
         let slow = (0..20).filter(|&number| cluster.subscriber(number).index(Scope::All) < newest).count();
         assert_eq!(slow, 0, "round {round}");
         assert_eq!(cluster.subscriber(15).index(Scope::Service(1)), 0, "it is still reading");
     }
-    cluster.run_until_converged(30.0 * HEARTBEAT);
+    cluster.run_until_converged(30.0 * HEARTBEAT_MS);
     assert_bounds(&cluster);
 }
--- a/distribution/tests/search.rs
+++ b/distribution/tests/search.rs
@@ -20,9 +20,9 @@
 use rstest::rstest;
 
 const SCOPE: Scope = Scope::Service(7);
-const HEARTBEAT: f64 = 1000.0;
+const HEARTBEAT_MS: f64 = 1000.0;
 /// Time that passes in one step, in milliseconds; polls are repeated at this interval.
-const TIME_STEP: f64 = HEARTBEAT / 4.0;
+const TIME_STEP_MS: f64 = HEARTBEAT_MS / 4.0;
 /// Steps of time within which all reach the newest version once links work.
 const MAX_CONVERGE_STEPS: usize = 24;
 const CONTROL: usize = 0;
@@ -47,7 +47,7 @@
     Time,
     Restart(usize),
     /// From a copy of the disk that is one write older; the control machine from the first state.
-    RestartOld(usize),
+    RestartFromOlderDisk(usize),
 }
 
 /// Changes decided one after the other: a key, and whether it is set or removed.
@@ -72,7 +72,7 @@
 
 fn control(restarts: u64, now: f64) -> Control {
     let terms = ControlTerms {
-        heartbeat: HEARTBEAT,
+        heartbeat: HEARTBEAT_MS,
         max_subscribers: 10,
         bytes_per_second: 1e6,
         subscriber_bytes_per_second: 6000.0,
@@ -87,8 +87,8 @@
         region: 1,
         controls: vec![ControlMachine { id: CONTROL as Id, region: 1 }],
         bootstrap_members,
-        heartbeat: HEARTBEAT,
-        lease: 10.0 * HEARTBEAT,
+        heartbeat: HEARTBEAT_MS,
+        lease: 10.0 * HEARTBEAT_MS,
         max_scope_bytes: 1 << 16,
     };
     let mut subscriber = Subscriber::new(terms, Keys(node as Id), node as u64 + 10 * restarts, now);
@@ -176,7 +176,7 @@
     fn acknowledge(&mut self) {
         for _ in 0..6 {
             self.deliver_all().expect("no invariant is violated");
-            self.time();
+            self.pass_time();
         }
         self.links.values_mut().for_each(VecDeque::clear);
     }
@@ -242,8 +242,8 @@
         self.flush(to);
     }
 
-    fn time(&mut self) {
-        self.now += TIME_STEP;
+    fn pass_time(&mut self) {
+        self.now += TIME_STEP_MS;
         for proof in std::mem::take(&mut self.answers) {
             self.control.receive_freshness_proof(self.now, proof);
         }
@@ -271,9 +271,9 @@
         if from_older_disk {
             disk.0 = disk.1.clone();
         }
-        let mut fresh = subscriber(node, self.council.bootstrap_members(), self.restarts, self.now);
-        fresh.restore(&disk.0);
-        (self.subscribers[number], self.in_force[number]) = (fresh, 0);
+        let mut restarted = subscriber(node, self.council.bootstrap_members(), self.restarts, self.now);
+        restarted.restore(&disk.0);
+        (self.subscribers[number], self.in_force[number]) = (restarted, 0);
         self.flush(node);
     }
 
@@ -292,7 +292,7 @@
             }
         }
         for node in 0..=SUBSCRIBERS.len() {
-            steps.extend([Step::Restart(node), Step::RestartOld(node)]);
+            steps.extend([Step::Restart(node), Step::RestartFromOlderDisk(node)]);
         }
         steps
     }
@@ -318,9 +318,9 @@
             Step::Lose(from, to) => {
                 drop(self.links.get_mut(&(from, to)).expect("a datagram is waiting").pop_front())
             }
-            Step::Time => self.time(),
+            Step::Time => self.pass_time(),
             Step::Restart(node) => self.restart(node, false),
-            Step::RestartOld(node) => self.restart(node, true),
+            Step::RestartFromOlderDisk(node) => self.restart(node, true),
         }
     }
 
@@ -363,7 +363,7 @@
             if self.is_converged() {
                 return Ok(steps);
             }
-            self.time();
+            self.pass_time();
         }
         Err(format!("not all reach {} once links work", self.council.scope_version(SCOPE)))
     }
@@ -482,10 +482,10 @@
     SmallCluster::behind(),
     "rejected messages of an honest"
 )]
-fn an_injected_fault_is_found(#[case] fault: Fault, #[case] start: SmallCluster, #[case] how: &str) {
+fn an_injected_fault_is_found(#[case] fault: Fault, #[case] start: SmallCluster, #[case] expected: &str) {
     inject_fault(Some(fault));
     let result = search(start, 4, 1);
     println!("{fault:?}: {} states, {:?}", result.states, result.violation);
     let violation = result.violation.expect("the fault violates an invariant");
-    assert!(violation.contains(how), "{violation}");
+    assert!(violation.contains(expected), "{violation}");
 }
--- a/distribution/tests/untrusted.rs
+++ b/distribution/tests/untrusted.rs
@@ -6,7 +6,7 @@
 use agree::certificate::{CouncilProof, Signer};
 use agree::freshness::FreshnessProof;
 use cluster::council::Keys;
-use cluster::{Cluster, HEARTBEAT, IN_FORCE_WITHIN, control_id, subscriber_id};
+use cluster::{Cluster, HEARTBEAT_MS, IN_FORCE_WITHIN_MS, control_id, subscriber_id};
 use distribution::batch::{Batch, BatchPath};
 use distribution::cursor::Cursor;
 use distribution::wire::{
@@ -25,8 +25,8 @@
     for _ in 0..5 {
         cluster.add_proxy(&[SERVICE, Scope::All]);
     }
-    cluster.run_until_converged(IN_FORCE_WITHIN);
-    cluster.run(2.0 * HEARTBEAT);
+    cluster.run_until_converged(IN_FORCE_WITHIN_MS);
+    cluster.run(2.0 * HEARTBEAT_MS);
     cluster.honest = false;
     cluster
 }
@@ -117,7 +117,7 @@
     let counts = cluster.subscriber(0).status(cluster.now).counts;
     assert!(counts.malformed > 5_000 && counts.unexpected >= 20_000, "{counts:?}");
     cluster.set(SERVICE, "a", b"9");
-    cluster.run_until_converged(2.0 * IN_FORCE_WITHIN);
+    cluster.run_until_converged(2.0 * IN_FORCE_WITHIN_MS);
 }
 
 #[test]
@@ -149,7 +149,7 @@
     let size = format!("{:?}", cluster.control(0)).len();
     assert!(size < 20_000_000, "{size} bytes to print");
     cluster.set(SERVICE, "a", b"9");
-    cluster.run_until_converged(60.0 * HEARTBEAT);
+    cluster.run_until_converged(60.0 * HEARTBEAT_MS);
 }
 
 #[test]
@@ -186,13 +186,13 @@
     let size = format!("{:?}", cluster.subscriber(0)).len();
     assert!(size < 200_000, "{size} bytes to print");
     cluster.set(SERVICE, "a", b"9");
-    cluster.run_until_converged(20.0 * HEARTBEAT);
+    cluster.run_until_converged(20.0 * HEARTBEAT_MS);
     // A valid continuation except for its content.
     let (index, next) = (cluster.council.index(), cluster.council.index() + 1);
     let forged = changes(index, next, Cursor::end_of(index), vec![change(next, "a", b"x")]);
     send_as_control(&mut cluster, 0, &[Message::Changes(forged)]);
     cluster.set(SERVICE, "a", b"10");
-    cluster.run_until_converged(20.0 * HEARTBEAT);
+    cluster.run_until_converged(20.0 * HEARTBEAT_MS);
     assert_eq!(
         cluster.subscriber(0).status(cluster.now).counts.mismatched,
         1,
@@ -222,7 +222,7 @@
     let mut cluster = Cluster::new(2, 3);
     cluster.links.duplication = 0.5;
     // Longer in transit than any answer is awaited: everything that arrives is old.
-    cluster.links.max_delay = 3.0 * HEARTBEAT;
+    cluster.links.max_delay = 3.0 * HEARTBEAT_MS;
     cluster.links.loss = 0.2;
     cluster.set(SERVICE, "a", b"1");
     for _ in 0..8 {
@@ -235,7 +235,7 @@
         }
         cluster.run(250.0);
     }
-    cluster.run_until_converged(30.0 * HEARTBEAT);
+    cluster.run_until_converged(30.0 * HEARTBEAT_MS);
 }
 
 #[rstest]
@@ -244,7 +244,7 @@
 fn a_forged_freshness_proof_does_not_lower_the_age(#[case] signer: u64, #[case] more: u64) {
     let mut cluster = converged();
     cluster.leaderless = true;
-    cluster.run(4.0 * HEARTBEAT);
+    cluster.run(4.0 * HEARTBEAT_MS);
     let before = cluster.subscriber(0).age(SERVICE, cluster.now);
     // The poll's nonce, which the serving control machine also knows.
     let now = cluster.now;
