--- a/distribution/src/trust.rs
+++ b/distribution/src/trust.rs
@@ -49,7 +49,7 @@
 impl fmt::Debug for SharedCertificate {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Statement { index, version, state_root: state, .. } = &self.0.statement;
-        write!(formatter, "Seal({index} by council {version}, state {:02x?})", &state[..8])
+        write!(formatter, "Certificate({index} by council {version}, state {:02x?})", &state[..8])
     }
 }
 
--- a/distribution/tests/scenarios.rs
+++ b/distribution/tests/scenarios.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_change_is_in_force_everywhere_within_a_heartbeat_on_whole_links() {
+fn a_change_is_in_force_everywhere_within_a_heartbeat_without_loss() {
     let mut cluster = converged(3, 30, 1);
     cluster.run(5.0 * HEARTBEAT_MS);
     cluster.set(SERVICE, "a", b"3");
@@ -136,7 +136,7 @@
 }
 
 #[rstest]
-fn a_scope_is_added_and_dropped_while_deltas_are_under_way(
+fn a_scope_can_be_added_and_dropped_during_a_transfer(
     #[values(0.0, 0.3)] loss: f64,
     #[values(1, 2, 3)] seed: u64,
 ) {
@@ -190,7 +190,7 @@
 }
 
 #[rstest]
-fn a_region_is_cut_off_while_a_change_commits_on_the_other_side(#[values(1, 2, 3)] seed: u64) {
+fn a_partitioned_region_keeps_its_state_and_catches_up_after_healing(#[values(1, 2, 3)] seed: u64) {
     let mut cluster = Cluster::new(3, seed);
     (0..3).for_each(|_| cluster.add_machine(2));
     cluster.set(SERVICE, "a", b"1");
