--- a/lab/src/drills/release.rs
+++ b/lab/src/drills/release.rs
@@ -60,9 +60,10 @@
         loop {
             let control = states[tries % states.len()].join("control.sock");
             tries += 1;
-            let request = serde_json::to_string(&CommandRequest { command: command.clone(), dry_run: false })?;
+            let command_text =
+                serde_json::to_string(&CommandRequest { command: command.clone(), dry_run: false })?;
             if let Ok(CommandOutcome::Done { .. } | CommandOutcome::Already) =
-                request::<CommandOutcome>(&control, &request).await
+                request::<CommandOutcome>(&control, &command_text).await
             {
                 break;
             }
