--- a/daemon/src/tables.rs
+++ b/daemon/src/tables.rs
@@ -299,7 +299,7 @@
     }
     if let Some(served) = status.subscribers {
         println!(
-            "a control machine with {} subscribers, {} of them reading a scope anew; proved up to {}",
+            "a control machine with {} subscribers, {} of them fetching whole scopes; proved up to {}",
             served.sessions, served.snapshots, served.certified
         );
     }
--- a/daemon/tests/backlog.rs
+++ b/daemon/tests/backlog.rs
@@ -1,4 +1,4 @@
-//! A full socket buffer: what happens to datagrams meanwhile.
+//! The backlog of datagrams while socket buffers are full.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 }
 
 #[rstest]
-fn a_full_socket_keeps_its_order_and_holds_up_no_other() {
+fn a_full_socket_keeps_its_order_and_does_not_delay_others() {
     let mut backlog = Backlog::new(10);
     let sent = RefCell::new(Vec::new());
     let send = |full: Option<u16>| {
@@ -28,7 +28,7 @@
     };
     backlog.send(datagram_to(1, 1), send(Some(1)));
     backlog.send(datagram_to(2, 2), send(Some(1)));
-    // There is room by now, but the first is still waiting.
+    // The socket has space again, but its first datagram is still queued.
     backlog.send(datagram_to(1, 3), send(None));
     assert_eq!(*sent.borrow(), [(2, 2)]);
     backlog.flush(send(None));
@@ -38,7 +38,7 @@
 }
 
 #[rstest]
-fn what_is_kept_is_bounded_and_the_rest_counted() {
+fn a_full_backlog_drops_and_counts_further_datagrams() {
     let mut backlog = Backlog::new(3);
     (0..5).for_each(|byte| backlog.send(datagram_to(1, byte), |_| false));
     assert_eq!(backlog.dropped(), 2);
--- a/daemon/tests/backoff.rs
+++ b/daemon/tests/backoff.rs
@@ -1,11 +1,11 @@
-//! The wait before a connection that broke is tried again.
+//! The backoff before a failed connection is tried again.
 
 use daemon::backoff::Backoff;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
 #[test]
-fn gaps_grow_to_the_longest_and_are_spread() {
+fn waits_grow_to_the_maximum_and_are_spread() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let waits: Vec<f64> = {
         let mut backoff = Backoff::new(100.0, 5_000.0);
@@ -15,11 +15,11 @@
     assert!(waits.iter().all(|&wait| wait >= 10.0));
     let first_waits: Vec<f64> = (0..100).map(|_| Backoff::new(100.0, 5_000.0).next_wait(&mut rng)).collect();
     let below = first_waits.iter().filter(|&&wait| wait < 55.0).count();
-    assert!((30..70).contains(&below), "a fleet that broke off at one moment does not return together");
+    assert!((30..70).contains(&below), "proxies that lost their connections at once do not return together");
 }
 
 #[test]
-fn a_connection_that_breaks_at_once_does_not_start_over() {
+fn a_connection_that_fails_at_once_does_not_reset_the_backoff() {
     let mut rng = Pcg64Mcg::seed_from_u64(2);
     let mut backoff = Backoff::new(100.0, 5_000.0);
     (0..8).for_each(|_| {
--- a/daemon/tests/cluster/mod.rs
+++ b/daemon/tests/cluster/mod.rs
@@ -1,8 +1,8 @@
-//! Five processes of the program behind one switch, with callers and central servers of the test's own. Links
-//! between the proxies are cut, one way or both, and lose; proxies are killed, stopped and started. What
-//! counts is what came to the central servers' sockets.
+//! Runs five proxy processes whose packets to each other pass through one switch, with callers and central
+//! servers of the test. Links between the proxies can be cut in one or both directions or lose packets;
+//! proxies can be killed, stopped and started. The central servers record which set-ups arrive.
 
-#![allow(dead_code)] // each story uses some of it
+#![allow(dead_code)] // each test file uses a part of it
 
 use std::collections::HashMap;
 use std::fs;
@@ -22,7 +22,7 @@
 use iax2::{Endpoint, Event, Limits};
 
 pub const PROXIES: usize = 5;
-/// Ends the process whatever the test comes to.
+/// A child process that is killed when dropped.
 pub struct Running(pub Child);
 
 impl Drop for Running {
@@ -32,14 +32,14 @@
     }
 }
 
-/// Threads of the test's own, which end with it.
+/// The test's threads, stopped and joined when dropped.
 struct Threads {
     stopped: Arc<AtomicBool>,
     handles: Vec<JoinHandle<()>>,
 }
 
 impl Threads {
-    /// Runs `turn` on datagrams of a socket, and at least each millisecond.
+    /// Calls `turn` for each datagram of a socket, and at least once per millisecond.
     fn serve(
         &mut self,
         socket: UdpSocket,
@@ -74,11 +74,15 @@
     since.elapsed().as_secs_f64() * 1000.0
 }
 
-/// The one switch between proxies: which of them hears which, and what passed.
+/// The switch between the proxies: which links are cut, and how many bytes have passed.
 pub struct Switch {
+    /// One socket for each proxy, at which the others reach it.
     sockets: Vec<UdpSocket>,
+    /// Each proxy by the address that it sends from.
     senders: Mutex<HashMap<SocketAddr, usize>>,
+    /// The own address of each running proxy.
     addresses: Mutex<Vec<Option<SocketAddr>>>,
+    /// Cut links, by sender and receiver.
     cut: Mutex<[[bool; PROXIES]; PROXIES]>,
     pub loss_percent: AtomicU64,
     pub bytes: AtomicU64,
@@ -88,7 +92,7 @@
     fn forward(&self, to: usize, bytes: &[u8], from: SocketAddr) {
         let Some(&sender) = self.senders.lock().expect("whole").get(&from) else { return };
         let count = self.bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
-        // Every so many in a hundred are lost, whoever they are of.
+        // Losses are spread over all links.
         let lost = count % 100 < self.loss_percent.load(Ordering::Relaxed);
         if lost || self.cut.lock().expect("whole")[sender][to] {
             return;
@@ -99,7 +103,7 @@
     }
 }
 
-/// The keys of all proxies and where each is heard, for their settings.
+/// The key files of all proxies and their addresses at the switch, for settings.
 pub struct KeyFiles {
     folder: PathBuf,
     addresses: Vec<SocketAddr>,
@@ -122,25 +126,25 @@
         self.folder.join(name).to_str().expect("text").to_owned()
     }
 
-    /// Where a proxy is heard: at the switch.
+    /// The address at the switch by which others reach a proxy.
     pub fn switch_address(&self, proxy: usize) -> SocketAddr {
         self.addresses[proxy]
     }
 
-    /// Writes a roster of some proxies; gives its file.
+    /// Writes a roster of some proxies; returns its file.
     pub fn roster(&self, name: &str, proxies: &[usize]) -> String {
         let row = |i: &usize| format!("p{i} = \"{}\"\n", self.public_keys[*i]);
         fs::write(self.folder.join(name), proxies.iter().map(row).collect::<String>()).expect("written");
         self.path_text(name)
     }
 
-    /// The settings of a proxy's keys.
+    /// The settings lines of a proxy's keys.
     pub fn keys(&self, proxy: usize, roster: &str) -> String {
         let (key, fleet) = (self.path_text(&format!("p{proxy}.key")), self.path_text("fleet.key"));
         format!("key = \"{key}\"\nfleet_keys = [\"{fleet}\"]\nroster = \"{roster}\"\n")
     }
 
-    /// The table of a proxy that gossips with the first so many.
+    /// The gossip table of one of the first `members` proxies.
     pub fn gossip(&self, proxy: usize, members: usize) -> String {
         let all: Vec<usize> = (0..members).collect();
         format!(
@@ -153,27 +157,28 @@
     }
 }
 
+/// The running proxies with their callers, switch and central servers.
 pub struct Cluster {
     folder: tempfile::TempDir,
     pub proxies: Vec<Option<Running>>,
     pub files: Vec<PathBuf>,
     callers: Arc<Mutex<Vec<Option<SocketAddr>>>>,
-    /// Calls a second at each proxy.
+    /// Calls per second at each proxy.
     demand: Arc<Mutex<[f64; PROXIES]>>,
     pub switch: Arc<Switch>,
-    /// When set-ups came, by whom, and to which central server.
+    /// Received set-ups: time in milliseconds, sender's port, and central server.
     pub set_ups: Arc<Mutex<Vec<(f64, u16, usize)>>>,
     started: Instant,
     _threads: Threads,
 }
 
 impl Cluster {
-    /// With so many central servers; all proxies gossip, with tables more in the settings of all of them.
+    /// Starts a cluster in which all proxies gossip; `tables` is added to the settings of each.
     pub fn new(servers: usize, tables: &str) -> Self {
         Self::with_tables(servers, |files, proxy| format!("{}\n{tables}\n", files.gossip(proxy, PROXIES)))
     }
 
-    /// With so many central servers, and with tables in the settings of each proxy.
+    /// Starts a cluster; `tables` returns what is added to each proxy's settings.
     pub fn with_tables(servers: usize, tables: impl Fn(&KeyFiles, usize) -> String) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let started = Instant::now();
@@ -298,6 +303,7 @@
         }
     }
 
+    /// Starts a proxy and waits until it is ready.
     pub fn start(&mut self, proxy: usize) {
         let ready = self.path(&format!("p{proxy}")).join("ready.json");
         let _ = fs::remove_file(&ready);
@@ -311,7 +317,7 @@
         }
     }
 
-    /// Starts it, whatever comes of that.
+    /// Starts a proxy without waiting.
     pub fn spawn(&mut self, proxy: usize) {
         let _ = fs::remove_file(self.path(&format!("p{proxy}")).join("ready.json"));
         let mut command = frostthread();
@@ -319,8 +325,7 @@
         self.proxies[proxy] = Some(Running(command.spawn().expect("started")));
     }
 
-    /// Learns where a proxy listens: by a release it becomes another program, at other ports. False before it
-    /// is ready.
+    /// Reads a proxy's addresses, which change when a release replaces its process; false before it is ready.
     pub fn read_addresses(&self, proxy: usize) -> bool {
         let ready = self.path(&format!("p{proxy}")).join("ready.json");
         let ready_text = fs::read_to_string(&ready).ok();
@@ -338,12 +343,12 @@
         true
     }
 
-    /// Where a proxy takes callers, by its latest word.
+    /// The address for a proxy's callers, as last read.
     pub fn callers_address(&self, proxy: usize) -> SocketAddr {
         self.callers.lock().expect("whole")[proxy].expect("runs")
     }
 
-    /// What a proxy's process was started with.
+    /// The command line of a proxy's process.
     pub fn command_line(&self, proxy: usize) -> String {
         let id = self.proxies[proxy].as_ref().expect("runs").0.id();
         fs::read_to_string(format!("/proc/{id}/cmdline")).unwrap_or_default()
@@ -368,12 +373,13 @@
         *self.demand.lock().expect("whole") = rates;
     }
 
-    /// One way: `to` hears nothing of `from` any more, or again.
+    /// Cuts or restores links in one direction: packets from `from` no longer reach `to`.
     pub fn set_cut(&self, from: &[usize], to: &[usize], cut: bool) {
         let mut links = self.switch.cut.lock().expect("whole");
         from.iter().for_each(|&from| to.iter().for_each(|&to| links[from][to] = cut));
     }
 
+    /// Milliseconds since the cluster was started.
     pub fn now(&self) -> f64 {
         elapsed_ms(self.started)
     }
@@ -382,12 +388,13 @@
         self.set_ups.lock().expect("whole").iter().filter(|(at, ..)| *at >= since_ms).count()
     }
 
-    /// What a command of the program prints of a proxy, as JSON.
+    /// Runs a command of the program for a proxy; returns the JSON that it prints.
     pub fn query(&self, proxy: usize, arguments: &[&str]) -> serde_json::Value {
         let output = self.command(proxy, arguments);
         serde_json::from_slice(&output.stdout).unwrap_or_else(|_| panic!("{arguments:?}: {output:?}"))
     }
 
+    /// Runs a command of the program for a proxy.
     pub fn command(&self, proxy: usize, arguments: &[&str]) -> Output {
         frostthread()
             .args(arguments)
@@ -397,7 +404,7 @@
             .expect("ran")
     }
 
-    /// Waits until something holds.
+    /// Waits until `holds` returns true; panics after 20 s.
     pub fn wait_until(&self, condition: &str, holds: impl Fn(&Self) -> bool) {
         let deadline = Instant::now() + Duration::from_secs(20);
         while !holds(self) {
@@ -410,7 +417,7 @@
     }
 }
 
-/// A central server, which answers whatever comes.
+/// Starts a central server that answers every set-up.
 fn central_server(
     threads: &mut Threads,
     server: usize,
--- a/daemon/tests/council.rs
+++ b/daemon/tests/council.rs
@@ -1,5 +1,5 @@
-//! Five processes of the program decide in one order, three of them by their votes, while they are killed,
-//! stopped and cut off, and a disk is lost. What is drained is judged at the central servers' sockets.
+//! The council: five processes apply decisions in one order, three of them vote, while processes are killed,
+//! stopped or cut off, and one loses its disk. Whether drains hold is checked at the central servers.
 
 mod cluster;
 
@@ -27,7 +27,7 @@
     among.iter().copied().find(|&proxy| state(cluster, proxy)["role"] == "leads")
 }
 
-/// The leader, once there is one: a process that is held up for longer than its beats makes way for another.
+/// Waits for a leader: one that is delayed for longer than its heartbeats is replaced.
 fn wait_for_leader(cluster: &Cluster, among: &[usize]) -> usize {
     let found = Cell::new(None);
     cluster.wait_until("a leader", |cluster| {
@@ -43,9 +43,9 @@
     drains.iter().map(|drain| drain["server"].as_str().expect("a name").to_owned()).collect()
 }
 
-/// All of them have carried out the same, and the last of it comes to the same.
+/// Waits until all have applied the same decisions with the same result.
 fn wait_for_agreement(cluster: &Cluster, among: &[usize]) {
-    cluster.wait_until("all at one", |cluster| {
+    cluster.wait_until("the same state at all", |cluster| {
         let all: Vec<_> = among.iter().map(|&proxy| state(cluster, proxy)).collect();
         let same = |a: &Value, b: &Value| a["applied"] == b["applied"] && a["hash"] == b["hash"];
         all.windows(2).all(|pair| same(&pair[0], &pair[1])) && all[0]["applied"].as_u64() > Some(0)
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_drain_asked_for_at_any_proxy_holds_at_all_and_is_taken_back() {
+fn a_drain_requested_at_any_proxy_holds_at_all_until_undrained() {
     let cluster = start_cluster();
     cluster.set_demand([30.0; PROXIES]);
     cluster.wait_until("calls at the first server", |cluster| set_ups_at(cluster, 0, 0.0) > 20);
@@ -67,18 +67,18 @@
     assert!(output.status.success(), "{output:?}");
     cluster
         .wait_until("known to all", |cluster| (0..PROXIES).all(|proxy| drained(cluster, proxy) == ["s-0"]));
-    // What was under way may still come.
+    // Set-ups already sent may still arrive.
     cluster.sleep(300.0);
     let since = cluster.now();
     cluster.sleep(1500.0);
     assert_eq!(set_ups_at(&cluster, 0, since), 0, "set-ups at a drained server");
-    assert!(set_ups_at(&cluster, 1, since) > 20, "another has them");
+    assert!(set_ups_at(&cluster, 1, since) > 20, "another server gets them");
     let row = &cluster.query(0, &["outs"])["drains"][0];
     assert_eq!((&row["by"], &row["why"]), (&"p4".into(), &"disk".into()), "{row}");
 
     assert!(cluster.command(0, &["drain", "s-2"]).status.success());
     let third = cluster.command(1, &["drain", "s-3"]);
-    assert_eq!(third.status.code(), Some(3), "half of a pool of four may be out: {third:?}");
+    assert_eq!(third.status.code(), Some(3), "half of a pool of four may be drained: {third:?}");
     assert!(String::from_utf8_lossy(&third.stdout).contains("2 may be"), "{third:?}");
     assert!(cluster.command(2, &["undrain", "s-0"]).status.success());
     let since = cluster.now();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn decisions_outlive_their_leader_and_all_processes_at_once() {
+fn decisions_survive_the_leader_and_a_restart_of_all_processes() {
     let mut cluster = start_cluster();
     assert!(cluster.command(3, &["drain", "s-0"]).status.success());
     let first = wait_for_leader(&cluster, &[0, 1, 2]);
@@ -106,13 +106,13 @@
 }
 
 #[test]
-fn without_a_majority_nothing_begins_and_what_was_decided_holds() {
+fn without_a_majority_nothing_is_decided_and_earlier_decisions_hold() {
     let cluster = start_cluster();
     cluster.set_demand([20.0; PROXIES]);
     assert!(cluster.command(0, &["drain", "s-3"]).status.success());
     cluster
         .wait_until("known to all", |cluster| (0..PROXIES).all(|proxy| drained(cluster, proxy) == ["s-3"]));
-    // 0 with 3 on one side; 1, 2 and 4, a majority, on the other.
+    // 0 and 3 on one side; 1, 2 and 4 with a majority on the other.
     cluster.set_cut(&[0, 3], &[1, 2, 4], true);
     cluster.set_cut(&[1, 2, 4], &[0, 3], true);
     cluster.wait_until("a leader beyond the cut", |cluster| leader(cluster, &[1, 2]).is_some());
@@ -125,7 +125,7 @@
     assert_eq!(here.status.code(), Some(1), "{here:?}");
     assert!(String::from_utf8_lossy(&here.stderr).contains("no majority"), "{here:?}");
     assert_eq!(drained(&cluster, 0), ["s-3"], "what was decided holds");
-    assert!(state(&cluster, 3)["age_ms"].as_f64() > Some(2_000.0), "it knows that it knows nothing new");
+    assert!(state(&cluster, 3)["age_ms"].as_f64() > Some(2_000.0), "it reports that its state is old");
     let since = cluster.now();
     cluster.sleep(500.0);
     assert!(set_ups_at(&cluster, 0, since) + set_ups_at(&cluster, 1, since) > 0, "calls go on");
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_member_whose_disk_is_lost_is_let_in_anew_and_a_stopped_leader_wakes_deposed() {
+fn a_member_that_lost_its_disk_is_readmitted_and_a_paused_leader_is_replaced() {
     let mut cluster = start_cluster();
     assert!(cluster.command(1, &["drain", "s-1"]).status.success());
     let lost = (0..3).find(|&proxy| Some(proxy) != leader(&cluster, &[0, 1, 2])).expect("follows");
@@ -148,15 +148,15 @@
     cluster.wait_until("barred", |cluster| state(cluster, lost)["role"] == "barred");
     let name = format!("p{lost}");
     let current_leader = wait_for_leader(&cluster, &[0, 1, 2]);
-    cluster.wait_until("its number heard", |cluster| {
+    cluster.wait_until("its generation known", |cluster| {
         state(cluster, current_leader)["voteless"]
             .as_array()
             .is_some_and(|all| all.iter().any(|of| of["name"] == name[..]))
     });
-    cluster.wait_until("out", |cluster| {
+    cluster.wait_until("removed", |cluster| {
         cluster.command(current_leader, &["council", "remove", &name]).status.success()
     });
-    cluster.wait_until("in anew", |cluster| {
+    cluster.wait_until("readmitted", |cluster| {
         cluster.command(current_leader, &["council", "add", &name]).status.success()
     });
     cluster.wait_until("it votes", |cluster| state(cluster, lost)["role"] == "follows");
@@ -165,8 +165,8 @@
     cluster.signal(current_leader, "-STOP");
     let others: Vec<usize> = (0..3).filter(|&proxy| proxy != current_leader).collect();
     cluster.wait_until("another leader", |cluster| leader(cluster, &others).is_some());
-    assert!(cluster.command(4, &["undrain", "s-1"]).status.success(), "the one let in anew votes");
+    assert!(cluster.command(4, &["undrain", "s-1"]).status.success(), "the readmitted member votes");
     cluster.signal(current_leader, "-CONT");
-    cluster.wait_until("it knows", |cluster| drained(cluster, current_leader).is_empty());
+    cluster.wait_until("the undrain is known", |cluster| drained(cluster, current_leader).is_empty());
     wait_for_agreement(&cluster, &[0, 1, 2, 3, 4]);
 }
--- a/daemon/tests/distribution.rs
+++ b/daemon/tests/distribution.rs
@@ -1,6 +1,6 @@
-//! Three control machines, which decide, and two subscribers, which hold what they use: processes of the
-//! program, while control machines are killed and get an older disk, links lose and a region is cut off. What
-//! is drained is judged at the central servers' sockets.
+//! Distribution: three control machines, which decide, and two subscribers, which hold the scopes that they
+//! use, while control machines are killed or given an old state file, links lose packets and a region is
+//! cut off. Whether drains hold is checked at the central servers.
 
 mod cluster;
 
@@ -9,12 +9,12 @@
 use cluster::{Cluster, KeyFiles, PROXIES};
 use serde_json::Value;
 
-/// The first of the proxies are control machines: the first in one region, the others in another.
+/// The first proxies are control machines: the first in one region, the others in another.
 const CONTROLS: usize = 3;
 const SUBSCRIBERS: [usize; 2] = [3, 4];
 const REGION: [u16; PROXIES] = [0, 1, 1, 0, 1];
 const HEARTBEAT: &str = "heartbeat = \"500 ms\"\n";
-/// What was on its way when a drain came in force may still come.
+/// How long set-ups sent before a drain took effect may still arrive, in milliseconds.
 const IN_FLIGHT_MS: f64 = 300.0;
 
 fn tables(files: &KeyFiles, proxy: usize) -> String {
@@ -44,7 +44,7 @@
     )
 }
 
-/// All run, and the subscribers know how old what they hold is.
+/// Starts a cluster and waits until the subscribers know the age of their scopes.
 fn start_cluster() -> Cluster {
     let cluster = Cluster::with_tables(4, tables);
     cluster.wait_until("subscribers with an age", |cluster| {
@@ -80,11 +80,13 @@
     drains.iter().map(|drain| drain["server"].as_str().expect("a name").to_owned()).collect()
 }
 
+/// Runs a command at a control machine until it succeeds.
 fn wait_for_decision(cluster: &Cluster, arguments: &[&str]) {
     let control = (0..CONTROLS).find(|&proxy| cluster.proxies[proxy].is_some()).expect("runs");
     cluster.wait_until(&arguments.join(" "), |cluster| cluster.command(control, arguments).status.success());
 }
 
+/// Waits until exactly these servers are drained at some proxies.
 fn wait_for_drains(cluster: &Cluster, among: &[usize], drains: &[&str]) {
     let since = cluster.now();
     cluster.wait_until(&format!("{drains:?} at {among:?}"), |cluster| {
@@ -97,7 +99,7 @@
     cluster.set_ups.lock().expect("whole").iter().filter(|(at, _, to)| *to == server && *at >= since).count()
 }
 
-/// What is seen at the sockets from now on: nothing comes to the drained server, and the others have it.
+/// Asserts that from now on the drained server gets no set-up while the others do.
 fn assert_no_set_ups_at(cluster: &Cluster, server: usize) {
     cluster.sleep(IN_FLIGHT_MS);
     let since = cluster.now();
@@ -108,12 +110,12 @@
     assert_eq!(set_ups_at(cluster, server, since), 0, "set-ups at a drained server");
 }
 
-/// Calls at all proxies that run, or at subscribers alone.
+/// Calls per second at all proxies, or at subscribers only.
 const AT_ALL: [f64; PROXIES] = [30.0; PROXIES];
 const AT_SUBSCRIBERS: [f64; PROXIES] = [0.0, 0.0, 0.0, 40.0, 40.0];
 
 #[test]
-fn a_drain_that_is_decided_is_obeyed_by_all_and_taken_back() {
+fn a_decided_drain_holds_at_all_subscribers_until_undrained() {
     let cluster = start_cluster();
     cluster.set_demand(AT_ALL);
     cluster.wait_until("calls at the first server", |cluster| set_ups_at(cluster, 0, 0.0) > 20);
@@ -122,7 +124,7 @@
     assert_no_set_ups_at(&cluster, 0);
     let row = &distribution(&cluster, 3)["drains"][0];
     assert_eq!((&row["by"], &row["why"]), (&"p0".into(), &"disk".into()), "{row}");
-    // The control machines that serve them say who has it.
+    // The control machines that serve the subscribers report who has the change.
     cluster.wait_until("acknowledged", |cluster| {
         let have = |proxy: usize| -> u64 {
             let changes = cluster.query(proxy, &["changes"]);
@@ -131,7 +133,7 @@
         };
         (0..CONTROLS).map(have).sum::<u64>() >= 2
     });
-    // A subscriber decides nothing, and says who does.
+    // A subscriber refuses commands and names the control machines.
     let refused = cluster.command(4, &["drain", "s-1"]);
     assert!(!refused.status.success(), "{refused:?}");
     let error = String::from_utf8_lossy(&refused.stderr).into_owned();
@@ -143,7 +145,7 @@
 }
 
 #[test]
-fn subscribers_of_a_control_machine_that_is_killed_go_on_and_obey_the_next_drain() {
+fn subscribers_of_a_killed_control_machine_switch_and_apply_the_next_drain() {
     let mut cluster = start_cluster();
     cluster.set_demand(AT_SUBSCRIBERS);
     wait_for_decision(&cluster, &["drain", "s-0"]);
@@ -160,11 +162,11 @@
 }
 
 #[test]
-fn a_subscriber_started_again_without_any_control_machine_still_keeps_the_drain() {
+fn a_subscriber_restarted_without_control_machines_keeps_the_drain() {
     let mut cluster = start_cluster();
     wait_for_decision(&cluster, &["drain", "s-0"]);
     wait_for_drains(&cluster, &SUBSCRIBERS, &["s-0"]);
-    // Its file is written once in a second.
+    // A subscriber's file is written at most once per second.
     cluster.sleep(1_500.0);
     (0..CONTROLS).for_each(|proxy| cluster.kill(proxy));
     let before = cluster.now();
@@ -172,16 +174,16 @@
     SUBSCRIBERS.iter().for_each(|&proxy| cluster.start(proxy));
     cluster.set_demand(AT_SUBSCRIBERS);
     assert_no_set_ups_at(&cluster, 0);
-    assert_eq!(set_ups_at(&cluster, 0, before), 0, "not one from the start on");
+    assert_eq!(set_ups_at(&cluster, 0, before), 0, "no set-up since the restart");
     assert_eq!(drained(&cluster, 3), ["s-0"]);
-    assert!(distribution(&cluster, 3)["scopes"][0]["age_ms"].is_null(), "how old it is nobody has said");
+    assert!(distribution(&cluster, 3)["scopes"][0]["age_ms"].is_null(), "the age is unknown");
     (0..CONTROLS).for_each(|proxy| cluster.start(proxy));
     wait_for_decision(&cluster, &["undrain", "s-0"]);
     wait_for_drains(&cluster, &SUBSCRIBERS, &[]);
 }
 
 #[test]
-fn a_region_that_is_cut_off_goes_on_and_is_up_to_date_after_the_cut() {
+fn a_cut_off_region_continues_and_catches_up_after_the_cut() {
     let cluster = start_cluster();
     cluster.set_demand(AT_SUBSCRIBERS);
     wait_for_decision(&cluster, &["drain", "s-0"]);
@@ -189,12 +191,12 @@
     let (here, there) = ([0, 3], [1, 2, 4]);
     cluster.set_cut(&here, &there, true);
     cluster.set_cut(&there, &here, true);
-    // Beyond the cut is a majority.
+    // The other side of the cut has a majority.
     cluster.wait_until("decided beyond the cut", |cluster| {
         cluster.command(1, &["drain", "s-1"]).status.success()
     });
     wait_for_drains(&cluster, &[4], &["s-0", "s-1"]);
-    cluster.wait_until("it knows how old it is", |cluster| {
+    cluster.wait_until("the age of its scopes", |cluster| {
         let scopes = distribution(cluster, 3)["scopes"].as_array().cloned().expect("scopes");
         scopes.iter().all(|scope| scope["age_ms"].as_f64() > Some(3_000.0))
     });
@@ -208,7 +210,7 @@
 }
 
 #[test]
-fn with_three_in_ten_packets_lost_a_drain_is_obeyed_all_the_same() {
+fn a_drain_takes_effect_with_three_in_ten_packets_lost() {
     let cluster = start_cluster();
     cluster.set_demand(AT_SUBSCRIBERS);
     cluster.switch.loss_percent.store(30, std::sync::atomic::Ordering::Relaxed);
@@ -223,7 +225,7 @@
 }
 
 #[test]
-fn a_control_machine_with_an_older_copy_of_its_state_takes_nobody_back() {
+fn a_control_machine_with_an_old_state_file_does_not_revert_subscribers() {
     let mut cluster = start_cluster();
     let older = control(&cluster, 3);
     let file = cluster.path(&format!("p{older}")).join("council");
@@ -239,7 +241,7 @@
     cluster.kill(older);
     fs::write(&file, copy).expect("written");
     cluster.start(older);
-    // Cut off from the others, it serves what it has.
+    // Cut off from the others, it serves its old state.
     let others: Vec<usize> = (0..CONTROLS).filter(|&proxy| proxy != older).collect();
     cluster.set_cut(&[older], &others, true);
     cluster.set_cut(&others, &[older], true);
@@ -247,7 +249,7 @@
         cluster.sleep(200.0);
         for (&proxy, before) in SUBSCRIBERS.iter().zip(before) {
             assert_eq!(drained(&cluster, proxy), ["s-0"]);
-            assert!(version(&cluster, proxy) >= before, "back a version");
+            assert!(version(&cluster, proxy) >= before, "the version went back");
         }
     }
     assert_eq!(set_ups_at(&cluster, 0, since), 0, "set-ups at a drained server");
@@ -259,7 +261,7 @@
 }
 
 #[test]
-fn a_leader_that_dies_in_the_middle_of_a_burst_leaves_all_at_the_newest() {
+fn a_leader_killed_during_a_burst_leaves_all_at_the_newest_version() {
     let mut cluster = start_cluster();
     cluster.set_demand(AT_SUBSCRIBERS);
     let find_leader = |cluster: &Cluster| {
@@ -273,7 +275,7 @@
         }
         for arguments in [["drain", "s-0"], ["drain", "s-1"], ["undrain", "s-0"], ["undrain", "s-1"]] {
             if turn == 4 {
-                // Nobody leads at first.
+                // At first there is no leader.
                 cluster.wait_until(&arguments.join(" "), |cluster| {
                     cluster.command(other, &arguments).status.success()
                 });
@@ -290,7 +292,7 @@
         SUBSCRIBERS.iter().all(|&proxy| version(cluster, proxy) >= newest)
     });
     cluster.start(leader);
-    cluster.wait_until("the former leader has it", |cluster| {
+    cluster.wait_until("the former leader is up to date", |cluster| {
         cluster.query(leader, &["council", "state"])["applied"].as_u64() >= Some(newest)
     });
 }
--- a/daemon/tests/fleet.rs
+++ b/daemon/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Five processes of the program hold one limit together while links between them fail and they are killed,
-//! stopped and started again. What counts is what came to the central server's socket.
+//! Fleet limits: five processes keep one limit together while links between them fail and processes are
+//! killed, stopped and started again. The limit is checked at the central server's socket.
 
 mod cluster;
 
@@ -8,11 +8,11 @@
 
 use cluster::{Cluster, PROXIES};
 
-/// The limit: whole set-ups over all proxies in any window, in milliseconds.
+/// The limit: set-ups over all proxies in any window of [`WINDOW_MS`].
 const PERMITS: usize = 10;
 const WINDOW_MS: f64 = 500.0;
 const LEASE: Duration = Duration::from_millis(800);
-/// How much later one datagram may be looked at than another, on a machine that does much else.
+/// How much later one datagram may be handled than another, on a busy machine.
 const SPREAD_MS: f64 = 400.0;
 
 fn start_cluster() -> Cluster {
@@ -23,16 +23,16 @@
         PERMITS as f64 * 1000.0 / WINDOW_MS,
     );
     let cluster = Cluster::new(1, &table);
-    // What earlier processes of these names might have lent is waited out, and everybody knows everybody.
+    // Waits until permits lent by earlier processes would have expired, and all proxies know each other.
     cluster.sleep(LEASE.as_secs_f64() * 1000.0 + WINDOW_MS + SPREAD_MS + 500.0);
     cluster
 }
 
-/// No window of the central server's had more set-ups than the limit.
+/// Asserts that the central server received at most [`PERMITS`] set-ups in any window.
 fn assert_limit_holds(cluster: &Cluster) {
     let set_ups = cluster.set_ups.lock().expect("whole");
-    assert!(set_ups.len() > 2 * PERMITS, "too few set-ups to tell: {}", set_ups.len());
-    assert!(cluster.switch.bytes.load(Ordering::Relaxed) > 0, "all went through the switch");
+    assert!(set_ups.len() > 2 * PERMITS, "too few set-ups for a check: {}", set_ups.len());
+    assert!(cluster.switch.bytes.load(Ordering::Relaxed) > 0, "packets passed the switch");
     for (i, (at, ..)) in set_ups.iter().enumerate() {
         let in_window: Vec<_> = set_ups[..=i].iter().filter(|(then, ..)| *then > at - WINDOW_MS).collect();
         assert!(
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn all_demand_at_one_proxy_gets_what_the_others_leave_and_then_at_another() {
+fn a_proxy_with_all_the_demand_borrows_the_others_permits_then_another_does() {
     let cluster = start_cluster();
     cluster.set_demand([60.0, 0.0, 0.0, 0.0, 0.0]);
     cluster.sleep(2500.0);
@@ -58,7 +58,7 @@
     let (own, borrowed) = (&limits["limits"][0]["part"], &limits["limits"][0]["borrowed"]);
     assert_eq!(own.as_u64(), Some((PERMITS / PROXIES) as u64), "{limits}");
     assert!(borrowed.as_u64() > Some(2), "{limits}");
-    // Its own part alone would be four in two seconds of rests.
+    // Its own permits alone would allow four in two seconds, with the waits between attempts.
     assert!(cluster.set_ups_since(since) >= 9, "{} in two seconds: {limits}", cluster.set_ups_since(since));
     eprintln!("{} in two seconds: {limits}", cluster.set_ups_since(since));
     cluster.set_demand([0.0, 0.0, 0.0, 60.0, 0.0]);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn halves_that_do_not_hear_each_other_keep_within_the_limit_and_heal() {
+fn separated_halves_keep_the_limit_and_recover() {
     let cluster = start_cluster();
     cluster.set_demand([60.0, 0.0, 60.0, 0.0, 10.0]);
     cluster.sleep(1500.0);
@@ -83,7 +83,7 @@
     cluster.set_cut(&[2, 3, 4], &[0, 1], true);
     cluster.sleep(2500.0);
     cluster.set_cut(&[0, 1], &[2, 3, 4], false);
-    // One way only, with losses.
+    // Cut in one direction only, with losses.
     cluster.switch.loss_percent.store(30, Ordering::Relaxed);
     cluster.sleep(1500.0);
     cluster.set_cut(&[2, 3, 4], &[0, 1], false);
@@ -92,11 +92,11 @@
 }
 
 #[test]
-fn lenders_and_takers_that_are_killed_and_start_at_once_do_not_pass_the_limit() {
+fn lenders_and_borrowers_that_restart_do_not_exceed_the_limit() {
     let mut cluster = start_cluster();
     cluster.set_demand([60.0, 0.0, 0.0, 0.0, 0.0]);
     cluster.sleep(1500.0);
-    // They forget what they lent, and want it themselves.
+    // The lenders forget what they lent, and need it themselves.
     for lender in [1, 2] {
         cluster.kill(lender);
         cluster.start(lender);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_proxy_that_was_stopped_wakes_with_a_lapsed_lease_and_does_not_use_it() {
+fn a_paused_process_does_not_use_its_expired_lease() {
     let cluster = start_cluster();
     cluster.set_demand([60.0, 0.0, 0.0, 0.0, 0.0]);
     cluster.sleep(1500.0);
--- a/daemon/tests/network/mod.rs
+++ b/daemon/tests/network/mod.rs
@@ -1,7 +1,7 @@
-//! `frostthread serve` as a process among callers, central servers and a change log of the test's own, each
-//! of which does on its sockets just what the story says. Every wait is for a condition, and bounded.
+//! Runs `frostthread serve` as a process between callers, central servers and a change log of the test, each
+//! of which does exactly what the test says. Every wait is for a condition and has a time limit.
 
-#![allow(dead_code)] // each story uses some of it
+#![allow(dead_code)] // each test file uses a part of it
 
 use std::collections::{BTreeSet, VecDeque};
 use std::fs;
@@ -16,11 +16,12 @@
 use socket2::{Domain, Socket, Type};
 
 pub const DESCRIPTION: &str = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n";
-/// No wait of a story is longer.
+/// Time limit of each wait.
 const MAX_WAIT: Duration = Duration::from_secs(20);
-/// Past the time that the settings have a release awaited, with the protocol's slack.
+/// Longer than the configured wait for a release, including the protocol's tolerance.
 pub const RELEASE_WAIT: Duration = Duration::from_millis(350);
 
+/// Polls until a value is there; panics after [`MAX_WAIT`].
 pub fn wait_for<T>(event: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let deadline = Instant::now() + MAX_WAIT;
     while Instant::now() < deadline {
@@ -29,14 +30,15 @@
         }
         std::thread::sleep(Duration::from_millis(2));
     }
-    panic!("{event} did not come");
+    panic!("{event}: not within {MAX_WAIT:?}");
 }
 
+/// Formats a call's identifier.
 pub fn call_id(number: u64) -> String {
     format!("{number:016x}")
 }
 
-/// A central server's ear. What comes is accepted only when the story says so.
+/// A central server's listener. Connections are accepted only when the test says so.
 pub struct Server {
     pub name: String,
     pub listener: TcpListener,
@@ -47,13 +49,13 @@
         Self { name: name.to_owned(), listener: TcpListener::bind("127.0.0.1:0").expect("a port") }
     }
 
-    /// One whose connections take little that is not read, and that keeps one connection waiting at most.
+    /// A server with small receive buffers, and an accept queue of one connection.
     pub fn with_small_buffer(name: &str) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.set_recv_buffer_size(4096).expect("set");
         socket.set_tcp_mss(536).expect("set");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-        socket.listen(0).expect("an ear");
+        socket.listen(0).expect("a listener");
         Self { name: name.to_owned(), listener: socket.into() }
     }
 
@@ -61,7 +63,7 @@
         self.listener.local_addr().expect("bound")
     }
 
-    /// Connections of the story's own, until no further one comes up before some are accepted.
+    /// Connects until the accept queue is full; returns the connections.
     pub fn fill_accept_queue(&self) -> Vec<TcpStream> {
         let dial = || TcpStream::connect_timeout(&self.address(), Duration::from_millis(100)).ok();
         std::iter::from_fn(dial).collect()
@@ -73,7 +75,7 @@
         ServerConnection::from_stream(stream)
     }
 
-    /// Its line of the list.
+    /// Its entry in the server list.
     pub fn entry(&self, status: &str) -> Value {
         json!({"name": self.name, "address": self.address().to_string(), "zone": "east", "type": "std",
             "group": 0, "status": status, "weight": 1, "since_ms": 0})
@@ -94,7 +96,7 @@
         Self { stream, reader: Reader::default(), received: VecDeque::new() }
     }
 
-    /// The next message of a method, if one is there by now.
+    /// Takes the next message of a method, if one has arrived.
     fn next_ready(&mut self, method: &str) -> Option<Message> {
         self.stream.set_nonblocking(true).expect("set");
         let mut buffer = [0; 65536];
@@ -109,7 +111,7 @@
         self.received.remove(at)
     }
 
-    /// The next message, or none where the connection has ended.
+    /// Waits for the next message; none if the connection has ended.
     pub fn next(&mut self) -> Option<Message> {
         self.stream.set_read_timeout(Some(MAX_WAIT)).expect("set");
         loop {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// The next message of a method, whatever else comes before it.
+    /// Waits for the next message of a method, skipping others.
     pub fn next_with_method(&mut self, method: &str) -> Message {
         loop {
             let message = self.next().expect("a message");
@@ -163,18 +165,18 @@
     }
 }
 
-/// The bytes of an answer to a set-up.
+/// The bytes of a response to a set-up.
 pub fn response(set_up: &Message, code: u16) -> Vec<u8> {
     response_with_note(set_up, code, "ok")
 }
 
-/// The same, with a note.
+/// A response with an outcome note.
 pub fn response_with_note(set_up: &Message, code: u16, note: &str) -> Vec<u8> {
     let body: &[u8] = if code == 200 { b"v=0\r\n" } else { b"" };
     build_response(set_up, code, note, body)
 }
 
-/// A good answer with a long description.
+/// A successful response with a given description.
 pub fn response_with_description(set_up: &Message, desc: &str) -> Vec<u8> {
     build_response(set_up, 200, "ok", desc.as_bytes())
 }
@@ -185,7 +187,8 @@
     Response { code, phrase: "x", call_id, number, method: "INVITE", headers, body }.write()
 }
 
-/// The next set-up on any connection of a server, those that come up meanwhile among them; with its connection.
+/// Waits for the next set-up on any connection of a server, including new ones; returns the connection's
+/// index too.
 pub fn next_set_up(server: &Server, peers: &mut Vec<ServerConnection>) -> (usize, Message) {
     server.listener.set_nonblocking(true).expect("set");
     wait_for("a set-up", || {
@@ -204,15 +207,15 @@
 
 impl Caller {
     pub fn new(address: SocketAddr) -> Self {
-        Self::on(wait_for("its ear", || TcpStream::connect(address).ok()))
+        Self::on(wait_for("the proxy's listener", || TcpStream::connect(address).ok()))
     }
 
-    /// One whose connection takes little that is not read.
+    /// A caller with a small receive buffer.
     pub fn with_small_buffer(address: SocketAddr) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.set_recv_buffer_size(4096).expect("set");
         socket.set_tcp_mss(536).expect("set");
-        socket.connect(&address.into()).expect("its ear");
+        socket.connect(&address.into()).expect("the proxy's listener");
         Self::on(socket.into())
     }
 
@@ -231,12 +234,12 @@
         self.send(&offer(call, 1, DESCRIPTION));
     }
 
-    /// To a called number of its own.
+    /// Offers a call to another called number.
     pub fn offer_to(&mut self, call: &str, called: u64) {
         self.send(&offer(call, called, DESCRIPTION));
     }
 
-    /// A set-up that fills most of a message.
+    /// Offers a call whose description fills most of a message.
     pub fn offer_large(&mut self, call: &str) {
         self.send(&offer(call, 1, &"x".repeat(15_000)));
     }
@@ -245,18 +248,19 @@
         self.send(&json!({"op": "end", "call": call, "with": {}, "why": 16}));
     }
 
+    /// Offers a call that is already established at a server.
     pub fn declare_established(&mut self, call: &str, server: &str) {
         let with = json!({"class": "voice", "extras": format!("at:{server}")});
         self.send(&json!({"op": "offer", "call": call, "with": with}));
     }
 
-    /// Whether a test passes.
+    /// Sends a readiness test; whether it passes.
     pub fn passes_test(&mut self) -> bool {
         self.send(&json!({"op": "test", "call": call_id(0xfe), "with": {}, "why": 0}));
         self.line().expect("an answer")["why"] == 1
     }
 
-    /// The next line, or none where the connection has ended.
+    /// Waits for the next line; none if the connection has ended.
     pub fn line(&mut self) -> Option<Value> {
         let mut line = String::new();
         match self.lines.read_line(&mut line) {
@@ -267,7 +271,7 @@
         }
     }
 
-    /// The next line's operation and call.
+    /// Waits for the next line; returns its operation and call.
     pub fn next_reply(&mut self) -> (String, String) {
         let line = self.line().expect("a line");
         let text = |field: &str| line[field].as_str().expect("text").to_owned();
@@ -280,7 +284,7 @@
     json!({"op": "offer", "call": call, "with": with, "desc": desc})
 }
 
-/// A change log's ear.
+/// A change log's listener.
 pub struct ChangeLog {
     listener: TcpListener,
 }
@@ -296,10 +300,11 @@
         self.listener.local_addr().expect("bound")
     }
 
-    /// Is asked; gives the connection, answered so far that events can follow, and what was asked for.
+    /// Accepts a request and answers its head; returns the connection for events, and the requested last
+    /// event number.
     pub fn accept_request(&self) -> (TcpStream, u64) {
         self.listener.set_nonblocking(true).expect("set");
-        let (mut stream, _) = wait_for("a call for the list", || self.listener.accept().ok());
+        let (mut stream, _) = wait_for("a change log request", || self.listener.accept().ok());
         stream.set_nonblocking(false).expect("set");
         stream.set_read_timeout(Some(MAX_WAIT)).expect("set");
         let mut lines = BufReader::new(stream.try_clone().expect("one more")).lines();
@@ -320,13 +325,13 @@
     format!("id: {seq}\ndata: {}\n\n", json!({"seq": seq, "fleet": fleet}))
 }
 
-/// One border proxy as a process, and what it was told at its start.
+/// One border proxy as a process, with its configuration.
 pub struct TestProxy {
     folder: tempfile::TempDir,
     pub address: SocketAddr,
     pub changelog: ChangeLog,
     configuration: Value,
-    /// How many descriptors the process may hold, where that is not what its configuration says.
+    /// Limit on the process's file descriptors, if it differs from the configuration's.
     pub descriptors_allowed: Option<u64>,
     running: Option<Child>,
 }
@@ -341,14 +346,14 @@
 }
 
 impl TestProxy {
-    /// Started, with these central servers known and running.
+    /// Starts a proxy that knows these central servers as running.
     pub fn new(servers: &[&Server]) -> Self {
         let mut test_proxy = Self::not_started(servers);
         test_proxy.start();
         test_proxy
     }
 
-    /// Not started yet.
+    /// Prepares a proxy without starting it.
     pub fn not_started(servers: &[&Server]) -> Self {
         let address = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
         let peers = UdpSocket::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
@@ -377,7 +382,7 @@
         Self { folder, address, changelog, configuration, descriptors_allowed: None, running: None }
     }
 
-    /// Changes a field of the configuration before it is written next.
+    /// Changes a field of the configuration, for the next write.
     pub fn set(&mut self, pointer: &str, value: Value) {
         *self.configuration.pointer_mut(pointer).expect("a field") = value;
     }
@@ -386,7 +391,7 @@
         self.folder.path().join("config.json")
     }
 
-    /// Writes the configuration as it is now, or the first part of it.
+    /// Writes the first part of the configuration; 1 for all of it.
     pub fn write(&self, part: f64) {
         let text = self.configuration.to_string();
         let length = (text.len() as f64 * part) as usize;
@@ -403,7 +408,7 @@
         assert!(Caller::new(self.address).passes_test(), "ready");
     }
 
-    /// A second process of the same proxy, started while this one is there.
+    /// Starts a second process of the same proxy while this one runs.
     pub fn start_second(&self) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let (configuration, changelog) = (self.configuration.clone(), ChangeLog::default());
@@ -415,11 +420,12 @@
         test_proxy
     }
 
-    /// Started, and in the middle of reading its configuration, from what is given; later it finds a file.
+    /// Starts the process while its configuration is a pipe, which is returned for writing; later reads find
+    /// a file.
     pub fn start_reading_a_pipe(&mut self) -> fs::File {
         assert!(Command::new("mkfifo").arg(self.file()).status().expect("ran").success());
         self.spawn();
-        // Comes back when the other end is open.
+        // Returns once the process has opened the other end.
         let pipe = fs::OpenOptions::new().write(true).open(self.file()).expect("opened");
         fs::remove_file(self.file()).expect("removed");
         self.write(1.0);
@@ -437,11 +443,12 @@
         self.running = Some(command.stdin(Stdio::null()).spawn().expect("started"));
     }
 
+    /// Everything the process has logged.
     pub fn log_text(&self) -> String {
         fs::read_to_string(self.folder.path().join("log")).expect("read")
     }
 
-    /// The change log's events that it has looked at, by its log.
+    /// The change log's events that the process has handled, according to its log.
     pub fn applied_events(&self) -> BTreeSet<u64> {
         let log_output = self.log_text();
         let numbers = log_output.lines().filter_map(|line| line.split_once("changelog.news version="));
@@ -457,26 +464,28 @@
         assert!(Command::new("kill").args([name, &id]).status().expect("ran").success());
     }
 
-    /// The process has no turn until [`TestProxy::resume`]: all that comes meanwhile crosses.
+    /// Stops the process until [`TestProxy::resume`].
     pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.pid());
-        wait_for("its halt", || fs::read_to_string(&stat).ok().filter(|stat| stat.contains(") T ")));
+        wait_for("the process stopped", || {
+            fs::read_to_string(&stat).ok().filter(|stat| stat.contains(") T "))
+        });
     }
 
     pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// How many descriptors the process holds.
+    /// The number of open file descriptors of the process.
     pub fn open_descriptors(&self) -> usize {
         fs::read_dir(format!("/proc/{}/fd", self.pid())).expect("listed").count()
     }
 
-    /// Waits for the end of the process, which must be in order.
+    /// Waits until the process exits, which must be with success.
     pub fn wait_for_exit(&mut self) {
         let mut running = self.running.take().expect("running");
-        let status = wait_for("its end", || running.try_wait().expect("asked"));
+        let status = wait_for("the process's exit", || running.try_wait().expect("asked"));
         assert!(status.success(), "{status:?}: {}", self.log_text());
     }
 }
--- a/daemon/tests/process.rs
+++ b/daemon/tests/process.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process: it gets ready, refuses for want of servers, and stops in order when asked to.
+//! The daemon as a process: it becomes ready, refuses calls without servers, and stops in order.
 
 use std::fs::{self, Permissions};
 use std::io::{BufRead, BufReader, Write};
@@ -15,7 +15,7 @@
 use iax2::{EndReason, Endpoint, Event, Limits};
 use rstest::rstest;
 
-/// Ends the process whatever the test comes to.
+/// A child process that is killed when dropped.
 struct Running(Child);
 
 impl Drop for Running {
@@ -25,6 +25,7 @@
     }
 }
 
+/// Polls until a value is there; panics after 20 s.
 fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + Duration::from_secs(20);
     while Instant::now() < end {
@@ -33,16 +34,16 @@
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    panic!("{what} did not come");
+    panic!("{what}: not within 20 s");
 }
 
 fn frostthread(words: &[&str], file: &Path) -> Output {
     Command::new(env!("CARGO_BIN_EXE_frostthread")).args(words).arg(file).output().expect("ran")
 }
 
-/// What a running proxy answers to a word of its control socket.
+/// Sends a request to a proxy's control socket; returns the response.
 fn ask(word: &str, file: &Path) -> serde_json::Value {
-    let settings = daemon::settings::read(&fs::read_to_string(file).expect("read")).expect("sound");
+    let settings = daemon::settings::read(&fs::read_to_string(file).expect("read")).expect("valid");
     let mut control = UnixStream::connect(settings.control_socket).expect("connected");
     control.write_all(format!("{word}\n").as_bytes()).expect("asked");
     let mut line = String::new();
@@ -50,7 +51,7 @@
     serde_json::from_str(&line).expect("JSON")
 }
 
-/// Starts a proxy with the example's settings and a table more; gives its file, and where it listens.
+/// Starts a proxy with the example's settings and another table; returns its settings file and addresses.
 fn start(folder: &Path, name: &str, table: &str) -> (Running, PathBuf, serde_json::Value) {
     let state = folder.join(name);
     let settings = EXAMPLE
@@ -68,7 +69,7 @@
     (running, file, serde_json::from_str(&ready).expect("JSON"))
 }
 
-/// Calls a proxy that has no servers; gives how the call ended.
+/// Calls a proxy that has no servers; returns how the call ended.
 fn refused(proxy: SocketAddr, calling: &str) -> EndReason {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     socket.set_read_timeout(Some(Duration::from_millis(20))).expect("set");
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn a_proxy_without_servers_refuses_with_advice_and_stops_in_order() {
+fn a_proxy_without_servers_refuses_with_retry_after_and_stops_in_order() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut running, file, ready) = start(folder.path(), "p1", "");
     let proxy: SocketAddr = ready["callers"].as_str().expect("text").parse().expect("an address");
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn a_proxy_that_was_stopped_knows_how_long_each_caller_has_waited_and_answers_in_time() {
+fn a_paused_process_counts_each_callers_wait_and_answers_in_time() {
     const PATIENCE: Duration = Duration::from_millis(2500);
     let folder = tempfile::tempdir().expect("a folder");
     let (mut running, _, ready) = start(folder.path(), "p1", "");
@@ -132,7 +133,7 @@
         }
     };
 
-    // Much comes before the set-up while the proxy has no turn, and nothing after it.
+    // While the process is stopped, many datagrams arrive before the set-up and none after it.
     signal("-STOP");
     (0..40).for_each(|_| caller.poke(0.0, proxy));
     send(&mut caller);
@@ -155,25 +156,25 @@
         let mut all = std::iter::from_fn(|| caller.next_event());
         all.any(|(_, happening)| matches!(happening, Event::Ended(_))).then(|| asked.elapsed())
     });
-    assert!(ended < PATIENCE, "answered {ended:?} after it was asked");
+    assert!(ended < PATIENCE, "answered {ended:?} after the call");
     stop(&mut running);
 }
 
 #[test]
-fn a_proxy_that_watches_rules_to_come_counts_its_turns() {
+fn a_proxy_with_proposed_rules_counts_its_turns() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut running, file, ready) = start(folder.path(), "p1", "[watch]\nprobe = false\ncold_from = 0.3\n");
     refused(ready["callers"].as_str().expect("text").parse().expect("an address"), "9");
     let watch = &ask("status", &file)["watch"];
     assert!(watch["seen"].as_u64().is_some_and(|seen| seen > 0), "{watch}");
-    assert_eq!(watch["differing"], 0, "without servers the rules to come change nothing");
+    assert_eq!(watch["differing"], 0, "without servers the proposed rules change nothing");
     let shown = frostthread(&["status", "--config"], &file);
     assert!(String::from_utf8_lossy(&shown.stdout).contains("watched: 0 of"), "{shown:?}");
     stop(&mut running);
 }
 
 #[test]
-fn two_proxies_find_each_other_change_the_fleet_key_and_part_in_order() {
+fn two_proxies_find_each_other_rotate_the_fleet_key_and_leave_in_order() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = |name: &str| folder.path().join(name);
     let key = |name: &str| {
@@ -205,7 +206,7 @@
     }
     assert_eq!(ask("suspicions", &file_1), serde_json::json!([]));
 
-    // New key beside the old, then first, then alone: what is said goes on being heard.
+    // The new key as the second, then as the first, then alone: packets are accepted all the time.
     for keys in [["old", "new"], ["new", "old"], ["new", "new"]] {
         for file in [&file_1, &file_2] {
             let source = fs::read_to_string(file).expect("read");
@@ -225,11 +226,11 @@
     assert_eq!(other(&file_1).as_deref(), Some("alive"));
 
     stop(&mut second);
-    until("its leave", || (other(&file_1).as_deref() == Some("dead")).then_some(()));
+    until("the other proxy's leave", || (other(&file_1).as_deref() == Some("dead")).then_some(()));
 }
 
 #[test]
-fn a_key_that_others_may_read_is_refused() {
+fn a_key_file_readable_by_others_is_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("own.key");
     assert!(frostthread(&["key", "new"], &file).status.success());
@@ -242,7 +243,7 @@
 #[rstest]
 #[case("synced")]
 #[case("written")]
-fn an_answer_that_a_caller_heard_is_on_record_though_its_proxy_is_killed(#[case] promise: &str) {
+fn an_answer_sent_to_a_caller_is_recorded_even_if_the_proxy_is_killed(#[case] promise: &str) {
     let folder = tempfile::tempdir().expect("a folder");
     let table = format!(
         "[records]\npromise = {promise:?}\ndelay = \"4 ms\"\npatience = \"300 ms\"\nsegment = 4096\n\n"
@@ -264,7 +265,7 @@
     assert!(outcomes.iter().all(|of| of["outcome"] == "Refused" && of["called"] == "155"), "{shown}");
 }
 
-/// A configuration as the platform gives it; nobody is at any of its addresses but the proxy's own.
+/// A configuration as the platform writes it; nothing listens at its addresses except the proxy itself.
 fn configuration(listen: SocketAddr) -> serde_json::Value {
     let profile = serde_json::json!({"name": "voice", "objective": 2.0, "deadline": 9.0, "worth": 1.0, "late_worth": 0.1,
         "effect": "repeatable", "streamed": true});
@@ -284,8 +285,8 @@
     })
 }
 
-/// Starts `serve` as the deploy file's `run` does, by a shell that makes way for it, with a folder of its own
-/// for files.
+/// The command that the deploy file's `run` gives: a shell that execs `serve`, with a temporary folder of
+/// its own.
 fn serve(folder: &Path, configuration: &str) -> Command {
     let file = folder.join("config.json");
     fs::write(&file, configuration).expect("written");
@@ -302,15 +303,18 @@
 }
 
 #[test]
-fn serve_is_one_process_that_listens_on_no_unix_socket_and_leaves_no_file() {
+fn serve_is_one_process_without_a_unix_socket_and_leaves_no_file() {
     let folder = tempfile::tempdir().expect("a folder");
     let listen = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
     let mut command = serve(folder.path(), &configuration(listen).to_string());
     let mut running = Running(command.stderr(Stdio::null()).spawn().expect("started"));
-    until("its ear", || std::net::TcpStream::connect(listen).ok());
+    until("the listener", || std::net::TcpStream::connect(listen).ok());
     let process = PathBuf::from(format!("/proc/{}", running.0.id()));
     let read = |name: &str| fs::read_to_string(process.join(name)).expect("read");
-    assert!(read("cmdline").contains("serve") && !read("cmdline").contains("/bin/sh"), "the shell made way");
+    assert!(
+        read("cmdline").contains("serve") && !read("cmdline").contains("/bin/sh"),
+        "the shell was replaced"
+    );
     for thread in fs::read_dir(process.join("task")).expect("listed") {
         let children = thread.expect("a thread").path().join("children");
         assert_eq!(fs::read_to_string(children).unwrap_or_default().trim(), "", "no other process");
@@ -319,11 +323,11 @@
     let open = fs::read_dir(process.join("fd")).expect("listed").flatten();
     let open: Vec<String> =
         open.filter_map(|fd| Some(fs::read_link(fd.path()).ok()?.to_string_lossy().into_owned())).collect();
-    // Flags 00010000 are a socket that listens, columns as in proc(5).
+    // Flags 00010000 mark a listening socket; the columns are described in proc(5).
     let unix = fs::read_to_string("/proc/net/unix").expect("read");
-    let ears = unix.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
-    let mut ears = ears.filter(|columns| columns.len() > 6 && columns[3] == "00010000");
-    assert!(!ears.any(|columns| open.contains(&format!("socket:[{}]", columns[6]))), "{open:?}");
+    let listeners = unix.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
+    let mut listeners = listeners.filter(|columns| columns.len() > 6 && columns[3] == "00010000");
+    assert!(!listeners.any(|columns| open.contains(&format!("socket:[{}]", columns[6]))), "{open:?}");
     stop(&mut running);
     assert_eq!(fs::read_dir(folder.path().join("tmp")).expect("listed").count(), 0, "no file is left");
 }
@@ -331,10 +335,10 @@
 #[rstest]
 #[case::cut_off("{\"name\": \"n0\"", "config.json")]
 #[case::without_a_field("{\"name\": \"n0\"}", "missing field")]
-fn a_configuration_that_cant_be_read_ends_the_start_with_one_line(#[case] text: &str, #[case] told: &str) {
+fn an_unreadable_configuration_ends_the_start_with_one_line(#[case] text: &str, #[case] expected: &str) {
     let folder = tempfile::tempdir().expect("a folder");
     let ended = serve(folder.path(), text).output().expect("ran");
     assert!(!ended.status.success());
-    let said = String::from_utf8_lossy(&ended.stderr).into_owned();
-    assert!(said.lines().count() == 1 && said.contains(told), "{said}");
+    let stderr_text = String::from_utf8_lossy(&ended.stderr).into_owned();
+    assert!(stderr_text.lines().count() == 1 && stderr_text.contains(expected), "{stderr_text}");
 }
--- a/daemon/tests/races.rs
+++ b/daemon/tests/races.rs
@@ -1,6 +1,6 @@
-//! What crosses on the sockets of a running proxy: closes, signals, answers and events between two steps of
-//! it. Each crossing is forced, by peers that read or answer only when the story says so, or while the
-//! process has no turn.
+//! Races on the sockets of a running proxy: closes, signals, answers and events that arrive between two of
+//! its steps. Each race is forced, by peers that read or answer only when the test says so, or by stopping
+//! the process meanwhile.
 
 mod network;
 
@@ -14,7 +14,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-/// How a caller goes.
+/// How a caller leaves.
 #[derive(Clone, Copy)]
 enum CallerExit {
     Closes,
@@ -22,6 +22,7 @@
     Cancels,
 }
 
+/// Makes a caller leave; returns it if its connection stays open.
 fn exit_caller(mut caller: Caller, how: CallerExit, call: &str) -> Option<Caller> {
     match how {
         CallerExit::Closes => return None,
@@ -31,7 +32,7 @@
     Some(caller)
 }
 
-/// A call whose first attempt is out.
+/// Starts a proxy with one server, and a call whose first attempt is unanswered.
 fn start_with_one_attempt() -> (Server, TestProxy, Caller, network::ServerConnection, sip::Message) {
     let server = Server::new("s-0");
     let proxy = TestProxy::new(&[&server]);
@@ -43,13 +44,13 @@
     (server, proxy, caller, peer, set_up)
 }
 
-/// The next set-up is of this call: none came of another before.
+/// Asserts that the next set-up is of this call: no other call's came before.
 fn assert_next_set_up(peer: &mut network::ServerConnection, call: &str) {
     assert_eq!(peer.next_set_up().call_id, call);
 }
 
 #[rstest]
-fn nothing_is_sent_for_a_caller_who_went_before_the_connection_came_up(
+fn a_caller_who_left_before_the_connection_was_up_gets_no_attempt(
     #[values(CallerExit::Closes, CallerExit::ShutsDownWriting, CallerExit::Cancels)] how: CallerExit,
 ) {
     let server = Server::with_small_buffer("s-0");
@@ -64,7 +65,7 @@
     for _ in fillers {
         server.accept();
     }
-    // The connection that was under way comes up only now; what is sent on it first is another's.
+    // The pending connection is established only now; the first set-up on it must be the other caller's.
     other.offer(&call_id(2));
     let mut peer = server.accept();
     assert_next_set_up(&mut peer, &call_id(2));
@@ -72,14 +73,14 @@
 }
 
 #[rstest]
-fn no_repeat_is_sent_in_the_turn_in_which_the_callers_end_is_yet_to_be_read(
+fn a_caller_whose_end_is_still_unread_gets_no_second_attempt(
     #[values(CallerExit::Closes, CallerExit::ShutsDownWriting, CallerExit::Cancels)] how: CallerExit,
 ) {
     let (_server, proxy, caller, mut peer, set_up) = start_with_one_attempt();
     let mut many_callers: Vec<Caller> = (0..200).map(|_| Caller::new(proxy.address)).collect();
-    assert!(many_callers.iter_mut().all(Caller::passes_test), "all are taken on");
+    assert!(many_callers.iter_mut().all(Caller::passes_test), "all are accepted");
     proxy.pause();
-    // More than is looked at in one turn lies between the answer and the close.
+    // Between the answer and the close come more events than one turn handles.
     peer.respond(&set_up, 503);
     many_callers
         .iter_mut()
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn what_a_connection_never_took_is_taken_back_when_its_caller_goes() {
+fn unwritten_set_ups_are_withdrawn_when_their_caller_leaves() {
     const OFFERED: usize = 12;
     let server = Server::with_small_buffer("s-0");
     let proxy = TestProxy::new(&[&server]);
@@ -110,15 +111,15 @@
     });
     drop(caller);
     wait_for("the close", || proxy.log_text().contains("caller.gone").then_some(()));
-    // What is written after that comes last, unless the connection is given up with half a set-up on it.
+    // A set-up written after the close comes last, unless the connection is closed with half a set-up on it.
     other.offer(&call_id(99));
     let sent = std::iter::from_fn(|| peer.next()).take_while(|message| message.call_id != call_id(99));
     let sent = sent.filter(|message| message.method == "INVITE").count();
-    assert!(sent < OFFERED, "{sent} of {OFFERED} left");
+    assert!(sent < OFFERED, "{sent} of {OFFERED} were sent");
 }
 
 #[rstest]
-fn what_came_by_the_end_of_the_stop_is_answered(#[values(false, true)] new_connection: bool) {
+fn a_set_up_that_arrived_by_the_end_of_the_stop_is_answered(#[values(false, true)] new_connection: bool) {
     let server = Server::new("s-0");
     let mut proxy = TestProxy::new(&[&server]);
     let mut caller = Caller::new(proxy.address);
@@ -130,7 +131,7 @@
         caller = Caller::new(proxy.address);
     }
     caller.offer(&call_id(1));
-    // It wakes when its time is over, and what came before that is still unread.
+    // The process resumes after the stop's grace time; the set-up came before its end and is still unread.
     std::thread::sleep(std::time::Duration::from_millis(800));
     proxy.resume();
     let mut peer = server.accept();
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn signals_that_come_twice_and_together_end_it_once_and_in_order() {
+fn repeated_signals_at_once_stop_the_process_once_and_in_order() {
     let (_server, mut proxy, mut caller, mut peer, set_up) = start_with_one_attempt();
     proxy.pause();
     for name in ["-HUP", "-TERM", "-HUP", "-TERM"] {
@@ -150,12 +151,12 @@
     proxy.resume();
     wait_for("the stop", || (!Caller::new(proxy.address).passes_test()).then_some(()));
     peer.respond(&set_up, 200);
-    assert_eq!(caller.next_reply().0, "accept", "what was taken is answered");
+    assert_eq!(caller.next_reply().0, "accept", "an accepted call is answered");
     proxy.wait_for_exit();
 }
 
 #[test]
-fn a_configuration_that_is_read_half_written_is_read_again() {
+fn a_half_written_configuration_is_read_again() {
     let server = Server::new("s-0");
     let mut proxy = TestProxy::new(&[&server]);
     let (_open, _) = proxy.changelog.accept_request();
@@ -163,13 +164,13 @@
     proxy.set("/changelog", json!(next.address().to_string()));
     proxy.write(0.6);
     proxy.signal("-HUP");
-    wait_for("a look", || proxy.log_text().contains("configuration.kept").then_some(()));
+    wait_for("a failed read", || proxy.log_text().contains("configuration.kept").then_some(()));
     proxy.write(1.0);
-    assert_eq!(next.accept_request().1, 1, "without a further signal");
+    assert_eq!(next.accept_request().1, 1, "read again without a further signal");
 }
 
 #[test]
-fn events_read_from_a_log_that_moves_before_they_are_taken_in_are_told_again() {
+fn events_read_but_not_applied_before_the_change_log_moves_are_requested_again() {
     const LAST: u64 = 8000;
     let server = Server::new("s-0");
     let mut proxy = TestProxy::new(&[&server]);
@@ -179,24 +180,24 @@
     proxy.set("/changelog", json!(next.address().to_string()));
     proxy.write(1.0);
     let all = events.concat();
-    let told = std::thread::spawn(move || open.write_all(all.as_bytes()));
-    // More has been read by now than is taken in.
+    let writer = std::thread::spawn(move || open.write_all(all.as_bytes()));
+    // By now more events have been read than applied.
     wait_for("some events", || (proxy.applied_events().len() > 200).then_some(()));
     proxy.signal("-HUP");
     let (mut stream, last) = next.accept_request();
-    assert!(last < LAST, "it moved in the midst of them");
+    assert!(last < LAST, "it moved before the last event was applied");
     stream.write_all(events[last as usize - 1..].concat().as_bytes()).expect("written");
     wait_for("the last event", || proxy.applied_events().contains(&LAST).then_some(()));
     let applied_events = proxy.applied_events();
     let lost: Vec<u64> = (2..=LAST).filter(|seq| !applied_events.contains(seq)).collect();
-    assert!(lost.is_empty(), "of {last} that it says it had: {lost:?}");
-    let _ = told.join();
+    assert!(lost.is_empty(), "lost although it requested events after {last}: {lost:?}");
+    let _ = writer.join();
 }
 
 #[rstest]
 #[case::in_the_middle_of_an_event(true)]
 #[case::with_its_connection_up(false)]
-fn a_log_that_stops_is_asked_again_for_what_was_not_whole(#[case] closes: bool) {
+fn a_change_log_that_breaks_off_is_asked_again_for_the_incomplete_event(#[case] closes: bool) {
     let (server, late) = (Server::new("s-0"), Server::new("s-1"));
     let proxy = TestProxy::new(&[&server]);
     let (mut open, last) = proxy.changelog.accept_request();
@@ -207,11 +208,11 @@
     drop(open);
     let (mut stream, last) = proxy.changelog.accept_request();
     assert_eq!(last, 1);
-    // Bytes one at a time, and every event twice.
+    // One byte at a time, and every event twice.
     for byte in format!("{next}{next}").as_bytes() {
         stream.write_all(&[*byte]).expect("written");
     }
-    wait_for("the list", || proxy.log_text().contains("central server 0 is Draining").then_some(()));
+    wait_for("the list update", || proxy.log_text().contains("central server 0 is Draining").then_some(()));
     let mut caller = Caller::new(proxy.address);
     caller.offer(&call_id(1));
     assert_next_set_up(&mut late.accept(), &call_id(1));
@@ -221,7 +222,7 @@
 #[rstest]
 #[case::drained("terminating")]
 #[case::gone("terminated")]
-fn a_connection_that_comes_up_after_the_drain_gets_no_set_up(#[case] status: &str) {
+fn a_connection_established_after_the_drain_gets_no_set_up(#[case] status: &str) {
     let (server, other) = (Server::with_small_buffer("s-0"), Server::new("s-1"));
     let fillers = server.fill_accept_queue();
     let proxy = TestProxy::new(&[&server]);
@@ -230,8 +231,8 @@
     caller.offer(&call_id(1));
     wait_for("the dial", || proxy.log_text().contains("trunk.dialled").then_some(()));
     log.write_all(event(2, &[server.entry(status), other.entry("in_service")]).as_bytes()).expect("written");
-    let told = if status == "terminating" { "0 is Draining" } else { "0 is Gone" };
-    wait_for("the list", || proxy.log_text().contains(told).then_some(()));
+    let expected = if status == "terminating" { "0 is Draining" } else { "0 is Gone" };
+    wait_for("the list update", || proxy.log_text().contains(expected).then_some(()));
     for _ in fillers {
         server.accept();
     }
@@ -242,12 +243,13 @@
     assert!(!proxy.log_text().contains("server.lost"));
 }
 
-/// What came instead of a whole answer, and the connection's end after it.
+/// The connection ends before the answer, in its head or in its body. A truncated answer must not count, and
+/// the next attempt must wait for the release.
 #[rstest]
 #[case::nothing(0.0)]
 #[case::in_the_head(0.3)]
 #[case::in_the_body(0.98)]
-fn an_answer_that_is_cut_off_is_none_and_the_release_is_awaited(#[case] part: f64) {
+fn a_truncated_answer_does_not_count_and_the_release_is_awaited(#[case] part: f64) {
     let (server, _town, mut caller, mut peer, set_up) = start_with_one_attempt();
     let whole = response(&set_up, 200);
     peer.send(&whole[..(whole.len() as f64 * part) as usize]);
@@ -258,16 +260,16 @@
     assert!(ended.elapsed() >= RELEASE_WAIT, "{:?}", ended.elapsed());
     assert_eq!((again.call_id.as_str(), again.number), (set_up.call_id.as_str(), 2));
     peer.respond(&again, 200);
-    assert_eq!(caller.next_reply(), ("accept".to_owned(), call_id(1)), "and only this one");
+    assert_eq!(caller.next_reply(), ("accept".to_owned(), call_id(1)), "only the second answer counts");
 }
 
 #[test]
-fn a_set_up_that_crosses_the_close_of_an_idle_connection_is_answered() {
+fn a_set_up_at_the_moment_an_idle_connection_closes_is_answered() {
     let (server, proxy, mut caller, mut peer, set_up) = start_with_one_attempt();
     peer.respond(&set_up, 200);
     assert_eq!(caller.next_reply(), ("accept".to_owned(), call_id(1)));
     proxy.pause();
-    // The set-up comes first, so that it is decided on before the close is read.
+    // The set-up arrives first, so that it is decided before the close is read.
     caller.offer(&call_id(2));
     drop(peer);
     proxy.resume();
@@ -277,11 +279,11 @@
     peer.respond(&set_up, 200);
     assert_eq!(caller.next_reply(), ("accept".to_owned(), call_id(2)));
     peer.release(&call_id(1), 16);
-    assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(1)), "what stood still stands");
+    assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(1)), "the first call is still established");
 }
 
 #[test]
-fn who_comes_again_the_moment_it_is_refused_is_answered_each_time_and_once() {
+fn a_caller_that_retries_at_once_after_each_refusal_gets_one_answer_each_time() {
     let server = Server::new("s-0");
     let proxy = TestProxy::new(&[&server]);
     let mut caller = Caller::new(proxy.address);
@@ -298,22 +300,22 @@
 }
 
 #[test]
-fn a_second_answer_some_milliseconds_later_is_no_second_answer_to_the_caller() {
+fn a_repeated_answer_is_acknowledged_but_not_forwarded_to_the_caller() {
     let (_server, _town, mut caller, mut peer, set_up) = start_with_one_attempt();
     peer.respond(&set_up, 200);
     assert_eq!(caller.next_reply(), ("accept".to_owned(), call_id(1)));
     peer.respond(&set_up, 200);
     assert_eq!((peer.next_with_method("ACK").number, peer.next_with_method("ACK").number), (1, 1));
     peer.release(&call_id(1), 16);
-    assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(1)), "the call stood");
+    assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(1)), "the call was established");
 }
 
 #[rstest]
-fn an_answer_to_a_caller_who_went_is_let_go(
+fn an_answer_for_a_caller_who_left_is_hung_up(
     #[values(CallerExit::Closes, CallerExit::Cancels)] how: CallerExit,
 ) {
     let (_server, proxy, caller, mut peer, set_up) = start_with_one_attempt();
-    // The answer is held until it is seen that the caller went.
+    // The answer is held back until the proxy has noticed that the caller left.
     let kept = exit_caller(caller, how, &call_id(1));
     peer.next_with_method("CANCEL");
     peer.respond(&set_up, 200);
@@ -325,7 +327,7 @@
 }
 
 #[test]
-fn a_name_that_comes_again_before_its_release_makes_no_second_attempt() {
+fn a_call_id_reused_before_its_release_makes_no_second_attempt() {
     let server = Server::new("s-0");
     let proxy = TestProxy::new(&[&server]);
     let (mut caller, mut other) = (Caller::new(proxy.address), Caller::new(proxy.address));
@@ -333,22 +335,22 @@
     let mut peer = server.accept();
     peer.next_set_up();
     other.offer(&call_id(1));
-    assert_eq!(other.next_reply(), ("end".to_owned(), call_id(1)), "open elsewhere");
+    assert_eq!(other.next_reply(), ("end".to_owned(), call_id(1)), "open on another connection");
     caller.end(&call_id(1));
     caller.offer(&call_id(1));
-    assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(1)), "given up just now");
+    assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(1)), "cancelled just now");
     caller.offer(&call_id(2));
     assert_next_set_up(&mut peer, &call_id(2));
 }
 
 #[test]
-fn idle_callers_leave_descriptors_for_the_log_the_servers_and_who_asks() {
+fn idle_callers_do_not_use_up_the_file_descriptors() {
     let (server, late) = (Server::new("s-0"), Server::new("s-1"));
     let mut proxy = TestProxy::not_started(&[&server]);
     proxy.set("/limits/sockets", json!(128));
     proxy.start();
     let (log, _) = proxy.changelog.accept_request();
-    // One that has said something of use asks again while the crowd comes, before it is read.
+    // A caller that has sent a valid message sends a set-up before the many others connect.
     let mut known = Caller::new(proxy.address);
     assert!(known.passes_test());
     drop(log);
@@ -365,7 +367,7 @@
     let (mut log, last) = proxy.changelog.accept_request();
     log.write_all(event(last + 1, &[server.entry("terminating"), late.entry("in_service")]).as_bytes())
         .expect("written");
-    wait_for("the list", || proxy.log_text().contains("central server 0 is Draining").then_some(()));
+    wait_for("the list update", || proxy.log_text().contains("central server 0 is Draining").then_some(()));
     caller.offer(&call_id(3));
     assert_next_set_up(&mut late.accept(), &call_id(3));
     assert!(!proxy.log_text().contains("accept.failed"), "{}", proxy.log_text());
@@ -373,15 +375,16 @@
 }
 
 #[test]
-fn who_asks_in_the_moment_of_being_closed_as_idle_is_served() {
+fn a_set_up_from_a_caller_about_to_be_closed_as_idle_is_answered() {
     let server = Server::new("s-0");
     let mut proxy = TestProxy::not_started(&[&server]);
     proxy.set("/limits/sockets", json!(100));
     proxy.start();
     let mut silent = Caller::new(proxy.address);
-    wait_for("its place", || proxy.log_text().contains("caller.taken_on").then_some(()));
+    wait_for("the caller's connection", || proxy.log_text().contains("caller.taken_on").then_some(()));
     proxy.pause();
-    // It is the first to make room, and has asked by then; the crowd came before its word.
+    // The silent caller is the first to be evicted. The others connect before its set-up, which is unread
+    // when it would be evicted.
     let many_callers: Vec<Caller> = (0..300).map(|_| Caller::new(proxy.address)).collect();
     silent.offer(&call_id(1));
     proxy.resume();
@@ -394,10 +397,10 @@
 }
 
 #[test]
-fn a_lack_of_descriptors_is_survived_without_haste_and_without_deafness() {
+fn without_free_descriptors_accepting_pauses_and_later_continues() {
     let server = Server::new("s-0");
     let mut proxy = TestProxy::not_started(&[&server]);
-    // Fewer than the configuration says.
+    // Fewer descriptors than the configuration states.
     proxy.descriptors_allowed = Some(40);
     proxy.start();
     let mut caller = Caller::new(proxy.address);
@@ -405,19 +408,24 @@
     let mut peer = server.accept();
     let set_up = peer.next_set_up();
     let many_callers: Vec<Caller> = (0..100).map(|_| Caller::new(proxy.address)).collect();
-    wait_for("the lack", || proxy.log_text().contains("accept.failed").then_some(()));
+    wait_for("a failed accept", || proxy.log_text().contains("accept.failed").then_some(()));
     let started = std::time::Instant::now();
     peer.respond(&set_up, 200);
-    assert_eq!(caller.next_reply().0, "accept", "meanwhile all else goes on");
+    assert_eq!(caller.next_reply().0, "accept", "everything else continues");
     let accept_failures = || proxy.log_text().matches("accept.failed").count();
-    wait_for("a second look", || (accept_failures() >= 5).then_some(()));
-    assert!(started.elapsed().as_millis() >= 150, "{} looks in {:?}", accept_failures(), started.elapsed());
+    wait_for("further failed accepts", || (accept_failures() >= 5).then_some(()));
+    assert!(
+        started.elapsed().as_millis() >= 150,
+        "{} failed accepts in {:?}",
+        accept_failures(),
+        started.elapsed()
+    );
     drop(many_callers);
     assert!(Caller::new(proxy.address).passes_test());
 }
 
 #[test]
-fn signals_that_come_before_it_has_read_its_configuration_end_nothing() {
+fn a_signal_before_the_configuration_is_read_does_not_end_the_process() {
     let server = Server::new("s-0");
     let mut proxy = TestProxy::not_started(&[&server]);
     let mut pipe = proxy.start_reading_a_pipe();
@@ -428,7 +436,7 @@
 }
 
 #[test]
-fn a_call_that_stands_is_released_once_by_the_next_process() {
+fn an_established_call_is_released_once_by_the_next_process() {
     let (server, mut proxy, mut caller, mut peer, set_up) = start_with_one_attempt();
     peer.respond(&set_up, 200);
     assert_eq!(caller.next_reply().0, "accept");
@@ -437,7 +445,7 @@
     proxy.start();
     let mut caller = Caller::new(proxy.address);
     caller.declare_established(&call_id(1), "s-0");
-    // Its set-up's connection ended with the former process; the release comes on the next one.
+    // The set-up's connection ended with the previous process; the release comes on a new one.
     let mut peer = server.accept();
     peer.release(&call_id(1), 16);
     assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(1)));
@@ -445,25 +453,25 @@
     caller.offer(&call_id(2));
     let set_up = peer.next_set_up();
     peer.respond(&set_up, 200);
-    assert_eq!(caller.next_reply(), ("accept".to_owned(), call_id(2)), "and no second release");
+    assert_eq!(caller.next_reply(), ("accept".to_owned(), call_id(2)), "the second release has no effect");
 }
 
 #[test]
-fn the_next_process_waits_until_the_former_has_let_go_of_the_address() {
+fn the_next_process_waits_until_the_previous_one_has_freed_the_address() {
     let server = Server::new("s-0");
     let mut proxy = TestProxy::new(&[&server]);
     let mut next = proxy.start_second();
-    wait_for("its wait", || next.log_text().contains("address.in_use").then_some(()));
+    wait_for("the second process waiting", || next.log_text().contains("address.in_use").then_some(()));
     proxy.signal("-TERM");
     proxy.wait_for_exit();
-    wait_for("its turn", || next.log_text().contains("proxy.ready").then_some(()));
+    wait_for("the second process ready", || next.log_text().contains("proxy.ready").then_some(()));
     assert!(Caller::new(next.address).passes_test());
     next.signal("-TERM");
     next.wait_for_exit();
 }
 
 #[test]
-fn answers_that_a_slow_reader_has_not_taken_by_the_end_of_the_stop_are_waited_for() {
+fn a_stop_waits_for_answers_that_a_slow_caller_has_not_read() {
     const CALLS: u64 = 12;
     let server = Server::new("s-0");
     let mut proxy = TestProxy::new(&[&server]);
@@ -483,13 +491,13 @@
     proxy.pause();
     std::thread::sleep(std::time::Duration::from_millis(800));
     proxy.resume();
-    let told: Vec<_> = (0..CALLS).map(|_| caller.next_reply().0).collect();
-    assert!(told.iter().all(|op| op == "accept"), "{told:?}");
+    let operations: Vec<_> = (0..CALLS).map(|_| caller.next_reply().0).collect();
+    assert!(operations.iter().all(|op| op == "accept"), "{operations:?}");
     proxy.wait_for_exit();
 }
 
 #[test]
-fn a_call_named_while_its_server_is_replaced_is_over_as_soon_as_the_list_says_so() {
+fn a_call_at_a_terminated_server_ends_as_soon_as_the_list_says_so() {
     let (server, late) = (Server::new("s-0"), Server::new("s-1"));
     let proxy = TestProxy::new(&[&server]);
     let (mut log, _) = proxy.changelog.accept_request();
@@ -500,11 +508,11 @@
         .expect("written");
     assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(1)));
     caller.declare_established(&call_id(2), "s-0");
-    assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(2)), "nobody has it any more");
+    assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(2)), "no server has the call any more");
 }
 
 #[test]
-fn it_is_ready_while_nobody_else_is_there() {
+fn a_proxy_is_ready_without_any_peer_server_or_change_log() {
     let server = Server::new("s-0");
     let mut proxy = TestProxy::not_started(&[&server]);
     let nowhere = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
--- a/daemon/tests/release.rs
+++ b/daemon/tests/release.rs
@@ -1,6 +1,6 @@
-//! Five processes of the program are replaced by a decision, one after another, while calls go on and one of
-//! them is killed; a halt, a way back, and a release that cannot run. Who is replaced is seen at the
-//! processes, who is away at their callers' sockets.
+//! Releases: five processes are replaced one after another while calls go on and one of them is killed; also
+//! a halt, a revert and a release that can't run. Replacement is checked by the processes' command lines,
+//! unavailability by their callers' sockets.
 
 mod cluster;
 
@@ -34,19 +34,19 @@
     serde_json::from_slice(&output.stdout).unwrap_or(Value::Null)
 }
 
-/// The release, as a proxy that is there knows it.
+/// The release as the first running proxy that knows it reports it.
 fn release(cluster: &Cluster) -> Value {
     let all =
         (0..PROXIES).filter(|&proxy| cluster.proxies[proxy].is_some()).map(|proxy| outs(cluster, proxy));
     all.map(|outs| outs["release"].clone()).find(|release| release.is_object()).unwrap_or(Value::Null)
 }
 
-/// Proxies whose processes run what was staged.
+/// Proxies whose processes run the staged release.
 fn replaced(cluster: &Cluster) -> Vec<usize> {
     (0..PROXIES).filter(|&proxy| cluster.command_line(proxy).contains("staged")).collect()
 }
 
-/// Puts a file where each proxy looks for it, and has it staged.
+/// Copies a file to all proxies' staging paths and stages it.
 fn stage(cluster: &Cluster, kind: &str, bytes: &[u8]) {
     let file = cluster.path("to-stage");
     fs::write(&file, bytes).expect("written");
@@ -62,7 +62,7 @@
     cluster.wait_until("all ready", |cluster| release(cluster)["ready"] == PROXIES);
 }
 
-/// How many callers' sockets give no sign of life for a while.
+/// The number of callers' sockets that answer no POKE within 250 ms.
 fn silent_proxies(cluster: &Cluster) -> usize {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     socket.set_read_timeout(Some(Duration::from_millis(10))).expect("set");
@@ -87,15 +87,15 @@
     silent.len()
 }
 
-/// Goes on until something holds; at no time more than one is away, nor taken for out.
+/// Waits until `is_met` holds; asserts that at no time more than one proxy is silent or reported unavailable.
 fn wait_one_at_a_time(cluster: &Cluster, condition: &str, is_met: impl Fn(&Cluster) -> bool) {
     cluster.wait_until(condition, |cluster| {
-        // A machine that does much else may be late to answer once.
+        // On a busy machine a single answer may be late.
         let all_silent = (0..3).all(|_| silent_proxies(cluster) > 1);
-        assert!(!all_silent, "more than one away at once");
+        assert!(!all_silent, "more than one silent at once");
         for proxy in 0..PROXIES {
             let out = outs(cluster, proxy)["proxies"].as_array().map_or(0, Vec::len);
-            assert!(out <= 1, "{out} out at once, as p{proxy} knows");
+            assert!(out <= 1, "{out} unavailable at once according to p{proxy}");
         }
         is_met(cluster)
     });
@@ -105,19 +105,19 @@
                         fall_span = \"1 s\"\nanswer_lead = \"40 ms\"\n";
 
 #[test]
-fn all_are_replaced_one_at_a_time_though_one_is_killed_while_it_is_out_and_go_back_again() {
+fn all_are_replaced_and_reverted_one_at_a_time_even_if_one_is_killed_meanwhile() {
     let mut cluster = start_cluster();
     cluster.set_demand([10.0; PROXIES]);
     stage(&cluster, "settings", CHANGE);
     assert!(replaced(&cluster).is_empty());
     assert!(cluster.command(3, &["release", "start"]).status.success());
-    wait_one_at_a_time(&cluster, "the first", |cluster| !replaced(cluster).is_empty());
-    // Whoever is out is killed; nobody else goes before it is back.
+    wait_one_at_a_time(&cluster, "the first replaced", |cluster| !replaced(cluster).is_empty());
+    // The unavailable proxy is killed; no other may be replaced before it is back.
     let out = |cluster: &Cluster| {
         let proxies = outs(cluster, 0)["proxies"].as_array().cloned().unwrap_or_default();
         proxies.iter().find_map(|of| of["proxy"].as_str()?.strip_prefix('p')?.parse::<usize>().ok())
     };
-    cluster.wait_until("another out", |cluster| out(cluster).is_some_and(|proxy| proxy != 0));
+    cluster.wait_until("another unavailable", |cluster| out(cluster).is_some_and(|proxy| proxy != 0));
     let killed = out(&cluster).filter(|&proxy| proxy != 0);
     if let Some(proxy) = killed {
         let before = replaced(&cluster).len();
@@ -142,28 +142,29 @@
 }
 
 #[test]
-fn a_halt_lets_nobody_out_any_more_on_either_side_of_a_cut_and_a_start_goes_on() {
+fn a_halt_stops_replacement_on_both_sides_of_a_cut_and_a_start_continues_it() {
     let cluster = start_cluster();
     stage(&cluster, "settings", CHANGE);
     assert!(cluster.command(0, &["release", "start"]).status.success());
     cluster.wait_until("two", |cluster| replaced(cluster).len() >= 2);
-    // One that was replaced a moment ago knows of no release yet.
+    // A proxy that was just replaced may not know of the release yet.
     let replaced_so_far = replaced(&cluster);
-    let output = (0..PROXIES).rev().find(|proxy| !replaced_so_far.contains(proxy)).expect("not all went");
-    let halted = cluster.command(output, &["release", "halt", "--why", "looks bad"]);
+    let requester =
+        (0..PROXIES).rev().find(|proxy| !replaced_so_far.contains(proxy)).expect("not all were replaced");
+    let halted = cluster.command(requester, &["release", "halt", "--why", "looks bad"]);
     assert!(halted.status.success(), "{halted:?}");
-    // One that had begun goes through with it.
+    // A replacement that had begun is completed.
     cluster.wait_until("known to all", |cluster| {
         (0..PROXIES).all(|proxy| outs(cluster, proxy)["release"]["phase"]["halted"].is_object())
     });
-    cluster.wait_until("nobody out", |cluster| {
+    cluster.wait_until("none unavailable", |cluster| {
         outs(cluster, 0)["proxies"].as_array().is_some_and(Vec::is_empty)
     });
     let replaced_by_then = replaced(&cluster).len();
     cluster.set_cut(&[3], &[0, 1, 2, 4], true);
     cluster.sleep(2000.0);
-    assert_eq!(replaced(&cluster).len(), replaced_by_then, "went after the halt");
-    assert!(replaced_by_then < PROXIES, "the halt came too late to tell");
+    assert_eq!(replaced(&cluster).len(), replaced_by_then, "replaced after the halt");
+    assert!(replaced_by_then < PROXIES, "the halt came too late for a check");
     cluster.set_cut(&[3], &[0, 1, 2, 4], false);
     cluster.wait_until("started again", |cluster| cluster.command(2, &["release", "start"]).status.success());
     wait_one_at_a_time(&cluster, "all replaced", |cluster| release(cluster)["phase"] == "done");
@@ -171,15 +172,15 @@
 }
 
 #[test]
-fn a_release_that_cannot_run_is_given_up_after_three_starts_and_halted_before_anybody_else_goes() {
+fn a_release_that_cannot_run_is_given_up_after_three_starts_and_halted_at_once() {
     let mut cluster = start_cluster();
-    // It finds all settings fit, and never runs.
+    // The program accepts all settings, and never runs.
     stage(&cluster, "program", b"#!/bin/sh\n[ \"$1\" = check ]\n");
     assert!(cluster.command(0, &["release", "start"]).status.success());
     let mut dead = None;
     let end = Instant::now() + Duration::from_secs(20);
     while dead.is_none() {
-        assert!(Instant::now() < end, "nobody went");
+        assert!(Instant::now() < end, "none was replaced");
         cluster.sleep(50.0);
         for (at, running) in cluster.proxies.iter_mut().enumerate() {
             if running.as_mut().is_some_and(|running| running.0.try_wait().expect("asked").is_some()) {
@@ -188,7 +189,7 @@
         }
     }
     let dead = dead.expect("just seen");
-    // Whatever watches over processes starts it by the usual command, again and again.
+    // A supervisor starts it by the usual command again and again.
     let mut starts = 0;
     loop {
         cluster.spawn(dead);
@@ -200,24 +201,24 @@
         assert!(starts < 6, "it never came back");
     }
     assert!(starts >= 2, "{starts}");
-    cluster.wait_until("halted by the one that could not", |cluster| {
+    cluster.wait_until("halted by the proxy that failed", |cluster| {
         release(cluster)["phase"]["halted"]["why"].as_str().is_some_and(|why| why.contains("not healthy"))
     });
-    cluster.wait_until("it is in again", |cluster| {
+    cluster.wait_until("it is available again", |cluster| {
         outs(cluster, dead)["proxies"].as_array().is_some_and(Vec::is_empty)
     });
-    assert!(replaced(&cluster).is_empty(), "all run what they ran");
+    assert!(replaced(&cluster).is_empty(), "all run the previous program");
     assert!(cluster.command(dead, &["release", "back"]).status.success());
-    cluster.wait_until("over", |cluster| release(cluster)["phase"] == "done");
+    cluster.wait_until("reverted", |cluster| release(cluster)["phase"] == "done");
 }
 
 #[test]
-fn a_release_that_serves_worse_is_halted_by_evidence_after_its_first_wave_and_goes_back() {
+fn a_release_that_serves_worse_is_halted_after_its_first_wave_and_reverted() {
     let cluster = start_cluster_with("span = \"200 ms\"\n");
     cluster.set_demand([60.0; PROXIES]);
-    // What each proxy was like before.
+    // Collects measurements from before the release.
     cluster.sleep(7_000.0);
-    // It knows no way for the number that all call.
+    // The release has no route for the number that all call.
     stage(&cluster, "settings", b"[[route]]\nprefix = \"9\"\ngrade = \"open\"\npool = 0\n");
     assert!(cluster.command(0, &["release", "start"]).status.success());
     cluster.wait_until("halted", |cluster| release(cluster)["phase"]["halted"].is_object());
--- a/daemon/tests/settings.rs
+++ b/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: the example passes, and all that is wrong with a file is told at once.
+//! Settings: the example is valid, and all errors of a file are reported at once.
 
 use std::path::Path;
 
@@ -7,8 +7,8 @@
 use rstest::rstest;
 
 #[test]
-fn the_example_is_fit_to_run() {
-    let parsed = settings::read(EXAMPLE).expect("fit");
+fn the_example_is_valid() {
+    let parsed = settings::read(EXAMPLE).expect("valid");
     assert_eq!(parsed.terms.terms.grades.len(), 2);
     assert_eq!(parsed.terms.terms.release, 300.0);
     assert_eq!(parsed.terms.terms.max_retry_after, Some(2000.0));
@@ -18,14 +18,14 @@
 }
 
 #[test]
-fn five_faults_are_told_at_once_each_with_its_line_and_key() {
+fn five_errors_are_reported_at_once_with_line_and_key() {
     let file = EXAMPLE
         .replace("proxies = 4", "proxies = 0")
         .replace("feed =", "feeds =")
         .replace("cancel = true", "cancel = 3")
         .replace("quoted = \"2 s\"", "quoted = \"2 parsecs\"")
         .replace("pool = 1", "pool = 9");
-    let faults = settings::read(&file).expect_err("unfit");
+    let faults = settings::read(&file).expect_err("invalid");
     let reported: Vec<(usize, &str)> = faults.iter().map(|fault| (fault.line, &fault.key[..])).collect();
     let line = |text: &str| file.lines().position(|line| line.starts_with(text)).expect("there") + 1;
     for (start, key) in [
@@ -36,7 +36,7 @@
     ] {
         assert!(reported.contains(&(line(start), key)), "{key} in {reported:?}");
     }
-    let pool = faults.iter().find(|fault| fault.key == "route[1].pool").expect("told");
+    let pool = faults.iter().find(|fault| fault.key == "route[1].pool").expect("reported");
     assert_eq!((&pool.found[..], &pool.wanted[..]), ("9", "one of the pools of grade slot"));
 }
 
@@ -45,13 +45,13 @@
 #[case::nothing("", "a table")]
 #[case::quoted_over_limit(&EXAMPLE.replace("limit = \"9 s\"", "limit = \"1 s\""), "at most limit, 1000 ms")]
 #[case::two_of_a_name(&EXAMPLE.replace("name = \"slot\"", "name = \"open\""), "a unique name")]
-fn what_is_wanted_is_told(#[case] file: &str, #[case] wanted: &str) {
-    let faults = settings::read(file).expect_err("unfit");
+fn an_error_says_what_is_wanted(#[case] file: &str, #[case] wanted: &str) {
+    let faults = settings::read(file).expect_err("invalid");
     assert!(faults.iter().any(|fault| fault.wanted == wanted), "{faults:?}");
 }
 
 #[test]
-fn the_example_with_its_optional_tables_passes_too() {
+fn the_example_with_its_optional_tables_is_valid() {
     let keys = ["[", "listen", "address", "seeds", "key", "fleet_keys", "roster", "cap", "beat", "liars"];
     let fleet = ["window", "lease", "drift", "spread", "floor", "most", "share_window"];
     let council = ["members", "file", "pool_part", "proxy_part", "witnesses", "well", "judged", "span"];
@@ -71,25 +71,25 @@
             if optional { uncommented } else { line }
         })
         .collect();
-    let parsed = settings::read(&with_optional_tables.join("\n")).expect("sound");
+    let parsed = settings::read(&with_optional_tables.join("\n")).expect("valid");
     assert!(
         parsed.gossip.is_some()
             && parsed.fleet_limits.is_some()
             && parsed.records.is_some()
             && parsed.proposed_terms.is_some()
     );
-    let distribution = parsed.distribution.expect("told");
+    let distribution = parsed.distribution.expect("reported");
     assert_eq!(distribution.heartbeat, 1000.0);
     let DistributionRole::Control(served) = distribution.role else { panic!("{distribution:?}") };
     assert_eq!((served.max_subscribers, served.snapshots_at_once), (4096, 64));
-    let council = parsed.council.expect("told");
+    let council = parsed.council.expect("reported");
     assert_eq!((council.members.len(), council.heartbeat, council.lease), (3, 200.0, 10_000.0));
 }
 
 #[test]
-fn rules_to_come_stand_as_those_in_force_but_for_what_they_say() {
+fn proposed_rules_take_missing_keys_from_the_rules_in_force() {
     let watch = "[watch]\nprobe = false\nsetups_repeat = false\ncold_from = 0.3\n";
-    let parsed = settings::read(&EXAMPLE.replace("[iax2]\n", &format!("{watch}[iax2]\n"))).expect("fit");
+    let parsed = settings::read(&EXAMPLE.replace("[iax2]\n", &format!("{watch}[iax2]\n"))).expect("valid");
     let (now, then) = (&parsed.terms.terms, &parsed.proposed_terms.as_ref().expect("watched").terms);
     assert_eq!(
         (now.may_probe, now.resend_after, now.initial_capacity_share, now.respect_retry_after),
@@ -104,26 +104,26 @@
         (then.release, then.cold_duration, then.proxies),
         (now.release, now.cold_duration, now.proxies)
     );
-    assert!(settings::read(EXAMPLE).expect("fit").proposed_terms.is_none());
+    assert!(settings::read(EXAMPLE).expect("valid").proposed_terms.is_none());
 }
 
 #[test]
-fn a_limit_without_gossip_and_a_lease_under_two_beats_are_told() {
+fn fleet_limits_without_gossip_or_with_a_short_lease_are_rejected() {
     let file =
         EXAMPLE.replace("[iax2]\n", "[fleet]\nlease = \"100 ms\"\nbeat = \"80 ms\"\nrate = 3\n[iax2]\n");
-    let faults = settings::read(&file).expect_err("unfit");
+    let faults = settings::read(&file).expect_err("invalid");
     let reported: Vec<(&str, &str)> = faults.iter().map(|f| (&f.key[..], &f.wanted[..])).collect();
     assert!(reported.contains(&("fleet.lease", "at least two times beat")), "{reported:?}");
     assert!(reported.iter().any(|(key, _)| *key == "fleet.rate"), "{reported:?}");
     assert!(reported.iter().any(|(_, wanted)| wanted.starts_with("[gossip] beside it")), "{reported:?}");
-    assert!(settings::read(EXAMPLE).expect("fit").fleet_limits.is_none(), "off by default");
+    assert!(settings::read(EXAMPLE).expect("valid").fleet_limits.is_none(), "off by default");
 }
 
 #[rstest]
 #[case::without_gossip("[council]\nmembers = [\"a\", \"b\", \"c\"]\n", "council", "[gossip] beside it")]
 #[case::an_even_council("[council]\nmembers = [\"a\", \"b\"]\n", "council.members", "3, 5 or 7")]
 #[case::a_name_twice("[council]\nmembers = [\"a\", \"b\", \"a\"]\n", "council.members", "each name once")]
-#[case::a_lease_under_the_beats(
+#[case::a_lease_shorter_than_40_heartbeats(
     "[council]\nmembers = [\"a\", \"b\", \"c\"]\nbeat = \"1 s\"\nlease = \"2 s\"\n",
     "council.lease",
     "at least 40 times beat"
@@ -131,18 +131,18 @@
 #[case::an_unknown_key("[council]\nmembers = []\nterm = 3\n", "council.term", "one of beat")]
 #[case::budgets_without_a_council("[outs]\n", "outs", "[council] beside it")]
 #[case::a_budget_of_nothing("[outs]\npool_part = 0\n", "outs.pool_part", "above 0")]
-fn what_is_wrong_with_a_council_is_told(#[case] table: &str, #[case] key: &str, #[case] wanted: &str) {
+fn an_invalid_council_or_budget_is_reported(#[case] table: &str, #[case] key: &str, #[case] wanted: &str) {
     let faults =
-        settings::read(&EXAMPLE.replace("[iax2]\n", &format!("{table}[iax2]\n"))).expect_err("unfit");
+        settings::read(&EXAMPLE.replace("[iax2]\n", &format!("{table}[iax2]\n"))).expect_err("invalid");
     let reported = faults.iter().find(|fault| fault.key == key && fault.wanted.contains(wanted));
     assert!(reported.is_some_and(|fault| fault.line > 1), "{faults:?}");
-    assert!(settings::read(EXAMPLE).expect("fit").council.is_none(), "off by default");
+    assert!(settings::read(EXAMPLE).expect("valid").council.is_none(), "off by default");
 }
 
 #[test]
-fn an_unknown_rule_to_come_is_told_with_its_key() {
+fn an_invalid_proposed_rule_is_reported_with_its_key() {
     let file = EXAMPLE.replace("[iax2]\n", "[watch]\nprobes = false\ncold_from = 3.0\n[iax2]\n");
-    let faults = settings::read(&file).expect_err("unfit");
+    let faults = settings::read(&file).expect_err("invalid");
     let keys: Vec<&str> = faults.iter().map(|fault| &fault.key[..]).collect();
     assert_eq!(keys, ["watch.probes", "watch.cold_from"], "in the order of the lines");
 }
@@ -173,7 +173,7 @@
 }
 
 fn subscriber(file: &str) -> SubscriberSettings {
-    let parsed = settings::read(file).expect("fit").distribution.expect("told");
+    let parsed = settings::read(file).expect("valid").distribution.expect("reported");
     let DistributionRole::Subscriber(subscriber) = parsed.role else { panic!("{parsed:?}") };
     subscriber
 }
@@ -186,11 +186,11 @@
     let controls: Vec<(&str, u16)> = parsed.controls.iter().map(|of| (&of.name[..], of.region)).collect();
     assert_eq!((controls, parsed.region), (vec![("p1", 0), ("p2", 1)], 1));
     assert_eq!(parsed.file, Path::new("frostthread-state/distribution"));
-    assert!(settings::read(EXAMPLE).expect("fit").distribution.is_none(), "off by default");
+    assert!(settings::read(EXAMPLE).expect("valid").distribution.is_none(), "off by default");
 }
 
 #[test]
-fn the_subscriber_of_the_example_is_fit_too() {
+fn the_subscriber_of_the_example_is_valid() {
     let start = EXAMPLE.find("#   listen = ").expect("there");
     let lines = EXAMPLE[start..].lines().map_while(|line| line.strip_prefix("#   "));
     let lines: Vec<&str> = lines.collect();
@@ -225,8 +225,8 @@
 #[case::a_control_with_a_key_more(
     SUBSCRIBER.to_owned() + "zone = 3\n", "distribution.control[1].zone", "one of address"
 )]
-fn what_is_wrong_with_distribution_is_told(#[case] table: String, #[case] key: &str, #[case] wanted: &str) {
-    let faults = settings::read(&with(&table)).expect_err("unfit");
+fn an_invalid_distribution_is_reported(#[case] table: String, #[case] key: &str, #[case] wanted: &str) {
+    let faults = settings::read(&with(&table)).expect_err("invalid");
     let reported = faults.iter().find(|fault| fault.key == key && fault.wanted.contains(wanted));
     assert!(reported.is_some_and(|fault| fault.line > 1), "{faults:?}");
 }
