--- a/daemon/src/release.rs
+++ b/daemon/src/release.rs
@@ -163,8 +163,8 @@
     /// Replaces this process, keeping its arguments except the settings file; returns only on failure.
     pub fn exec(&self) -> io::Error {
         let mut arguments: Vec<OsString> = std::env::args_os().skip(1).collect();
-        if let Some(at) = arguments.iter().position(|argument| argument == "--config")
-            && let Some(config) = arguments.get_mut(at + 1)
+        if let Some(position) = arguments.iter().position(|argument| argument == "--config")
+            && let Some(config) = arguments.get_mut(position + 1)
         {
             *config = self.config.clone().into_os_string();
         }
--- a/daemon/src/tables.rs
+++ b/daemon/src/tables.rs
@@ -234,9 +234,9 @@
         let DrainStatus { server, pool, by, why, decision, conversations_here: here, .. } = drain;
         Row { server, pool: *pool, by, why, decision: *decision, here: *here }
     }
-    fn unavailable_row(of: &UnavailabilityStatus) -> UnavailableRow<'_> {
-        let since = of.since.map_or("-".to_owned(), |since| since.to_string());
-        UnavailableRow { proxy: &of.proxy, how: &of.state, since, waits_for: &of.waits_for }
+    fn unavailable_row(status: &UnavailabilityStatus) -> UnavailableRow<'_> {
+        let since = status.since.map_or("-".to_owned(), |since| since.to_string());
+        UnavailableRow { proxy: &status.proxy, how: &status.state, since, waits_for: &status.waits_for }
     }
     println!("{}", Table::new(outs.drains.iter().map(row)).with(Style::sharp()));
     println!("{}", Table::new(outs.proxies.iter().map(unavailable_row)).with(Style::sharp()));
@@ -284,12 +284,12 @@
         why: &'a str,
         decision: u64,
     }
-    fn row(of: &ScopeStatus) -> Row<'_> {
-        let age = of.age_ms.map_or("-".to_owned(), seconds);
-        Row { scope: &of.scope, version: of.version, entries: of.entries, age }
+    fn row(status: &ScopeStatus) -> Row<'_> {
+        let age = status.age_ms.map_or("-".to_owned(), seconds);
+        Row { scope: &status.scope, version: status.version, entries: status.entries, age }
     }
-    fn drain_row(of: &DistributedDrain) -> DrainRow<'_> {
-        DrainRow { server: &of.server, by: &of.by, why: &of.why, decision: of.decision }
+    fn drain_row(status: &DistributedDrain) -> DrainRow<'_> {
+        DrainRow { server: &status.server, by: &status.by, why: &status.why, decision: status.decision }
     }
     println!("{}", Table::new(status.scopes.iter().map(row)).with(Style::sharp()));
     if let Some(control) = &status.control {
@@ -334,16 +334,16 @@
         have: String,
         lacking: String,
     }
-    fn row(of: &ChangeStatus) -> Row<'_> {
+    fn row(status: &ChangeStatus) -> Row<'_> {
         let lacking =
-            of.lacking.iter().map(|one| format!("{} for {}", one.subscriber, seconds(one.since_ms)));
+            status.lacking.iter().map(|one| format!("{} for {}", one.subscriber, seconds(one.since_ms)));
         Row {
-            version: of.version,
-            scope: &of.scope,
-            key: &of.key,
-            change: if of.removed { "removed" } else { "set" },
-            since: seconds(of.since_ms),
-            have: format!("{} of {}", of.have, of.of),
+            version: status.version,
+            scope: &status.scope,
+            key: &status.key,
+            change: if status.removed { "removed" } else { "set" },
+            since: seconds(status.since_ms),
+            have: format!("{} of {}", status.have, status.of),
             lacking: lacking.collect::<Vec<_>>().join(", "),
         }
     }
--- a/daemon/tests/council.rs
+++ b/daemon/tests/council.rs
@@ -116,14 +116,14 @@
     cluster.set_cut(&[0, 3], &[1, 2, 4], true);
     cluster.set_cut(&[1, 2, 4], &[0, 3], true);
     cluster.wait_until("a leader beyond the cut", |cluster| leader(cluster, &[1, 2]).is_some());
-    let (here, there) = std::thread::scope(|scope| {
-        let here = scope.spawn(|| cluster.command(3, &["undrain", "s-3"]));
-        let there = scope.spawn(|| cluster.command(4, &["drain", "s-0"]));
-        (here.join().expect("ran"), there.join().expect("ran"))
+    let (minority, majority) = std::thread::scope(|scope| {
+        let minority = scope.spawn(|| cluster.command(3, &["undrain", "s-3"]));
+        let majority = scope.spawn(|| cluster.command(4, &["drain", "s-0"]));
+        (minority.join().expect("ran"), majority.join().expect("ran"))
     });
-    assert!(there.status.success(), "{there:?}");
-    assert_eq!(here.status.code(), Some(1), "{here:?}");
-    assert!(String::from_utf8_lossy(&here.stderr).contains("no majority"), "{here:?}");
+    assert!(majority.status.success(), "{majority:?}");
+    assert_eq!(minority.status.code(), Some(1), "{minority:?}");
+    assert!(String::from_utf8_lossy(&minority.stderr).contains("no majority"), "{minority:?}");
     assert_eq!(drained(&cluster, 0), ["s-3"], "what was decided holds");
     assert!(state(&cluster, 3)["age_ms"].as_f64() > Some(2_000.0), "it reports that its state is old");
     let since = cluster.now();
@@ -151,7 +151,7 @@
     cluster.wait_until("its generation known", |cluster| {
         state(cluster, current_leader)["voteless"]
             .as_array()
-            .is_some_and(|all| all.iter().any(|of| of["name"] == name[..]))
+            .is_some_and(|all| all.iter().any(|voter| voter["name"] == name[..]))
     });
     cluster.wait_until("removed", |cluster| {
         cluster.command(current_leader, &["council", "remove", &name]).status.success()
--- a/daemon/tests/process.rs
+++ b/daemon/tests/process.rs
@@ -42,7 +42,7 @@
 }
 
 /// Sends a request to a proxy's control socket; returns the response.
-fn ask(word: &str, file: &Path) -> serde_json::Value {
+fn request(word: &str, file: &Path) -> serde_json::Value {
     let settings = daemon::settings::read(&fs::read_to_string(file).expect("read")).expect("valid");
     let mut control = UnixStream::connect(settings.control_socket).expect("connected");
     control.write_all(format!("{word}\n").as_bytes()).expect("asked");
@@ -112,7 +112,7 @@
     assert_eq!(elements.cause(), Some(42));
     assert!(border::hints::Hints::read(&elements).retry_after.is_some());
 
-    assert_eq!(ask("status", &file)["tally"]["refused"], 1);
+    assert_eq!(request("status", &file)["tally"]["refused"], 1);
     stop(&mut running);
 }
 
@@ -165,7 +165,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let (mut running, file, ready) = start(folder.path(), "p1", "[watch]\nprobe = false\ncold_from = 0.3\n");
     refused(ready["callers"].as_str().expect("text").parse().expect("an address"), "9");
-    let watch = &ask("status", &file)["watch"];
+    let watch = &request("status", &file)["watch"];
     assert!(watch["seen"].as_u64().is_some_and(|seen| seen > 0), "{watch}");
     assert_eq!(watch["differing"], 0, "without servers the proposed rules change nothing");
     let shown = frostthread(&["status", "--config"], &file);
@@ -200,11 +200,11 @@
     let (_first, file_1, ready) = start(folder.path(), "p1", &gossip("p1", ""));
     let seed = format!("\"{}\"", ready["peers"].as_str().expect("an address"));
     let (mut second, file_2, _) = start(folder.path(), "p2", &gossip("p2", &seed));
-    let other = |file: &Path| ask("members", file)[1]["standing"].as_str().map(str::to_owned);
+    let other = |file: &Path| request("members", file)[1]["standing"].as_str().map(str::to_owned);
     for file in [&file_1, &file_2] {
         until("the other proxy", || (other(file).as_deref() == Some("alive")).then_some(()));
     }
-    assert_eq!(ask("suspicions", &file_1), serde_json::json!([]));
+    assert_eq!(request("suspicions", &file_1), serde_json::json!([]));
 
     // The new key as the second, then as the first, then alone: packets are accepted all the time.
     for keys in [["old", "new"], ["new", "old"], ["new", "new"]] {
@@ -218,11 +218,11 @@
             assert!(done.status.success(), "{done:?}");
         }
     }
-    let sent = ask("gossip", &file_2)["tally"]["packets"].as_u64().expect("a count");
+    let sent = request("gossip", &file_2)["tally"]["packets"].as_u64().expect("a count");
     until("more packets", || {
-        (ask("gossip", &file_2)["tally"]["packets"].as_u64()? > sent + 10).then_some(())
+        (request("gossip", &file_2)["tally"]["packets"].as_u64()? > sent + 10).then_some(())
     });
-    assert_eq!(ask("gossip", &file_1)["tally"]["untagged"], 0);
+    assert_eq!(request("gossip", &file_1)["tally"]["untagged"], 0);
     assert_eq!(other(&file_1).as_deref(), Some("alive"));
 
     stop(&mut second);
--- a/daemon/tests/races.rs
+++ b/daemon/tests/races.rs
@@ -59,7 +59,7 @@
     let mut caller = Caller::new(proxy.address);
     caller.offer(&call_id(1));
     wait_for("the dial", || proxy.log_text().contains("trunk.dialled").then_some(()));
-    let kept = exit_caller(caller, how, &call_id(1));
+    let open_caller = exit_caller(caller, how, &call_id(1));
     let mut other = Caller::new(proxy.address);
     assert!(other.passes_test());
     for _ in fillers {
@@ -69,7 +69,7 @@
     other.offer(&call_id(2));
     let mut peer = server.accept();
     assert_next_set_up(&mut peer, &call_id(2));
-    drop(kept);
+    drop(open_caller);
 }
 
 #[rstest]
@@ -85,11 +85,11 @@
     many_callers
         .iter_mut()
         .for_each(|one| one.send(&json!({"op": "ended", "call": call_id(9), "with": {}, "why": 0})));
-    let kept = exit_caller(caller, how, &call_id(1));
+    let open_caller = exit_caller(caller, how, &call_id(1));
     proxy.resume();
     many_callers[0].offer(&call_id(2));
     assert_next_set_up(&mut peer, &call_id(2));
-    drop(kept);
+    drop(open_caller);
 }
 
 #[test]
@@ -198,13 +198,13 @@
 #[case::in_the_middle_of_an_event(true)]
 #[case::with_its_connection_up(false)]
 fn a_change_log_that_breaks_off_is_asked_again_for_the_incomplete_event(#[case] closes: bool) {
-    let (server, late) = (Server::new("s-0"), Server::new("s-1"));
+    let (server, new_server) = (Server::new("s-0"), Server::new("s-1"));
     let proxy = TestProxy::new(&[&server]);
     let (mut open, last) = proxy.changelog.accept_request();
     assert_eq!(last, 1);
-    let next = event(2, &[late.entry("in_service"), server.entry("terminating")]);
+    let next = event(2, &[new_server.entry("in_service"), server.entry("terminating")]);
     open.write_all(&next.as_bytes()[..next.len() / 2]).expect("written");
-    let kept = (!closes).then(|| open.try_clone().expect("one more"));
+    let open_caller = (!closes).then(|| open.try_clone().expect("one more"));
     drop(open);
     let (mut stream, last) = proxy.changelog.accept_request();
     assert_eq!(last, 1);
@@ -215,8 +215,8 @@
     wait_for("the list update", || proxy.log_text().contains("central server 0 is Draining").then_some(()));
     let mut caller = Caller::new(proxy.address);
     caller.offer(&call_id(1));
-    assert_next_set_up(&mut late.accept(), &call_id(1));
-    drop(kept);
+    assert_next_set_up(&mut new_server.accept(), &call_id(1));
+    drop(open_caller);
 }
 
 #[rstest]
@@ -316,14 +316,14 @@
 ) {
     let (_server, proxy, caller, mut peer, set_up) = start_with_one_attempt();
     // The answer is held back until the proxy has noticed that the caller left.
-    let kept = exit_caller(caller, how, &call_id(1));
+    let open_caller = exit_caller(caller, how, &call_id(1));
     peer.next_with_method("CANCEL");
     peer.respond(&set_up, 200);
     peer.next_with_method("BYE");
     let mut other = Caller::new(proxy.address);
     other.offer(&call_id(2));
     assert_next_set_up(&mut peer, &call_id(2));
-    drop(kept);
+    drop(open_caller);
 }
 
 #[test]
@@ -345,7 +345,7 @@
 
 #[test]
 fn idle_callers_do_not_use_up_the_file_descriptors() {
-    let (server, late) = (Server::new("s-0"), Server::new("s-1"));
+    let (server, new_server) = (Server::new("s-0"), Server::new("s-1"));
     let mut proxy = TestProxy::not_started(&[&server]);
     proxy.set("/limits/sockets", json!(128));
     proxy.start();
@@ -365,11 +365,11 @@
     caller.offer(&call_id(2));
     assert_next_set_up(&mut peer, &call_id(2));
     let (mut log, last) = proxy.changelog.accept_request();
-    log.write_all(event(last + 1, &[server.entry("terminating"), late.entry("in_service")]).as_bytes())
+    log.write_all(event(last + 1, &[server.entry("terminating"), new_server.entry("in_service")]).as_bytes())
         .expect("written");
     wait_for("the list update", || proxy.log_text().contains("central server 0 is Draining").then_some(()));
     caller.offer(&call_id(3));
-    assert_next_set_up(&mut late.accept(), &call_id(3));
+    assert_next_set_up(&mut new_server.accept(), &call_id(3));
     assert!(!proxy.log_text().contains("accept.failed"), "{}", proxy.log_text());
     drop(many_callers);
 }
@@ -498,13 +498,13 @@
 
 #[test]
 fn a_call_at_a_terminated_server_ends_as_soon_as_the_list_says_so() {
-    let (server, late) = (Server::new("s-0"), Server::new("s-1"));
+    let (server, new_server) = (Server::new("s-0"), Server::new("s-1"));
     let proxy = TestProxy::new(&[&server]);
     let (mut log, _) = proxy.changelog.accept_request();
     let mut caller = Caller::new(proxy.address);
     caller.declare_established(&call_id(1), "s-0");
     server.accept();
-    log.write_all(event(2, &[server.entry("terminated"), late.entry("in_service")]).as_bytes())
+    log.write_all(event(2, &[server.entry("terminated"), new_server.entry("in_service")]).as_bytes())
         .expect("written");
     assert_eq!(caller.next_reply(), ("end".to_owned(), call_id(1)));
     caller.declare_established(&call_id(2), "s-0");
--- a/daemon/tests/release.rs
+++ b/daemon/tests/release.rs
@@ -94,8 +94,8 @@
         let all_silent = (0..3).all(|_| silent_proxies(cluster) > 1);
         assert!(!all_silent, "more than one silent at once");
         for proxy in 0..PROXIES {
-            let out = outs(cluster, proxy)["proxies"].as_array().map_or(0, Vec::len);
-            assert!(out <= 1, "{out} unavailable at once according to p{proxy}");
+            let unavailable = outs(cluster, proxy)["proxies"].as_array().map_or(0, Vec::len);
+            assert!(unavailable <= 1, "{unavailable} unavailable at once according to p{proxy}");
         }
         is_met(cluster)
     });
@@ -113,12 +113,12 @@
     assert!(cluster.command(3, &["release", "start"]).status.success());
     wait_one_at_a_time(&cluster, "the first replaced", |cluster| !replaced(cluster).is_empty());
     // The unavailable proxy is killed; no other may be replaced before it is back.
-    let out = |cluster: &Cluster| {
+    let unavailable = |cluster: &Cluster| {
         let proxies = outs(cluster, 0)["proxies"].as_array().cloned().unwrap_or_default();
-        proxies.iter().find_map(|of| of["proxy"].as_str()?.strip_prefix('p')?.parse::<usize>().ok())
+        proxies.iter().find_map(|proxy| proxy["proxy"].as_str()?.strip_prefix('p')?.parse::<usize>().ok())
     };
-    cluster.wait_until("another unavailable", |cluster| out(cluster).is_some_and(|proxy| proxy != 0));
-    let killed = out(&cluster).filter(|&proxy| proxy != 0);
+    cluster.wait_until("another unavailable", |cluster| unavailable(cluster).is_some_and(|proxy| proxy != 0));
+    let killed = unavailable(&cluster).filter(|&proxy| proxy != 0);
     if let Some(proxy) = killed {
         let before = replaced(&cluster).len();
         cluster.kill(proxy);
