--- a/lab/src/commands/drill.rs
+++ b/lab/src/commands/drill.rs
@@ -157,7 +157,7 @@
         println!("a proxy: {cpu:.0} ms of processor time, {:.1} MiB at the end", memory / 1_048_576.0);
     }
     println!(
-        "nearest to pushing a cold server over: {:.0}% of what it bears; {} answers could not be judged \
+        "highest load of a cold server: {:.0}% of what overloads it; {} answers could not be checked \
          for time, since the first two copies of their NEW were lost",
         ours.cold_peak * 100.0,
         ours.unknowable
--- a/lab/src/drill.rs
+++ b/lab/src/drill.rs
@@ -13,6 +13,7 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
+/// A drill as read from its file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drill {
@@ -40,6 +41,7 @@
     pub faults: Vec<Fault>,
 }
 
+/// Numbers of proxies and servers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
@@ -69,6 +71,7 @@
     }
 }
 
+/// The load that callers offer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
@@ -195,6 +198,7 @@
     }
 }
 
+/// A service grade; times in seconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Grade {
@@ -211,6 +215,7 @@
     pub called: Option<String>,
 }
 
+/// A tenant, and its share of all callers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
@@ -316,6 +321,7 @@
 pub const RELEASE_WORK: f64 = 0.2;
 
 impl Drill {
+    /// Parses a drill, fills in the default grades and tenants, and validates it.
     pub fn read(source: &str) -> Result<Self> {
         let mut drill: Self = toml::from_str(source)?;
         if drill.grades.is_empty() {
@@ -369,6 +375,7 @@
         Ok(drill)
     }
 
+    /// Checks that all values are in their ranges.
     pub fn validate(&self) -> Result<()> {
         ensure!(
             (1..=2000).contains(&self.fleet.proxies),
@@ -381,19 +388,31 @@
             self.fleet.servers
         );
         ensure!(self.seconds > 0.0 && self.seconds <= 3600.0, "seconds: {}, wanted up to 3600", self.seconds);
-        ensure!(self.load.rate > 0.0 && self.load.rate <= 1e5, "load.rate: {}", self.load.rate);
-        ensure!((0.01..=5.0).contains(&self.load.of_capacity), "load.of_capacity: {}", self.load.of_capacity);
+        ensure!(
+            self.load.rate > 0.0 && self.load.rate <= 1e5,
+            "load.rate: {}, wanted above 0, up to 100000",
+            self.load.rate
+        );
+        ensure!(
+            (0.01..=5.0).contains(&self.load.of_capacity),
+            "load.of_capacity: {}, wanted 0.01 to 5",
+            self.load.of_capacity
+        );
         let LinkFaults { loss, double, reorder } = self.link;
         ensure!(
             [loss, double, reorder].iter().all(|p| (0.0..1.0).contains(p)),
-            "link: parts from 0 to 1 wanted"
+            "link: {loss}, {double}, {reorder}, wanted probabilities from 0 to below 1"
         );
         ensure!(
             self.gossip.faulty_members <= 100,
             "gossip.liars: {}, wanted up to 100",
             self.gossip.faulty_members
         );
-        ensure!((0.0..1.0).contains(&self.gossip.loss), "gossip.loss: a part from 0 to 1 wanted");
+        ensure!(
+            (0.0..1.0).contains(&self.gossip.loss),
+            "gossip.loss: {}, wanted a probability from 0 to below 1",
+            self.gossip.loss
+        );
         Ok(())
     }
 
--- a/lab/src/drills/cluster.rs
+++ b/lab/src/drills/cluster.rs
@@ -97,6 +97,7 @@
     ToProxy(StandIn, SocketAddr, Bytes),
 }
 
+/// A stand-in central server, its entry in the pool list and its state.
 pub struct StandInServer {
     pub central: Central,
     pub name: String,
@@ -107,6 +108,7 @@
     draining: bool,
 }
 
+/// The simulated environment of a drill.
 pub struct TestCluster {
     /// Checks the disruption budget during a release, if there is one.
     pub availability: Option<AvailabilityChecker>,
@@ -137,6 +139,7 @@
 }
 
 impl TestCluster {
+    /// `slack` is the inaccuracy of the clocks and `epoch` the Unix time at the start, in milliseconds.
     pub fn new(drill: Drill, slack: f64, epoch: f64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(drill.seed);
         let mut new_rng = || Pcg64Mcg::seed_from_u64(rng.random());
@@ -267,10 +270,12 @@
         }
     }
 
+    /// The next action for the driver.
     pub fn next_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
+    /// When [`TestCluster::turn`] is due, in milliseconds.
     pub fn due(&self) -> f64 {
         let heap = |heap: &BinaryHeap<Reverse<(OrderedFloat<f64>, u64)>>| {
             heap.peek().map_or(f64::INFINITY, |Reverse((at, _))| at.0)
--- a/lab/src/drills/permits.rs
+++ b/lab/src/drills/permits.rs
@@ -34,6 +34,7 @@
     Counts,
 }
 
+/// The fault of a case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Fault {
     None,
@@ -106,9 +107,9 @@
     /// Messages by delivery time and number.
     in_flight: BTreeMap<(u64, u64), (usize, usize, Message)>,
     message_count: u64,
-    wanted: Vec<f64>,
-    sent_at: Vec<f64>,
-    sent: BTreeMap<(usize, u64), usize>,
+    waiting: Vec<f64>,
+    setup_times: Vec<f64>,
+    bytes_sent: BTreeMap<(usize, u64), usize>,
 }
 
 impl TestCluster {
@@ -126,12 +127,12 @@
             cut: false,
             in_flight: BTreeMap::new(),
             message_count: 0,
-            wanted: vec![0.0; case.members],
-            sent_at: Vec::new(),
-            sent: BTreeMap::new(),
+            waiting: vec![0.0; case.members],
+            setup_times: Vec::new(),
+            bytes_sent: BTreeMap::new(),
         };
         for member in 0..case.members {
-            let holder = cluster.arrived(member);
+            let holder = cluster.new_holder(member);
             cluster.holders.push(holder);
         }
         cluster
@@ -141,7 +142,7 @@
         self.now * self.clock_rates[member]
     }
 
-    fn arrived(&mut self, member: usize) -> Holder {
+    fn new_holder(&mut self, member: usize) -> Holder {
         match self.case.way {
             Scheme::Alone => Holder::Alone { credit: 0.0 },
             Scheme::Counts => Holder::Counts(DemandShare {
@@ -178,7 +179,7 @@
             Message::Permits(bytes) => bytes.len(),
             Message::Demand(_) => 8,
         };
-        *self.sent.entry((from, (self.now / 1000.0) as u64)).or_default() += bytes;
+        *self.bytes_sent.entry((from, (self.now / 1000.0) as u64)).or_default() += bytes;
         if self.is_delivered(from, to) {
             self.message_count += 1;
             let deliver_at = self.now + 10.0 * self.rng.random::<f64>();
@@ -216,12 +217,12 @@
 
     /// One step of a member with a demand of `demand` set-ups per second.
     fn turn(&mut self, member: usize, demand: f64) {
-        let before = self.wanted[member];
+        let before = self.waiting[member];
         // Callers arrive at random, at most one in a step.
         let arrived = usize::from(self.rng.random::<f64>() < demand * STEP_MS / 1000.0);
-        let came = before + arrived as f64;
+        let queued = before + arrived as f64;
         // A caller that waits too long is refused and leaves.
-        self.wanted[member] = if came > (0.2 * demand).max(2.0) { came - 1.0 } else { came };
+        self.waiting[member] = if queued > (0.2 * demand).max(2.0) { queued - 1.0 } else { queued };
         if self.stopped.contains(&member) {
             return;
         }
@@ -230,12 +231,12 @@
         let mut reports = None;
         match &mut self.holders[member] {
             Holder::Lent(fleet) => {
-                while self.wanted[member] >= 1.0 && fleet.free_permits(clock, SERVER) > Some(0) {
+                while self.waiting[member] >= 1.0 && fleet.free_permits(clock, SERVER) > Some(0) {
                     fleet.try_acquire(clock, SERVER);
-                    self.wanted[member] -= 1.0;
-                    self.sent_at.push(now);
+                    self.waiting[member] -= 1.0;
+                    self.setup_times.push(now);
                 }
-                if self.wanted[member] >= 1.0 {
+                if self.waiting[member] >= 1.0 {
                     fleet.record_shortage(clock, SERVER, arrived);
                 }
                 fleet.turn(clock);
@@ -255,11 +256,11 @@
         if let Holder::Alone { credit } | Holder::Counts(DemandShare { credit, .. }) =
             &mut self.holders[member]
             && *credit >= 1.0 - 1e-9
-            && self.wanted[member] >= 1.0
+            && self.waiting[member] >= 1.0
         {
             *credit -= 1.0;
-            self.wanted[member] -= 1.0;
-            self.sent_at.push(now);
+            self.waiting[member] -= 1.0;
+            self.setup_times.push(now);
         }
         for to in (0..self.case.members).filter(|&to| reports.is_some() && to != member) {
             self.send(member, to, Message::Demand(reports.unwrap_or_default()));
@@ -295,7 +296,7 @@
     match case.fault {
         Fault::Restart => {
             for member in (0..case.members).step_by(3) {
-                cluster.holders[member] = cluster.arrived(member);
+                cluster.holders[member] = cluster.new_holder(member);
             }
         }
         Fault::Stop => cluster.stopped = (0..case.members.div_ceil(10)).collect(),
@@ -309,15 +310,20 @@
     cluster.advance(AFTER_MS, moved);
 
     let (mut first, mut max_in_window, mut window_end) = (0, 0, 0.0);
-    for (i, &when) in cluster.sent_at.iter().enumerate() {
-        while cluster.sent_at[first] <= when - WINDOW_MS {
+    for (i, &when) in cluster.setup_times.iter().enumerate() {
+        while cluster.setup_times[first] <= when - WINDOW_MS {
             first += 1;
         }
         if i + 1 - first > max_in_window {
             (max_in_window, window_end) = (i + 1 - first, when);
         }
     }
-    let served = cluster.sent_at.iter().filter(|&&when| when > since).count() as f64;
+    let served = cluster.setup_times.iter().filter(|&&when| when > since).count() as f64;
     let used = served / ((cluster.now - since) / 1000.0 * case.rate * case.load.min(1.0));
-    Outcome { max_in_window, window_end, used, bytes: cluster.sent.values().copied().max().unwrap_or(0) }
+    Outcome {
+        max_in_window,
+        window_end,
+        used,
+        bytes: cluster.bytes_sent.values().copied().max().unwrap_or(0),
+    }
 }
--- a/lab/src/drills/release.rs
+++ b/lab/src/drills/release.rs
@@ -125,7 +125,7 @@
     /// The most that were unavailable at once apart from scheduled faults, and the violations of the budget.
     pub max_unavailable: usize,
     pub broken: u64,
-    pub told: Vec<String>,
+    pub examples: Vec<String>,
     /// How many run something else than at the start, and when all did.
     pub replaced: usize,
     pub replaced_at: Option<f64>,
@@ -182,9 +182,9 @@
         self.max_unavailable = self.max_unavailable.max(unavailable.len());
         if unavailable.len() > self.max_allowed {
             self.broken += 1;
-            if self.told.len() < 5 {
+            if self.examples.len() < 5 {
                 let allowed = self.max_allowed;
-                self.told.push(format!(
+                self.examples.push(format!(
                     "{now:.0} ms: {} proxies unavailable at once, {allowed} may be: {unavailable:?}",
                     unavailable.len()
                 ));
--- a/lab/src/drills/standalone.rs
+++ b/lab/src/drills/standalone.rs
@@ -238,14 +238,14 @@
     checker.close(stopwatch.now());
     let Verdict { checked, broken, examples } = &checker.verdicts[0];
     let mut delays = Histogram::<u64>::new(3)?;
-    let stood = callers.people.iter().filter_map(|person| Some(person.answered_at? - person.first_at));
-    stood.for_each(|delay| delays.saturating_record(delay.max(1.0) as u64));
+    let answered = callers.people.iter().filter_map(|person| Some(person.answered_at? - person.first_at));
+    answered.for_each(|delay| delays.saturating_record(delay.max(1.0) as u64));
     let (worth, earned) = callers.people.iter().fold((0.0, 0.0), |sum, person| {
         let (worth, earned) = callers.earned(&drill, person);
         (sum.0 + worth, sum.1 + earned)
     });
     println!(
-        "{} callers, {} tries; {} stood, {} cut; earned {:.1}%; set-up p50 {} ms, p99 {} ms",
+        "{} callers, {} tries; {} answered, {} cut; earned {:.1}%; set-up p50 {} ms, p99 {} ms",
         callers.people.len(),
         callers.tries.iter().filter(|t| t.started_at.is_finite()).count(),
         callers.people.iter().filter(|person| person.answered_at.is_some()).count(),
--- a/lab/src/reports/summary.rs
+++ b/lab/src/reports/summary.rs
@@ -14,6 +14,7 @@
 pub const RULES: [&str; 5] =
     ["one answer, in time", "never two shots", "drains kept", "cold not pushed over", "release awaited"];
 
+/// A rule by its name, with its verdict.
 #[derive(Clone, Debug, Serialize)]
 pub struct Rule {
     pub rule: &'static str,
@@ -21,6 +22,7 @@
     pub verdict: Verdict,
 }
 
+/// The result of a drill.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
     pub drill: String,
@@ -78,7 +80,8 @@
     pub allowed: usize,
     pub most: usize,
     pub broken: u64,
-    pub told: Vec<String>,
+    #[serde(rename = "told")]
+    pub examples: Vec<String>,
     /// How many run something else than at the start.
     pub replaced: usize,
     /// Seconds from the start until all were replaced, if they were.
@@ -206,7 +209,7 @@
                     allowed: play.max_unavailable(drill.fleet.proxies),
                     most: availability.max_unavailable,
                     broken: availability.broken,
-                    told: availability.told.clone(),
+                    examples: availability.examples.clone(),
                     replaced: availability.replaced,
                     took: availability.replaced_at.map(|at| at / 1000.0 - play.at),
                 }
@@ -234,7 +237,7 @@
     pub fn print_rules(&self) {
         if let Some((limit, most, limited)) = &self.limit {
             println!("limit of the fleet: at most {most} of {limit} set-ups in any second at any server");
-            limited.examples.iter().for_each(|told| println!("BROKEN: {told}"));
+            limited.examples.iter().for_each(|example| println!("BROKEN: {example}"));
         }
         if let Some(release) = &self.release {
             let took = release.took.map_or_else(
@@ -245,7 +248,7 @@
                 "release {:?}: {took}; at most {} of {} unavailable at once",
                 release.by, release.most, release.allowed
             );
-            release.told.iter().for_each(|told| println!("BROKEN: {told}"));
+            release.examples.iter().for_each(|example| println!("BROKEN: {example}"));
         }
         #[derive(Tabled)]
         struct Row {
@@ -260,8 +263,8 @@
         });
         println!("{}", Table::new(rows).with(Style::sharp()));
         for rule in &self.rules {
-            for told in &rule.verdict.examples {
-                println!("BROKEN, {}: {told}", rule.rule);
+            for example in &rule.verdict.examples {
+                println!("BROKEN, {}: {example}", rule.rule);
             }
         }
     }
@@ -295,6 +298,7 @@
         delay_p99: String,
         set_ups: u64,
         cut: usize,
+        #[tabled(rename = "fallen")]
         overloaded: usize,
         rules_broken: u64,
     }
@@ -325,21 +329,23 @@
         know_p50: String,
         know_p99: String,
         know_worst: String,
+        #[tabled(rename = "unaware")]
         undetected: String,
         wrong: String,
         most_bytes_a_second: String,
         mean: String,
+        #[tabled(rename = "late_shots")]
         late_attempts: u64,
         served: String,
     }
     let seconds = |ms: Option<f64>| ms.map_or("-".to_owned(), |ms| format!("{:.1} s", ms / 1000.0));
     let rows = summaries.iter().map(|s| {
-        let of = |tell: &dyn Fn(&GossipSummary) -> String| s.gossip.as_ref().map_or("-".to_owned(), tell);
+        let of = |show: &dyn Fn(&GossipSummary) -> String| s.gossip.as_ref().map_or("-".to_owned(), show);
         Row {
             routing: s.routing.clone(),
             gossip: of(&|g| {
                 format!(
-                    "{} members, {} lie, {} borne, {:.0}% lost",
+                    "{} members, {} faulty, {} tolerated, {:.0}% lost",
                     g.members,
                     g.faulty_members,
                     g.max_faulty,
--- a/lab/src/stand_ins/callers.rs
+++ b/lab/src/stand_ins/callers.rs
@@ -118,20 +118,24 @@
         self.planned_events.push(Reverse((OrderedFloat(due), self.events_planned, event)));
     }
 
+    /// When [`Callers::turn`] is due, in milliseconds.
     pub fn due(&self) -> f64 {
         let next = self.planned_events.peek().map_or(f64::INFINITY, |Reverse((due, ..))| due.0);
         next.min(self.endpoint.due().unwrap_or(f64::INFINITY))
     }
 
+    /// The next datagram to send.
     pub fn datagram(&mut self) -> Option<Datagram> {
         self.endpoint.next_datagram()
     }
 
+    /// Handles a datagram.
     pub fn receive(&mut self, now: f64, drill: &Drill, from: SocketAddr, bytes: &Bytes) {
         self.endpoint.receive(now, from, bytes);
         self.handle_events(now, drill);
     }
 
+    /// Does what is due: arrivals, redials, give-ups and hang-ups.
     pub fn turn(&mut self, now: f64, drill: &Drill) {
         self.endpoint.turn(now);
         self.handle_events(now, drill);
--- a/lab/src/stand_ins/central.rs
+++ b/lab/src/stand_ins/central.rs
@@ -125,6 +125,7 @@
         1000.0 * self.speed(now) / (self.setup_work * (1.0 + ANSWER_WORK + RELEASE_WORK))
     }
 
+    /// Handles a datagram.
     pub fn receive(&mut self, now: f64, from: SocketAddr, bytes: &Bytes) {
         let copies = self.endpoint.counts().duplicates;
         self.endpoint.receive(now, from, bytes);
@@ -137,6 +138,7 @@
         self.start_next_job(now);
     }
 
+    /// Finishes the jobs that are done by now.
     pub fn turn(&mut self, now: f64) {
         self.endpoint.turn(now);
         self.handle_events(now);
@@ -152,11 +154,13 @@
         self.start_next_job(now);
     }
 
+    /// When [`Central::turn`] is due, in milliseconds.
     pub fn due(&self) -> f64 {
         let current = self.current.map_or(f64::INFINITY, |(at, _)| at);
         current.min(self.endpoint.due().unwrap_or(f64::INFINITY))
     }
 
+    /// The next datagram to send.
     pub fn datagram(&mut self) -> Option<Datagram> {
         self.endpoint.next_datagram()
     }
--- a/lab/src/stand_ins/link.rs
+++ b/lab/src/stand_ins/link.rs
@@ -11,6 +11,7 @@
 const BASE_DELAY_MS: f64 = 1.0;
 const JITTER_MS: f64 = 1.0;
 
+/// A link with faults.
 pub struct Link {
     faults: LinkFaults,
     rng: Pcg64Mcg,
--- a/lab/src/stand_ins/peers.rs
+++ b/lab/src/stand_ins/peers.rs
@@ -25,10 +25,12 @@
     own
 }
 
+/// A member's secrets.
 pub fn secrets(member: usize) -> Secrets {
     Secrets::new(own_key(member), vec![FLEET_KEY]).expect("a fleet key")
 }
 
+/// A member's name.
 pub fn name(member: usize) -> String {
     format!("p{member}")
 }
@@ -70,6 +72,7 @@
 }
 
 impl GossipStats {
+    /// Records the size of a message that a member sent.
     pub fn sent(&mut self, now: f64, member: usize, bytes: usize) {
         self.bytes += bytes as u64;
         let sent = self.sent.entry(member).or_default();
@@ -119,12 +122,14 @@
         let _ = self.pool.apply(updates, now, unix);
     }
 
+    /// Handles a datagram for a member.
     pub fn receive(&mut self, now: f64, member: usize, from: SocketAddr, datagram: &[u8]) {
         if let Some(node) = self.nodes.get_mut(member.wrapping_sub(self.first)) {
             node.receive(now, from, datagram);
         }
     }
 
+    /// Sends false reports and runs the nodes.
     pub fn turn(&mut self, now: f64) {
         let reports = now >= self.report_at;
         if reports {
@@ -143,6 +148,7 @@
         }
     }
 
+    /// When [`FaultyMembers::turn`] is due, in milliseconds.
     pub fn due(&self) -> f64 {
         self.nodes.iter().map(Node::due).fold(f64::INFINITY, f64::min)
     }
--- a/lab/src/stand_ins/platform.rs
+++ b/lab/src/stand_ins/platform.rs
@@ -54,6 +54,7 @@
     format!("{call}\r\nc=IN IP4 127.0.0.1\r\n")
 }
 
+/// Determines what a central server does with each set-up.
 pub type Behaviour = Box<dyn Fn(&Message) -> SetupBehaviour + Send + Sync>;
 
 struct CentralState {
--- a/lab/src/witness/checker.rs
+++ b/lab/src/witness/checker.rs
@@ -353,14 +353,14 @@
         while window.front().is_some_and(|&at| at <= now - LIMIT_WINDOW_MS) {
             window.pop_front();
         }
-        let came = window.len();
-        self.max_in_window = self.max_in_window.max(came);
+        let in_window = window.len();
+        self.max_in_window = self.max_in_window.max(in_window);
         self.limit_verdict.checked += 1;
-        if came > limit {
+        if in_window > limit {
             self.limit_verdict.broken += 1;
             if self.limit_verdict.examples.len() < MAX_EXAMPLES {
                 self.limit_verdict.examples.push(format!(
-                    "{name} had {came} set-ups in the window that ends at {now:.0} ms, {limit} allowed"
+                    "{name} had {in_window} set-ups in the window that ends at {now:.0} ms, {limit} allowed"
                 ));
             }
         }
@@ -382,7 +382,7 @@
         if sent > bearable {
             let (name, age) = (facts.name.to_owned(), now - facts.started);
             self.count_violation(4, || {
-                format!("{now:.0} ms: {name}, started {age:.0} ms ago, was sent {sent} set-ups in {OVERLOAD_WINDOW_MS} ms and bears {bearable:.1}")
+                format!("{now:.0} ms: {name}, started {age:.0} ms ago, was sent {sent} set-ups in {OVERLOAD_WINDOW_MS} ms and can take {bearable:.1}")
             });
         }
     }
@@ -461,6 +461,7 @@
         open.into_iter().for_each(|number| self.record_violation(1, number, "never answered"));
     }
 
+    /// Number of violations of all rules.
     pub fn broken_rules(&self) -> u64 {
         self.verdicts.iter().map(|verdict| verdict.broken).sum()
     }
--- a/lab/src/witness/events.rs
+++ b/lab/src/witness/events.rs
@@ -46,10 +46,12 @@
 pub struct Events(Option<Box<dyn Write>>);
 
 impl Events {
+    /// Writes events to `sink`.
     pub fn to(sink: impl Write + 'static) -> Self {
         Self(Some(Box::new(sink)))
     }
 
+    /// Writes an event.
     pub fn record(&mut self, event: &Event) {
         if let Some(sink) = &mut self.0
             && serde_json::to_writer(&mut *sink, event).map(|()| sink.write_all(b"\n")).is_err()
@@ -59,12 +61,14 @@
         }
     }
 
+    /// Writes a scheduled step.
     pub fn step(&mut self, ms: f64, step: &dyn std::fmt::Debug) {
         if self.0.is_some() {
             self.record(&Event::Step { ms, step: format!("{step:?}") });
         }
     }
 
+    /// Writes a full frame.
     pub fn frame(
         &mut self,
         ms: f64,
--- a/lab/tests/release.rs
+++ b/lab/tests/release.rs
@@ -15,15 +15,15 @@
         checker.stopping(now, proxy);
         checker.observe(now, &images(&before));
         let after: Vec<usize> = (0..=proxy).collect();
-        (0..4).for_each(|heard| checker.answered(now + 400.0, heard, &images(&after)[heard]));
+        (0..4).for_each(|proxy| checker.answered(now + 400.0, proxy, &images(&after)[proxy]));
         checker.observe(now + 400.0, &images(&after));
     }
-    assert_eq!((checker.max_unavailable, checker.broken), (1, 0), "{:?}", checker.told);
+    assert_eq!((checker.max_unavailable, checker.broken), (1, 0), "{:?}", checker.examples);
     assert_eq!(checker.replaced_at, Some(1900.0));
     // A process that answers but is still the same has not returned.
     let all = images(&[0, 1, 2, 3]);
     checker.stopping(4000.0, 1);
-    (0..4).for_each(|heard| checker.answered(4100.0, heard, &all[heard]));
+    (0..4).for_each(|proxy| checker.answered(4100.0, proxy, &all[proxy]));
     checker.stopping(4200.0, 2);
     checker.observe(4200.0, &all);
     assert_eq!(checker.broken, 1, "caught");
--- a/lab/tests/rules.rs
+++ b/lab/tests/rules.rs
@@ -16,7 +16,7 @@
 fn play(name: &str, seconds: f64, routing: Routing, broken: Defects) -> TestCluster {
     let mut drill = Drill::named(name).expect("a drill");
     drill.seconds = seconds;
-    simulated::run(drill, routing, broken, Events::default()).expect("played")
+    simulated::run(drill, routing, broken, Events::default()).expect("a finished drill")
 }
 
 fn broken_rules(cluster: &TestCluster) -> Vec<usize> {
@@ -50,8 +50,8 @@
 fn the_module_keeps_all_rules_with_another_server_deployment(#[case] probes: bool, #[case] unprobed: bool) {
     let mut drill = Drill::named("new-shape").expect("a drill");
     drill.deployment.probes = probes;
-    let cluster =
-        simulated::run(drill, Routing::Ours, Defects::default(), Events::default()).expect("played");
+    let cluster = simulated::run(drill, Routing::Ours, Defects::default(), Events::default())
+        .expect("a finished drill");
     assert_eq!(broken_rules(&cluster), [0usize; 0], "{:?}", cluster.checker.verdicts);
     let probed: u64 = cluster.servers.iter().map(|server| server.central.probed).sum();
     assert_eq!(probed == 0, unprobed, "{probed} probes");
@@ -142,7 +142,10 @@
     assert_eq!((checker.broken_rules(), checker.copies), (0, 1));
     checker.to_server(600.0, 1, proxy, &new(3, 5), &facts);
     assert_eq!(checker.verdicts[1].broken, 1);
-    assert!(checker.verdicts[1].examples[0].contains("two attempts in flight"), "told with its datagrams");
+    assert!(
+        checker.verdicts[1].examples[0].contains("two attempts in flight"),
+        "described with its datagrams"
+    );
 }
 
 #[test]
@@ -175,6 +178,6 @@
 #[test]
 fn a_drill_file_with_an_unknown_key_is_rejected() {
     let error =
-        Drill::read("name = \"x\"\nseed = 1\nseconds = 1\nsecnods = 2").expect_err("unfit").to_string();
+        Drill::read("name = \"x\"\nseed = 1\nseconds = 1\nsecnods = 2").expect_err("rejected").to_string();
     assert!(error.contains("secnods"), "{error}");
 }
