--- a/lab/src/capacity/cluster.rs
+++ b/lab/src/capacity/cluster.rs
@@ -1,6 +1,6 @@
-//! A fleet of members under a virtual clock, each with the real thinking parts: gossip, and where wanted the
-//! log of decisions and the limits, fed and drained as `proxy/` does. Links lose and hold back; what members
-//! send is counted by bytes and second, and what they cost by the processor time of this thread.
+//! A cluster of members under a virtual clock, each with the real gossip and optionally the real log of
+//! decisions and fleet limits, connected as `proxy/` connects them. Links lose and delay datagrams. Bytes
+//! sent are counted per second, processor time by the time of this thread.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -19,49 +19,49 @@
 
 /// Milliseconds between two steps of the virtual clock.
 const STEP_MS: f64 = 10.0;
-/// How often a member looks at another, as the settings have it by default, in milliseconds.
+/// Milliseconds between probes, heartbeats and limit ticks: the default of the settings.
 const INTERVAL_MS: f64 = 200.0;
-/// The longest that a datagram is on its way on a link, in milliseconds.
+/// Maximum delay of a datagram on a link, in milliseconds.
 const MAX_DELAY_MS: f64 = 10.0;
-/// The gap after which an unanswered set-up is sent again, in milliseconds.
+/// Milliseconds after which an unanswered set-up is sent again.
 const RESEND_INTERVAL_MS: f64 = 500.0;
 /// Milliseconds until a central server answers a set-up.
 const ANSWER_DELAY_MS: f64 = 50.0;
-/// Members that vote.
+/// Number of members that vote.
 const VOTERS: usize = 5;
-/// Bytes of a command: a drain with a name and a reason.
+/// Size of a command in bytes: about a drain with a name and a reason.
 const COMMAND_BYTES: usize = 64;
-/// The window of a limit, in milliseconds.
+/// Window of each fleet limit, in milliseconds.
 const LIMIT_WINDOW_MS: f64 = 1000.0;
-/// Parts of a member's second that are kept apart, to find its busiest.
+/// Length in milliseconds of the sliding window in which a member's busiest second is found.
 const SECOND_MS: f64 = 1000.0;
-/// The wall clock at the start, in milliseconds: the first incarnation.
+/// Wall clock at the start, in Unix milliseconds; also the first incarnation of each member.
 const START_UNIX_MS: u64 = 1_000_000_000_000;
 
-/// What is played.
+/// Size, load and faults of a measured cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct ClusterTerms {
     pub members: usize,
-    /// Bytes a second of each member's gossip.
+    /// Limit on the bytes per second that each member's gossip sends.
     pub max_bytes_per_second: f64,
-    /// The part of all datagrams that is lost.
+    /// Share of all datagrams that is lost, 0 to 1.
     pub loss: f64,
-    /// Faulty members tolerated.
+    /// Number of faulty members that gossip tolerates.
     pub max_faulty: usize,
-    /// Central servers that each member calls, and set-ups a second to each of them.
+    /// Central servers that each member calls, and its set-ups per second to each of them (`rate`).
     pub servers: u64,
     pub rate: f64,
-    /// Whether there is a council, and a log.
+    /// Whether the members also run the agreement log, with the first [`VOTERS`] as council.
     pub council: bool,
-    /// Limits that each member holds, and set-ups a second that each allows to all.
+    /// Limits that each member holds, and the set-ups per second that each allows to the whole fleet.
     pub limits: usize,
     pub limit_rate: f64,
-    /// Limits that a member uses at all; the rest it only holds.
+    /// Number of limits that a member uses; it only holds the others.
     pub limits_used: usize,
     pub seed: u64,
 }
 
-/// Decisions as lines of a book: each by the number in it, and when it came.
+/// State machine that records the number in each decided command, in the order of the log.
 #[derive(Clone, Debug, Default)]
 pub struct RecordingMachine {
     pub numbers: Vec<u64>,
@@ -81,32 +81,32 @@
     fn restore(&mut self, _: Index, state: &[u8]) -> Result<(), UnsupportedDecision> {
         self.numbers = state
             .chunks_exact(8)
-            .map(|number| u64::from_le_bytes(number.try_into().expect("eight")))
+            .map(|number| u64::from_le_bytes(number.try_into().expect("chunk of 8 bytes")))
             .collect();
         Ok(())
     }
 }
 
 fn invalid_command(index: Index, part: u8) -> UnsupportedDecision {
-    UnsupportedDecision { index, part, reason: "no line".to_owned() }
+    UnsupportedDecision { index, part, reason: "command shorter than 8 bytes".to_owned() }
 }
 
 struct Member {
     node: Node,
     agreement: Option<Agreement<RecordingMachine, FleetKeys>>,
     limits: Option<Fleet>,
-    /// Set-ups whose answers come then, by server.
+    /// Pending answers to set-ups: when each arrives, and from which server.
     answers: VecDeque<(f64, u64)>,
-    /// Bytes of the second that runs, by ten parts, and the most in any second.
+    /// Sends of the last second with their bytes, the sum of these, and the maximum of any second.
     recent_sends: VecDeque<(f64, usize)>,
     bytes_in_window: usize,
     max_bytes_in_window: usize,
-    /// When it first believed that the silent server is silent.
+    /// When it first believed that the silent server does not answer.
     believed_silent_at: Option<f64>,
     seen_decisions: usize,
 }
 
-/// The fleet.
+/// A cluster of members and the links between them.
 pub struct Cluster {
     terms: ClusterTerms,
     pub now: f64,
@@ -115,21 +115,21 @@
     arrivals: BinaryHeap<Reverse<(u64, u64)>>,
     in_flight: BTreeMap<u64, (usize, usize, Vec<u8>)>,
     last_datagram_id: u64,
-    /// Bytes and datagrams that all sent since the last [`Cluster::reset_counters`].
+    /// Bytes and datagrams that all members sent since the last [`Cluster::reset_counters`].
     pub bytes: u64,
     pub packets: u64,
-    /// Processor time of the members' own work since then, in milliseconds.
+    /// Processor time of the members' own work since the same moment, in milliseconds.
     pub cpu_ms: f64,
     counting_since: f64,
-    /// A server that answers nobody since.
+    /// A server that answers nobody, and since when.
     silent_server: Option<(u64, f64)>,
-    /// When each line was asked for, and when members came to know it.
+    /// When each number was proposed, and when each member learned that it is decided.
     proposed_at: BTreeMap<u64, f64>,
     known_at: BTreeMap<u64, Vec<f64>>,
     proposals: u64,
 }
 
-/// Processor time of this thread, in milliseconds.
+/// Processor time of this thread, in milliseconds; 0 if the clock cannot be read.
 pub fn thread_cpu_ms() -> f64 {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID)
         .map_or(0.0, |time| time.tv_sec() as f64 * 1000.0 + time.tv_nsec() as f64 / 1e6)
@@ -161,7 +161,7 @@
 }
 
 impl Cluster {
-    /// All members have just started.
+    /// Starts all members at time 0.
     pub fn new(terms: ClusterTerms) -> Result<Self> {
         let secret_keys: Vec<Secrets> = (0..terms.members).map(secrets).collect::<Result<_>>()?;
         let names: Vec<String> = (0..terms.members).map(|member| format!("p{member}")).collect();
@@ -240,16 +240,16 @@
         })
     }
 
-    /// Lets time pass, in milliseconds.
-    pub fn run_for(&mut self, span: f64) {
-        let end = self.now + span;
+    /// Advances the virtual clock by `duration` milliseconds.
+    pub fn run_for(&mut self, duration: f64) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += STEP_MS;
             self.step();
         }
     }
 
-    /// Begins to count bytes and processor time anew.
+    /// Resets the counters of bytes, datagrams and processor time.
     pub fn reset_counters(&mut self) {
         (self.bytes, self.packets, self.cpu_ms, self.counting_since) = (0, 0, 0.0, self.now);
         self.members.iter_mut().for_each(|member| member.max_bytes_in_window = member.bytes_in_window);
@@ -259,28 +259,28 @@
         self.members.len() as f64 * (self.now - self.counting_since) / SECOND_MS
     }
 
-    /// Bytes that a member sends in a second, on average; the most of any in any second.
+    /// Mean bytes that a member sends per second, and the maximum of any member in any second.
     pub fn bytes_per_second(&self) -> (f64, usize) {
-        let most = self.members.iter().map(|member| member.max_bytes_in_window).max().unwrap_or(0);
-        (self.bytes as f64 / self.member_seconds(), most)
+        let max_bytes = self.members.iter().map(|member| member.max_bytes_in_window).max().unwrap_or(0);
+        (self.bytes as f64 / self.member_seconds(), max_bytes)
     }
 
     pub fn packets_per_second(&self) -> f64 {
         self.packets as f64 / self.member_seconds()
     }
 
-    /// Milliseconds of processor time that a member takes in a second, without system calls.
+    /// Mean processor time per member, in milliseconds per second, without system calls.
     pub fn cpu_ms_per_second(&self) -> f64 {
         self.cpu_ms / self.member_seconds()
     }
 
-    /// Members that are known, on average over all.
+    /// Mean number of members that a member knows as alive.
     pub fn mean_alive_members(&self) -> f64 {
         let known = self.members.iter().map(|member| member.node.members.alive()).sum::<usize>();
         known as f64 / self.members.len() as f64
     }
 
-    /// How often members had to refute that they are dead, on average since the start.
+    /// Mean number of times since the start that a member refuted a claim that it is dead.
     pub fn mean_refutations(&self) -> f64 {
         let refuted =
             self.members.iter().map(|member| member.node.incarnation() - START_UNIX_MS).sum::<u64>();
@@ -292,17 +292,17 @@
         self.members.iter().any(leads)
     }
 
-    /// How often the cap put a send off, over all.
+    /// Number of sends that the byte limit deferred, over all members.
     pub fn total_deferred(&self) -> u64 {
         self.members.iter().map(|member| member.node.deferred()).sum()
     }
 
-    /// From now on a server answers nobody.
+    /// Makes a server answer nobody from now on.
     pub fn silence_server(&mut self, server: u64) {
         self.silent_server = Some((server, self.now));
     }
 
-    /// Milliseconds until members believed it silent, in order; and how many do not.
+    /// Sorted milliseconds until each member believed the server silent, and the number that do not yet.
     pub fn belief_delays(&self) -> (Vec<f64>, usize) {
         let since = self.silent_server.map_or(0.0, |(_, silent_since)| silent_since);
         let mut delays: Vec<f64> =
@@ -312,7 +312,7 @@
         (delays, unaware)
     }
 
-    /// Asks at a member for a decision; gives its line.
+    /// Proposes a decision at a member and returns its number.
     pub fn propose(&mut self, index: usize) -> u64 {
         self.proposals += 1;
         let number = self.proposals;
@@ -326,7 +326,7 @@
         number
     }
 
-    /// Milliseconds from when a line was asked for until each member knew it, in order; and how many do not.
+    /// Sorted milliseconds from a proposal until each member knew it, and the number that do not yet.
     pub fn decision_delays(&self, number: u64) -> (Vec<f64>, usize) {
         let proposed_at = self.proposed_at.get(&number).copied().unwrap_or(f64::NAN);
         let mut delays: Vec<f64> =
@@ -368,7 +368,7 @@
         arrived
     }
 
-    /// Set-ups of this step, by member and server, and whether an answer will come.
+    /// Draws the attempts of this step: member, server, and whether the server will answer.
     fn draw_attempts(&mut self) -> Vec<(usize, u64, bool)> {
         let mut attempts = Vec::new();
         let per_step = self.terms.rate * STEP_MS / 1000.0;
@@ -445,7 +445,7 @@
         }
     }
 
-    /// What the member has come to know, without counting its processor time.
+    /// Records what a member has learned; not counted in its processor time.
     fn observe(&mut self, index: usize) {
         let now = self.now;
         let member = &mut self.members[index];
@@ -467,7 +467,7 @@
     }
 }
 
-/// Words between the log and the gossip, as `proxy::decided` moves them; a disk that writes at once.
+/// Passes payloads between the log and the gossip as `proxy::decided` does; disk writes succeed at once.
 fn exchange_messages(now: f64, agreement: &mut Agreement<RecordingMachine, FleetKeys>, node: &mut Node) {
     while let Some((from, bytes)) = node.next_payload(Subsystem::Agreement) {
         agreement.receive(now, from, &bytes);
--- a/lab/src/capacity/figure.rs
+++ b/lab/src/capacity/figure.rs
@@ -1,15 +1,16 @@
-//! One measured figure, with its fit, its check by a size that was left out, and its row on the page.
+//! A measured figure: its samples, the fitted line, the check against a size left out of the fit, and its
+//! row in the table of docs/CAPACITY.md.
 
 use anyhow::{Context, Result, ensure};
 use serde::{Deserialize, Serialize};
 
 use super::fit::Fit;
 
-/// Sizes that a fit needs at the least.
+/// Minimum number of different sizes in a fit.
 const MIN_SIZES: usize = 4;
-/// The operators' target, in proxies.
+/// Fleet size of the operators' target, in proxies.
 const TARGET_PROXIES: f64 = 33_000.0;
-/// Ten times what runs today, in proxies.
+/// Ten times today's fleet, in proxies.
 const TENFOLD_PROXIES: f64 = 3_000.0;
 
 /// One measured value.
@@ -20,7 +21,7 @@
     pub value: f64,
 }
 
-/// What is measured, and what for.
+/// What a figure measures, and the limit that it must keep.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Subject {
     /// Unique on the page.
@@ -28,13 +29,13 @@
     pub unit: String,
     /// What the size counts: members, or limits in use.
     pub by: String,
-    /// The file that carries the cost.
+    /// The source file whose code causes the cost.
     pub mechanism: String,
-    /// In the figure's unit; none where the target names none.
+    /// In the figure's unit; `None` where the target sets no limit.
     pub limit: Option<f64>,
 }
 
-/// A figure as it stands in a file.
+/// A figure as stored in a report file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Figure {
     pub subject: Subject,
@@ -43,27 +44,32 @@
     pub fit: Fit,
     pub predicted: f64,
     pub measured: f64,
-    /// Predicted over measured, less one.
+    /// `predicted / measured - 1`.
     pub error: f64,
     pub crossed_at: Option<f64>,
 }
 
 impl Figure {
-    /// Fits all samples but those of the size that is left out, and predicts these.
+    /// Fits a line through all samples except those of size `left_out`, and predicts the value there.
     ///
     /// # Errors
     ///
-    /// With fewer than four sizes in the fit, or no sample of the size that is left out.
+    /// Fails with fewer than four sizes in the fit, or without a sample of size `left_out`.
     pub fn from_samples(subject: Subject, samples: Vec<Sample>, left_out: f64) -> Result<Self> {
         let (held_out, fitted): (Vec<&Sample>, Vec<&Sample>) =
             samples.iter().partition(|sample| sample.size == left_out);
         let mut sizes: Vec<u64> = fitted.iter().map(|sample| sample.size as u64).collect();
         sizes.sort_unstable();
         sizes.dedup();
-        ensure!(sizes.len() >= MIN_SIZES, "{}: {} sizes in the fit", subject.id, sizes.len());
+        ensure!(
+            sizes.len() >= MIN_SIZES,
+            "{}: {} sizes in the fit, wanted at least {MIN_SIZES}",
+            subject.id,
+            sizes.len()
+        );
         ensure!(!held_out.is_empty(), "{}: nothing measured at {left_out}", subject.id);
         let points: Vec<(f64, f64)> = fitted.iter().map(|sample| (sample.size, sample.value)).collect();
-        let fit = Fit::least_squares(&points).context("sizes that differ")?;
+        let fit = Fit::least_squares(&points).context("the fit needs at least two different sizes")?;
         let measured = held_out.iter().map(|sample| sample.value).sum::<f64>() / held_out.len() as f64;
         let predicted = fit.predict(left_out);
         let error = predicted / measured - 1.0;
@@ -71,16 +77,16 @@
         Ok(Self { subject, left_out, fit, predicted, measured, error, crossed_at, samples })
     }
 
-    /// The same, reckoned anew from the raw samples.
+    /// Recomputes the figure from its raw samples.
     pub fn recompute(&self) -> Result<Self> {
         Self::from_samples(self.subject.clone(), self.samples.clone(), self.left_out)
     }
 
-    /// Its row on the page.
+    /// The row in the Markdown table.
     pub fn markdown_row(&self) -> String {
         let Subject { id, unit, by, mechanism, limit } = &self.subject;
-        // A line that falls says nothing of sizes far past those that were measured.
-        let predictions = if by == "members" && self.fit.slope > 0.0 {
+        // A falling line predicts nothing for sizes far beyond the measured ones.
+        let at_sizes = if by == "members" && self.fit.slope > 0.0 {
             format!(
                 "{} | {}",
                 three_digits(self.fit.predict(TENFOLD_PROXIES)),
@@ -95,7 +101,7 @@
             (_, Some(size)) => format!("{size:.0}"),
         };
         format!(
-            "| {id}, {unit} | {} x {by} + {} | {} | {:.0}: {} of {}, {:+.0}% | {predictions} | {} | {crossed} \
+            "| {id}, {unit} | {} x {by} + {} | {} | {:.0}: {} of {}, {:+.0}% | {at_sizes} | {} | {crossed} \
              | {mechanism} |",
             three_digits(self.fit.slope),
             three_digits(self.fit.base),
@@ -109,7 +115,7 @@
     }
 }
 
-/// Three digits that count.
+/// Formats a value with three significant digits; a value above 999 keeps all its integer digits.
 fn three_digits(value: f64) -> String {
     let digits = 2 - value.abs().max(f64::MIN_POSITIVE).log10().floor().clamp(-3.0, 2.0) as i32;
     format!("{value:.*}", digits.max(0) as usize)
--- a/lab/src/capacity/fit.rs
+++ b/lab/src/capacity/fit.rs
@@ -1,19 +1,19 @@
-//! Straight lines through measured points, by least squares.
+//! Least-squares fit of a straight line through measured points.
 
 use serde::{Deserialize, Serialize};
 
-/// `slope` x size + `base`.
+/// The line `slope * size + base`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// Unit of the figure for each one more.
+    /// Increase of the value for each additional unit of size.
     pub slope: f64,
     pub base: f64,
-    /// Root of the mean squared distance of the points from the line.
+    /// Root mean square of the points' distances from the line.
     pub spread: f64,
 }
 
 impl Fit {
-    /// None where the points are of fewer than two sizes.
+    /// Fits a line; `None` if the points have fewer than two sizes.
     pub fn least_squares(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_size = points.iter().map(|(size, _)| size).sum::<f64>() / count;
@@ -30,12 +30,12 @@
         Some(Self { slope, base, spread: (squares / count).sqrt() })
     }
 
-    /// What the line says of a size.
+    /// Value of the line at a size.
     pub fn predict(&self, size: f64) -> f64 {
         self.slope * size + self.base
     }
 
-    /// The size at which a limit is crossed; 0 where it is crossed from the start, none where never.
+    /// Size at which the line reaches `limit`: 0 if it is above from the start, `None` if it never does.
     pub fn size_at_limit(&self, limit: f64) -> Option<f64> {
         if self.base >= limit {
             return Some(0.0);
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -1,7 +1,7 @@
-//! What the parts of a border proxy cost by the size of the fleet: measured scenarios, fits, files of figures.
+//! Measures what the parts of a border proxy cost by the size of the fleet.
 //!
-//! [`measure`] runs the [`scenarios`], each a fleet of [`cluster`] under a virtual clock, fits a line through
-//! each figure ([`fit`], [`figure`]) and writes the [`report`] files that docs/CAPACITY.md is made of.
+//! [`measure`] runs the [`scenarios`], each on a [`cluster`] under a virtual clock, fits a line through each
+//! figure ([`fit`], [`figure`]) and writes the [`report`] files from which docs/CAPACITY.md is made.
 
 pub mod cluster;
 pub mod figure;
@@ -18,16 +18,16 @@
 use report::Report;
 use scenarios::{SCENARIOS, Scenario};
 
-/// Seeds of each size.
+/// Number of seeds with which each size is run.
 const SEEDS: u64 = 2;
-/// Cores that measuring may take at a time.
+/// Maximum number of scenarios run at a time, each on a thread of its own.
 const MAX_THREADS: usize = 2;
 
-/// Measures all scenarios and writes a file for each subsystem into a folder. `quick` takes one seed.
+/// Measures all scenarios and writes one file per subsystem into a folder; `quick` uses one seed per size.
 ///
 /// # Errors
 ///
-/// Where a scenario can't be made, or a file not written.
+/// Fails if a scenario cannot be run or a file cannot be written.
 pub fn measure(out: &Path, quick: bool, mut progress: impl FnMut(&str)) -> Result<()> {
     let seeds = if quick { 1 } else { SEEDS };
     for scenario in &SCENARIOS {
@@ -45,12 +45,15 @@
     Ok(())
 }
 
-/// Plays several at once, each on a thread of its own: processor time is counted by thread.
+/// Runs several at once, each on a thread of its own, since processor time is counted by thread.
 fn run_in_parallel(scenario: &Scenario, runs: &[(usize, u64)]) -> Result<Vec<Vec<f64>>> {
     let run = scenario.run;
     thread::scope(|scope| {
         let handles: Vec<_> = runs.iter().map(|&(size, seed)| scope.spawn(move || run(size, seed))).collect();
-        handles.into_iter().map(|handle| handle.join().map_err(|_| anyhow!("a world broke off"))?).collect()
+        handles
+            .into_iter()
+            .map(|handle| handle.join().map_err(|_| anyhow!("the thread of a scenario panicked"))?)
+            .collect()
     })
 }
 
@@ -67,7 +70,7 @@
     Ok(Report { subsystem: scenario.subsystem.to_owned(), commit: commit(), machine: machine(), figures })
 }
 
-/// The text that is measured, as the caller's environment tells it.
+/// The measured commit, from the environment variable `FROSTTHREAD_COMMIT`.
 fn commit() -> String {
     std::env::var("FROSTTHREAD_COMMIT").unwrap_or_else(|_| "not told".to_owned())
 }
--- a/lab/src/capacity/report.rs
+++ b/lab/src/capacity/report.rs
@@ -1,4 +1,4 @@
-//! Files of figures, and the table of the page that is made of them.
+//! Report files of figures, and the table of docs/CAPACITY.md made from them.
 
 use std::fs;
 use std::path::Path;
@@ -8,17 +8,17 @@
 
 use super::figure::Figure;
 
-/// The head of the page's table.
+/// Header of the Markdown table.
 const TABLE_HEAD: &str = "| figure | line | spread | left out: predicted of measured | at 3,000 | at 33,000 \
                     | limit | crossed at | by |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 
-/// All figures of a subsystem.
+/// All figures of one subsystem.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     pub subsystem: String,
-    /// The text that was measured.
+    /// The measured commit.
     pub commit: String,
-    /// The machine, without its name or paths.
+    /// Description of the machine, without its name or paths.
     pub machine: String,
     pub figures: Vec<Figure>,
 }
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     ///
-    /// Where the folder can't be written.
+    /// Fails if the folder cannot be written.
     pub fn write(&self, folder: &Path) -> Result<()> {
         fs::create_dir_all(folder)?;
         let path = folder.join(format!("{}.json", self.subsystem));
@@ -36,18 +36,18 @@
         Ok(())
     }
 
-    /// All reports of a folder, by subsystem.
+    /// Reads all reports of a folder, sorted by subsystem.
     ///
     /// # Errors
     ///
-    /// Where a file can't be read, or has another form.
+    /// Fails if a file cannot be read or is not a valid report.
     pub fn read_all(folder: &Path) -> Result<Vec<Self>> {
         let mut reports = Vec::new();
         for entry in fs::read_dir(folder)? {
             let path = entry?.path();
             if path.extension().is_some_and(|extension| extension == "json") {
                 let text = fs::read_to_string(&path)?;
-                let report: Self = serde_json::from_str(&text).context("a file of figures")?;
+                let report: Self = serde_json::from_str(&text).context("not a valid report file")?;
                 reports.push(report);
             }
         }
@@ -56,11 +56,11 @@
     }
 }
 
-/// The page's table, reckoned anew from the raw samples.
+/// The Markdown table of all figures, recomputed from the raw samples.
 ///
 /// # Errors
 ///
-/// Where samples don't bear a fit.
+/// Fails if a figure's samples do not allow a fit.
 pub fn table(reports: &[Report]) -> Result<String> {
     let mut table = TABLE_HEAD.to_owned();
     for figure in reports.iter().flat_map(|report| &report.figures) {
--- a/lab/src/capacity/scenarios.rs
+++ b/lab/src/capacity/scenarios.rs
@@ -1,30 +1,30 @@
-//! The measured worlds: what is played at a size by a seed, and the values that come of it.
+//! The measured scenarios: what each runs at a given size and seed, and the values that it measures.
 
 use anyhow::Result;
 
 use super::cluster::{Cluster, ClusterTerms};
 use super::figure::Subject;
 
-/// A cap of gossip that is never reached: bytes are then what the mechanism needs.
+/// Byte limit of gossip that is never reached, so that the bytes measured are those the mechanism needs.
 const UNLIMITED_BYTES_PER_SECOND: f64 = 1_000_000.0;
-/// The target's bytes a second.
+/// Target: bytes per second at a proxy.
 const TARGET_BYTES_PER_SECOND: f64 = 8_000.0;
-/// The target's processor time a second, in milliseconds.
+/// Target: milliseconds of processor time per second at a proxy.
 const TARGET_CPU_MS_PER_SECOND: f64 = 14.0;
-/// The target's time in force, in milliseconds.
+/// Target: milliseconds until a change is in force everywhere.
 const TARGET_IN_FORCE_MS: f64 = 4_000.0;
-/// The default cap of the settings in today's drills, in bytes a second.
+/// Byte limit of gossip in the settings of today's drills, in bytes per second.
 const DRILL_BYTES_PER_SECOND: f64 = 16_000.0;
-/// Milliseconds of virtual time between an event and the count.
+/// Milliseconds of virtual time in which the cluster settles before and after an event.
 const SETTLE_MS: f64 = 20_000.0;
-/// Decisions of a burst, and the gap between two, in milliseconds.
+/// Number of decisions in a burst, and milliseconds between two of them.
 const BURST_DECISIONS: usize = 50;
 const BURST_INTERVAL_MS: f64 = 20.0;
 
-/// What a cluster gives at one size: a value for each of its subjects.
+/// Runs a scenario at one size and returns a value for each of its subjects.
 pub type RunScenario = fn(size: usize, seed: u64) -> Result<Vec<f64>>;
 
-/// A cluster, the sizes it is played at, and what it measures.
+/// A scenario, the sizes at which it is run, the size left out of the fit, and what it measures.
 pub struct Scenario {
     pub subsystem: &'static str,
     pub sizes: &'static [usize],
@@ -33,7 +33,7 @@
     pub run: RunScenario,
 }
 
-/// All worlds.
+/// All scenarios.
 pub const SCENARIOS: [Scenario; 3] = [
     Scenario {
         subsystem: "agree",
@@ -116,7 +116,7 @@
 }
 
 fn last_delay(delays: &[f64], unaware: usize) -> f64 {
-    // Who did not come to know it by the end did so after it.
+    // A member that did not know it by the end would learn it later: the full time counts.
     if unaware > 0 { SETTLE_MS } else { delays.last().copied().unwrap_or(SETTLE_MS) }
 }
 
@@ -128,7 +128,7 @@
     let number = cluster.propose(size - 1);
     cluster.run_for(SETTLE_MS / 4.0);
     let (delays, unaware) = cluster.decision_delays(number);
-    let one = last_delay(&delays, unaware);
+    let single = last_delay(&delays, unaware);
     let numbers: Vec<u64> = (0..BURST_DECISIONS)
         .map(|decision| {
             let number = cluster.propose((decision * 7 + 5) % size);
@@ -142,8 +142,8 @@
         .map(|&number| cluster.decision_delays(number))
         .map(|(delays, unaware)| last_delay(&delays, unaware));
     let burst = burst.fold(0.0, f64::max);
-    let (bytes, most) = cluster.bytes_per_second();
-    Ok(vec![one, burst, most as f64, bytes, cluster.cpu_ms_per_second()])
+    let (bytes, max_bytes) = cluster.bytes_per_second();
+    Ok(vec![single, burst, max_bytes as f64, bytes, cluster.cpu_ms_per_second()])
 }
 
 fn run_gossip(size: usize, seed: u64) -> Result<Vec<f64>> {
--- a/lab/src/scale/council.rs
+++ b/lab/src/scale/council.rs
@@ -1,5 +1,5 @@
-//! The agreement as a node of a scale run has it: over gossip, with a disk that writes at once, and the
-//! changes that were proposed here.
+//! The agreement as run by a node of a scale run: over gossip, with a disk whose writes succeed at once, and
+//! with the changes that were proposed at this node.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -14,34 +14,34 @@
 use super::layout::{Layout, NodeId};
 use super::node::{ConfigChange, NotReady, Version};
 
-/// Bytes a second that a member's gossip may send, and how often it looks at others and the leader speaks, in
-/// milliseconds: the values that the example settings have.
+/// Limit of a member's gossip in bytes per second, and milliseconds between probes and between the leader's
+/// heartbeats: the values of the example settings.
 const MAX_BYTES_PER_SECOND: f64 = 16_000.0;
 const PROBE_INTERVAL_MS: f64 = 200.0;
 const HEARTBEAT_MS: f64 = 200.0;
-/// The same for control machines. The heartbeat is longer than the way to the farthest region and back once
-/// an answer; ten of them without a leader begin an election.
+/// The same for control machines. The heartbeat is meant to be longer than the time to the farthest region
+/// and back; ten heartbeats without a leader start an election.
 const CONTROL_MAX_BYTES_PER_SECOND: f64 = 1e6;
 const CONTROL_HEARTBEAT_MS: f64 = 100.0;
 const LEASE_MS: f64 = 10_000.0;
 const MAX_FAULTY: usize = 2;
 const RESEND_INTERVAL_MS: f64 = 500.0;
-/// The wall clock at the start of every run, in Unix milliseconds.
+/// Wall clock at the start of every run, in Unix milliseconds.
 pub const EPOCH_UNIX_MS: f64 = 1.7e12;
 
-/// What the nodes that gossip have in common.
+/// Terms shared by all nodes that gossip.
 pub struct CouncilTerms {
-    /// Those who gossip.
+    /// The nodes that gossip.
     pub roster: Arc<Roster>,
     pub voters: Vec<NodeId>,
-    /// Bytes a second that gossip may send.
+    /// Limit on the bytes per second that gossip sends.
     pub max_bytes_per_second: f64,
-    /// Milliseconds between a leader's messages.
+    /// Milliseconds between a leader's heartbeats.
     pub heartbeat: f64,
 }
 
 impl CouncilTerms {
-    /// A fleet's gossip by the example settings.
+    /// Terms of a fleet without control machines, from the example settings.
     pub fn for_flat_fleet(roster: Roster, voters: Vec<NodeId>) -> Self {
         Self {
             roster: Arc::new(roster),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Control machines, which are set aside for this: their gossip may send as much as decisions want.
+    /// Terms of dedicated control machines: their gossip may send as many bytes as decisions need.
     pub fn for_controls(roster: Roster, voters: Vec<NodeId>) -> Self {
         Self {
             max_bytes_per_second: CONTROL_MAX_BYTES_PER_SECOND,
@@ -61,12 +61,12 @@
     }
 }
 
-/// One node's gossip and agreement.
+/// The gossip and agreement of one node.
 pub struct CouncilNode<M> {
     member: Member,
     agreement: Agreement<M, SharedKeys>,
     file: Vec<u8>,
-    /// Changes that were proposed here, by the agreement's request.
+    /// Changes proposed here, by the number of the agreement's request.
     requests: BTreeMap<u64, (usize, ConfigChange)>,
     decided: VecDeque<(usize, Version)>,
 }
@@ -104,7 +104,7 @@
         let signer = SharedKeys { secrets, roster: terms.roster.clone() };
         let recovered = agree::disk::recover(disk);
         let agreement = Agreement::new(member.id(), agreement_terms, signer, machine, recovered, seed, now);
-        let agreement = agreement.expect("a snapshot of its own");
+        let agreement = agreement.expect("a snapshot written by this machine");
         let (requests, decided) = (BTreeMap::new(), VecDeque::new());
         Self { member, agreement, file: disk.to_vec(), requests, decided }
     }
@@ -135,7 +135,7 @@
         }
         self.write_to_disk(now);
         while let Some(out) = self.agreement.outgoing() {
-            // What the cap forbids is lost, as on the network: it is said again.
+            // A message over the byte limit is lost as on the network; the agreement sends it again.
             self.member.send_payload(now, out.to, Subsystem::Agreement, out.bytes);
         }
         self.collect_outcomes(now);
@@ -157,7 +157,7 @@
             match outcome {
                 Outcome::Decided { index, .. } => self.decided.push_back((number, index)),
                 Outcome::Done { by } => self.decided.push_back((number, by)),
-                // Asked for again, as an operator would.
+                // Proposed again, as an operator would.
                 Outcome::Refused(_) => drop(self.propose(now, number, &change)),
             }
         }
@@ -187,7 +187,7 @@
         &self.file
     }
 
-    /// Bytes of what it knows of members and of decisions, written out.
+    /// Size in bytes of the encoded state: statements, members and decisions.
     pub fn state_bytes(&self) -> usize {
         let encoded_bytes = |statement| postcard::to_stdvec(statement).expect("plain data").len();
         let statements: usize = self.member.statements().map(encoded_bytes).sum();
@@ -195,5 +195,5 @@
     }
 }
 
-/// Id, address, incarnation and standing of a member.
+/// Bytes per member: id, address, incarnation and state.
 const MEMBER_BYTES: usize = 8 + 18 + 8 + 1;
--- a/lab/src/scale/engine.rs
+++ b/lab/src/scale/engine.rs
@@ -1,10 +1,10 @@
-//! A virtual clock over all nodes, sharded by zone over some threads.
+//! The virtual clock of a scale run, sharded by zone over threads.
 //!
-//! Each zone's events are played in order of time by one thread. Nothing passes between zones faster than the
-//! shortest delay between them, so that all zones may be played at once up to that much after the earliest
-//! event; then what they sent each other is handed over, in an order that does not hang on threads. The same
-//! seed therefore gives the same course for any number of threads; [`RunResult::digest`] is over all messages as
-//! they arrived.
+//! One thread at a time runs a zone's events in order of time. No message passes between zones in less than
+//! the minimum delay between them, so all zones can run in parallel for that long after the earliest event.
+//! Then the messages between zones are delivered, in an order that does not depend on threads. So the same
+//! seed gives the same run for any number of threads; [`RunResult::digest`] covers all messages as they
+//! arrived.
 
 mod shard;
 
@@ -20,12 +20,12 @@
 use super::script::Script;
 use shard::{MessageInTransit, Shard};
 
-/// Where there is only one zone, it is played so many milliseconds at once.
+/// Window in milliseconds when there is only one zone.
 const SINGLE_ZONE_WINDOW_MS: f64 = 100.0;
-/// Progress is next_progress once in so many virtual milliseconds.
+/// Virtual milliseconds between two reports of progress.
 const PROGRESS_INTERVAL_MS: f64 = 5_000.0;
 
-/// A change that is to be made, and where and when.
+/// A change to propose: when (milliseconds since the run began), at which node, and what.
 #[derive(Clone, Debug)]
 pub struct Proposal {
     pub proposed_at: f64,
@@ -33,18 +33,18 @@
     pub change: ConfigChange,
 }
 
-/// What a run is given.
+/// Input of a run.
 pub struct Plan<'a> {
     pub layout: &'a Layout,
     pub script: &'a Script,
     pub proposals: &'a [Proposal],
     pub seed: u64,
     pub threads: usize,
-    /// The run is broken off when it has taken so long by the wall clock.
+    /// The run is stopped after this much wall-clock time.
     pub max_wall_time: Duration,
 }
 
-/// A proposal as it was decided.
+/// A decided proposal: its number, the version, and when the proposer learned of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DecidedChange {
     pub number: usize,
@@ -52,33 +52,32 @@
     pub decided_at: f64,
 }
 
-/// What became of one node.
+/// What was measured at one node.
 #[derive(Clone, Debug, Default)]
 pub struct NodeResult {
     pub cost: Cost,
     pub in_force_events: Vec<InForceEvent>,
     pub went_back: u64,
-    /// Bytes of state at the end; 0 where it did not run then.
+    /// Bytes of state at the end; 0 if the node was not running then.
     pub state_bytes: usize,
 }
 
-/// A run that was played.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct RunResult {
     pub nodes: Vec<NodeResult>,
     pub decided: Vec<DecidedChange>,
-    /// Over all messages as they arrived and all versions as they came into force.
+    /// Hash over all messages as they arrived and all versions as they came into force.
     pub digest: String,
-    /// Messages that arrived.
     pub messages_arrived: u64,
-    /// The virtual time that was reached, in milliseconds.
+    /// Virtual time reached, in milliseconds.
     pub reached_ms: f64,
     pub wall_time: Duration,
-    /// Resident memory of this process with all nodes, less what it had before, in bytes.
+    /// Increase of this process's resident memory over the run, in bytes.
     pub resident_bytes: f64,
 }
 
-/// Plays a fleet to its script's end; `progress` is next_progress the virtual time reached in milliseconds.
+/// Runs a fleet to the end of its script; `progress` gets the virtual time reached, in milliseconds.
 pub fn run<F: Fleet>(fleet: &F, plan: &Plan<'_>, progress: &(dyn Fn(f64) + Sync)) -> RunResult {
     let (started_at, resident_before) = (Instant::now(), resources::resident_bytes());
     let zones = plan.layout.terms.zones;
@@ -104,9 +103,9 @@
     engine.into_result()
 }
 
-/// The stretch that is played now.
+/// The window of virtual time that is run now, shared by the threads.
 struct Window {
-    /// Times in milliseconds, as bits.
+    /// Times in milliseconds, as the bits of an `f64`; so is `next_progress`.
     end: AtomicU64,
     earliest: AtomicU64,
     next_zone: AtomicUsize,
@@ -131,13 +130,13 @@
 struct Engine<'a, F: Fleet> {
     plan: &'a Plan<'a>,
     zones: Vec<Mutex<Shard<'a, F>>>,
-    /// What is on its way between zones, by sender and receiver: one set is filled while the other is read.
+    /// Messages between zones, by sending and receiving zone: one set is filled while the other is read.
     mailboxes: [Vec<Mutex<Vec<MessageInTransit>>>; 2],
     network: Network,
     fleet: &'a F,
     window: Window,
     started_at: Instant,
-    /// Resident memory of this process before.
+    /// Resident memory of this process before the run, in bytes.
     resident_before: f64,
     progress: &'a (dyn Fn(f64) + Sync),
 }
@@ -159,13 +158,13 @@
                 let Some(shard) = self.zones.get(zone) else { break };
                 let next =
                     self.run_zone(&mut shard.lock().expect("no other thread failed"), zone, round, end);
-                // Times are not negative, so that their bits are in the same order.
+                // Times are not negative, so their bits sort as the times do.
                 self.window.earliest.fetch_min(next.to_bits(), Ordering::AcqRel);
             }
         }
     }
 
-    /// By one thread, while the others wait.
+    /// Starts the next window; called by one thread while the others wait.
     fn open_window(&self) {
         let window = &self.window;
         let earliest = f64::from_bits(window.earliest.swap(f64::INFINITY.to_bits(), Ordering::AcqRel));
@@ -182,7 +181,7 @@
         }
     }
 
-    /// Plays one zone up to the end of the window; gives when it, or what it sent, is due next.
+    /// Runs one zone to the end of the window; returns the time of its next event or earliest sent message.
     fn run_zone(&self, shard: &mut Shard<'_, F>, zone: usize, round: usize, end: f64) -> f64 {
         let zones = self.zones.len();
         let (filled, read) = (&self.mailboxes[round % 2], &self.mailboxes[(round + 1) % 2]);
--- a/lab/src/scale/engine/shard.rs
+++ b/lab/src/scale/engine/shard.rs
@@ -1,4 +1,4 @@
-//! One zone's nodes and events.
+//! The nodes and events of one zone.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -13,14 +13,14 @@
 use crate::scale::node::{Fleet, Node, NotReady, Version};
 use crate::scale::script::FaultKind;
 
-/// A change that a node did not take is proposed again after so many milliseconds.
+/// Milliseconds after which a change that a node did not accept is proposed again.
 const PROPOSE_RETRY_MS: f64 = 50.0;
 
-/// Nodes are looked at again after so many milliseconds at the earliest, as a real loop's clock goes on
-/// meanwhile: a due time that rounding puts before its condition would otherwise be now for ever.
+/// Minimum milliseconds until a node's next turn, as the clock of a real loop also advances. A due time that
+/// rounding puts before its condition would otherwise be due now forever.
 const MIN_TURN_INTERVAL_MS: f64 = 0.05;
 
-/// A message on its way to another zone.
+/// A message in transit to another zone.
 pub struct MessageInTransit {
     pub arrives_at: f64,
     pub to: NodeId,
@@ -40,7 +40,7 @@
     Propose { proposal: usize },
 }
 
-/// Ordered by time; at the same time by the zone that it came from, and its number there.
+/// An event, ordered by time, then by the zone that it came from and its number there.
 struct Event {
     due_at: f64,
     source_zone: usize,
@@ -51,7 +51,7 @@
 
 impl Ord for Event {
     fn cmp(&self, other: &Self) -> Ordering {
-        // The heap gives the greatest first: the earliest is to be that.
+        // The heap pops the greatest first, so the earliest event must be the greatest.
         other
             .due_at
             .total_cmp(&self.due_at)
@@ -78,23 +78,23 @@
     generation: u32,
     turn_at: f64,
     disk: Vec<u8>,
-    /// An older copy of it, for a node that loses the newer one.
+    /// An older copy of the disk, for a node that loses the newer one.
     old_disk: Vec<u8>,
     scopes: Vec<Scope>,
-    /// Versions in force in this generation, and ever, by scope.
+    /// Versions in force, by scope: those of this generation, and the highest ever.
     versions: Vec<Version>,
     newest: Vec<Version>,
     stalls: Vec<Stall>,
     meter: Meter,
 }
 
-/// One zone.
+/// The nodes, pending events and links of one zone.
 pub struct Shard<'a, F: Fleet> {
     layout: &'a Layout,
     plan: &'a Plan<'a>,
     zone: usize,
     node_ids: Vec<NodeId>,
-    /// The index of each node of the layout here.
+    /// For each node of the layout its index in `states`; `u32::MAX` if it is in another zone.
     local_indexes: Vec<u32>,
     states: Vec<NodeState<F::Node>>,
     events: BinaryHeap<Event>,
@@ -106,7 +106,7 @@
     decided: Vec<DecidedChange>,
 }
 
-/// EventKind a zone came to.
+/// Result of one zone.
 pub struct ShardResult {
     pub digest: blake3::Hash,
     pub messages_arrived: u64,
@@ -218,7 +218,7 @@
         &mut self.states[self.local_indexes[node] as usize]
     }
 
-    /// Takes kind was sent here from another zone.
+    /// Queues messages that were sent here from another zone.
     pub fn deliver(&mut self, messages: &mut Vec<MessageInTransit>) {
         for MessageInTransit { arrives_at, to, from, datagram, source_zone, number } in messages.drain(..) {
             let kind = EventKind::Arrival { from, datagram };
@@ -226,20 +226,20 @@
         }
     }
 
-    /// When the next event is due.
+    /// Time of the next event.
     pub fn due(&self) -> f64 {
         self.events.peek().map_or(f64::INFINITY, |event| event.due_at)
     }
 
-    /// EventKind was sent to other zones.
+    /// Removes and returns the messages sent to other zones.
     pub fn take_outbox(&mut self) -> Vec<MessageInTransit> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// Plays all events before the end.
+    /// Runs all events before `end`.
     pub fn run_until(&mut self, fleet: &F, network: &Network, end: f64) {
         while self.due() < end {
-            let event = self.events.pop().expect("just seen");
+            let event = self.events.pop().expect("due() saw an event");
             self.handle(fleet, network, event);
         }
     }
@@ -284,7 +284,7 @@
         self.collect_outputs(network, now, node);
     }
 
-    /// A message arrives_at, something falls due or a change is proposed.
+    /// Handles an arriving message, a turn that is due, or a change to propose.
     fn dispatch(&mut self, network: &Network, now: f64, node: NodeId, kind: EventKind) {
         let plan = self.plan;
         if let EventKind::Arrival { from, datagram } = &kind {
@@ -319,7 +319,7 @@
         self.collect_outputs(network, now, node);
     }
 
-    /// Sends kind a node has to send, and looks at kind has come into force there.
+    /// Sends a node's outgoing messages and records what has come into force there.
     fn collect_outputs(&mut self, network: &Network, now: f64, node: NodeId) {
         let index = self.local_indexes[node] as usize;
         let state = &mut self.states[index];
--- a/lab/src/scale/evaluation.rs
+++ b/lab/src/scale/evaluation.rs
@@ -1,4 +1,4 @@
-//! What was measured, held against the limits.
+//! Evaluates the result of a run against the limits of the target.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +10,16 @@
 use super::network::Period;
 use super::script::{FaultKind, Script};
 
-/// A change is in force everywhere within so many milliseconds.
+/// Maximum milliseconds until a change is in force everywhere.
 pub const MAX_IN_FORCE_MS: f64 = 4_000.0;
-/// A border proxy spends at most so many bytes in any second, both ways together.
+/// Maximum bytes of a border proxy in any second, sent and received together.
 pub const MAX_BYTES_PER_SECOND: f64 = 8_000.0;
-/// Of processor time at most so many milliseconds a second.
+/// Maximum processor time of a border proxy, in milliseconds per second.
 pub const MAX_PROCESSOR_MS_PER_SECOND: f64 = 14.0;
-/// Of memory at most so many bytes.
+/// Maximum bytes of state of a border proxy.
 pub const MAX_STATE_BYTES: f64 = 128.0 * 1024.0 * 1024.0;
 
-/// Some values in order: how many, median, 99th of a hundred, largest.
+/// Distribution of some values: count, mean, median, 99th percentile, maximum (`last`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Spread {
     pub count: usize,
@@ -47,26 +47,26 @@
 pub struct InForce {
     pub changes: usize,
     pub decided: usize,
-    /// From the proposal to the decision, as the proposer knew it.
+    /// From the proposal until the proposer knows the decision.
     pub decision_ms: Spread,
     /// From the proposal until it is in force, over all subscribers of all changes. For a subscriber that a
-    /// fault kept away, from the fault's end.
+    /// fault cut off or stopped, from the fault's end.
     pub all_ms: Spread,
-    /// The same for changes of bursts alone.
+    /// The same for changes of bursts only.
     pub burst_ms: Spread,
-    /// The same for subscribers that were kept away alone.
+    /// The same for subscribers cut off or stopped by a fault only.
     pub back_ms: Spread,
-    /// Subscribers of changes that did not have them at the end.
+    /// Number of pairs of a change and a subscriber that lacks it at the end.
     pub never: usize,
-    /// Times that a version in force went back.
+    /// How often a version in force went back.
     pub went_back: u64,
 }
 
-/// What nodes of one role cost, a second, over the time measured.
+/// Cost per second of the nodes of one role, over the measured time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct RoleCost {
     pub nodes: usize,
-    /// Both ways together.
+    /// Sent and received together.
     pub bytes_per_second: Spread,
     /// Each node's worst second.
     pub worst_second_bytes: Spread,
@@ -94,7 +94,7 @@
     }
 }
 
-/// When a subscriber was kept away by faults.
+/// The periods in which faults cut off or stopped each node.
 fn absences(layout: &Layout, script: &Script, seed: u64) -> BTreeMap<NodeId, Vec<Period>> {
     let mut absences: BTreeMap<NodeId, Vec<Period>> = BTreeMap::new();
     for (index, fault) in script.faults.iter().enumerate() {
@@ -119,7 +119,7 @@
     subscribers
 }
 
-/// When a decision came into force at a node.
+/// When a decision came into force at a node, from the node's events.
 fn in_force_at(events: &[InForceEvent], slot: u16, decided: &DecidedChange) -> Option<f64> {
     events
         .iter()
@@ -127,7 +127,7 @@
         .map(|event| event.in_force_at)
 }
 
-/// Judges when each change came into force at each subscriber of its scope.
+/// Evaluates when each change came into force at each subscriber of its scope.
 pub fn in_force(
     layout: &Layout,
     script: &Script,
@@ -147,13 +147,13 @@
             let absent = absences.get(&node).into_iter().flatten();
             let until = absent.filter(|period| period.from < at && period.until > proposal.proposed_at);
             let since = until.map(|period| period.until).fold(proposal.proposed_at, f64::max);
-            let took = (at - since).max(0.0);
-            all.push(took);
+            let delay = (at - since).max(0.0);
+            all.push(delay);
             if bursts.contains(&decided.number) {
-                burst.push(took);
+                burst.push(delay);
             }
             if since > proposal.proposed_at {
-                back.push(took);
+                back.push(delay);
             }
         }
     }
@@ -174,7 +174,7 @@
     }
 }
 
-/// Limits that were not kept, the first one first.
+/// The limits that were not kept, one line each.
 pub fn misses(in_force: &InForce, proxy: &RoleCost) -> Vec<String> {
     let mut misses = Vec::new();
     let mut check = |kept: bool, miss: String| {
--- a/lab/src/scale/flat.rs
+++ b/lab/src/scale/flat.rs
@@ -1,5 +1,5 @@
-//! The fleet without control machines: every node gossips with every other and follows the log. The baseline
-//! that the check is to catch.
+//! A fleet without control machines: every node gossips with every other and follows the log. It is the
+//! baseline that must fail the check of the limits.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use super::layout::{Layout, NodeId, Scope};
 use super::node::{ConfigChange, Fleet, Node, NotReady, Version};
 
-/// What the nodes have in common.
+/// A flat fleet: the terms shared by its nodes.
 pub struct FlatFleet {
     terms: CouncilTerms,
 }
@@ -28,7 +28,7 @@
     }
 }
 
-/// One member of it.
+/// One member of a flat fleet.
 pub struct FlatNode(CouncilNode<KeyValueMachine>);
 
 impl Node for FlatNode {
@@ -48,7 +48,7 @@
         self.0.outgoing()
     }
 
-    /// Every decision concerns all.
+    /// Every node follows the whole log, so the scope does not matter.
     fn in_force(&self, _: Scope) -> Version {
         self.0.machine().newest()
     }
--- a/lab/src/scale/keys.rs
+++ b/lab/src/scale/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of the nodes of a scale run: made up from their numbers, and known to all.
+//! Keys of the nodes of a scale run: derived from the nodes' numbers, and known to all.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use super::layout::NodeId;
 use crate::stand_ins::peers::FLEET_KEY;
 
-/// A node's own secret key.
+/// The secret key of a node.
 pub fn own_key(node: NodeId) -> [u8; 32] {
     let mut own = [0x5c; 32];
     own[..8].copy_from_slice(&(node as u64).to_le_bytes());
@@ -16,7 +16,7 @@
 }
 
 pub fn secrets(node: NodeId) -> Secrets {
-    Secrets::new(own_key(node), vec![FLEET_KEY]).expect("a fleet key")
+    Secrets::new(own_key(node), vec![FLEET_KEY]).expect("a valid fleet key")
 }
 
 pub fn name(node: NodeId) -> String {
@@ -27,10 +27,10 @@
 pub fn roster(nodes: impl IntoIterator<Item = NodeId>) -> Roster {
     let members: Vec<_> = nodes.into_iter().map(|node| (name(node), secrets(node).public_key())).collect();
     let members = members.iter().map(|(name, key)| (name.as_str(), *key));
-    Roster::new(members).expect("keys of their own")
+    Roster::new(members).expect("distinct names and keys")
 }
 
-/// Signs as one node, with a roster that all nodes of this process share.
+/// Signs as one node and verifies with a roster that all nodes of this process share.
 #[derive(Clone)]
 pub struct SharedKeys {
     pub secrets: Secrets,
--- a/lab/src/scale/kv_machine.rs
+++ b/lab/src/scale/kv_machine.rs
@@ -1,7 +1,7 @@
-//! The machine that decided changes are given to in a scale run: a value by scope and key.
+//! The state machine that applies decided changes in a scale run: a value by scope and key.
 //!
-//! It stands for whatever a fleet decides, so that changes of every scope can be played; the drains of
-//! `outs/` belong to services alone.
+//! It stands for all that a fleet decides, so that a run can have changes of every scope; the drains of
+//! `outs/` belong to services only.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use super::layout::Scope;
 use super::node::{ConfigChange, Version};
 
-/// The part of the agreement that changes are.
+/// Number of the agreement's part that changes are proposed to.
 pub const CHANGES_PART: u8 = 9;
 
 #[derive(Serialize, Deserialize)]
@@ -21,16 +21,16 @@
     pub value: Vec<u8>,
 }
 
-/// A change as a command of the agreement.
+/// Encodes a change as a command of the agreement.
 pub fn encode_command(change: &ConfigChange) -> Vec<u8> {
     let ConfigChange { scope, key, value } = change.clone();
     postcard::to_stdvec(&Command { scope, key, value }).expect("plain data")
 }
 
-/// All values, with the versions that they were decided at.
+/// All values, with the versions at which they were decided.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyValueMachine {
-    /// The last decision that was carried out.
+    /// Index of the last applied decision.
     newest: Version,
     values: BTreeMap<(Scope, String), (Version, Vec<u8>)>,
 }
@@ -50,9 +50,10 @@
     fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, UnsupportedDecision> {
         let unsupported = |what: &str| UnsupportedDecision { index, part, reason: what.to_owned() };
         if part != CHANGES_PART {
-            return Err(unsupported("no part of a scale run"));
+            return Err(unsupported("unknown part"));
         }
-        let command: Command = postcard::from_bytes(command).map_err(|_| unsupported("no change"))?;
+        let command: Command =
+            postcard::from_bytes(command).map_err(|_| unsupported("not a valid change"))?;
         self.newest = index;
         self.values.insert((command.scope, command.key), (index, command.value));
         Ok(Vec::new())
@@ -66,7 +67,7 @@
         let invalid_state = |_| UnsupportedDecision {
             index,
             part: CHANGES_PART,
-            reason: "no state of a scale run".to_owned(),
+            reason: "not a valid state of a scale run".to_owned(),
         };
         self.values = postcard::from_bytes(state).map_err(invalid_state)?;
         self.newest = index;
--- a/lab/src/scale/layout.rs
+++ b/lab/src/scale/layout.rs
@@ -1,8 +1,8 @@
-//! Who is where: regions, zones, services of uneven size, control machines, and what each proxy subscribes
-//! to.
+//! The layout of a fleet: regions, zones, services of uneven size, control machines, and what each proxy
+//! subscribes to.
 //!
-//! Everything follows from [`LayoutTerms`] and a seed. Nodes are numbered: control machines first, then
-//! border proxies, so that a number below [`Layout::controls`] is a control machine's.
+//! Everything follows from [`LayoutTerms`] and a seed. Control machines have the first numbers, border
+//! proxies the next, so a number below [`Layout::controls`] is a control machine's.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -13,39 +13,39 @@
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 
-/// A node, by its number in the layout.
+/// Number of a node in the layout.
 pub type NodeId = usize;
 
-/// The operators' target, to which services scale.
+/// Proxies of the operators' target; the sizes of services scale with the fleet's part of it.
 pub const TARGET_PROXIES: usize = 33_000;
 const TARGET_SERVICES: usize = 1_300;
 const TARGET_LARGEST_SERVICE: usize = 2_000;
-/// The steepest power law that sizes of services may follow.
+/// Maximum exponent of the power law of service sizes.
 const MAX_SIZE_EXPONENT: f64 = 8.0;
-/// Halvings of the range of exponents, past the precision of a 64-bit float.
+/// Number of halvings in the search for the exponent, enough for the precision of an `f64`.
 const BISECTION_STEPS: usize = 60;
-/// The port of every node under the virtual clock.
+/// Port of every node under the virtual clock.
 const PORT: u16 = 7000;
 
-/// How large a fleet is, and how it is spread.
+/// Size of a fleet, and how it is distributed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LayoutTerms {
     pub proxies: usize,
     pub regions: usize,
-    /// Zones over all regions.
+    /// Zones of all regions together.
     pub zones: usize,
     pub controls_per_region: usize,
-    /// Control machines that vote; at most one a region while there are regions.
+    /// Control machines that vote; a region gets a second one only when each has one.
     pub voters: usize,
-    /// Other services that each service calls: assumed, not given by the operators.
+    /// Other services that each service calls. An assumption; the operators name no number.
     pub fan_out: usize,
-    /// Milliseconds one way within a zone, and between zones of a region.
+    /// One-way delay within a zone, and between zones of a region, in milliseconds.
     pub zone_delay: f64,
     pub region_delay: f64,
     /// The range of one-way delays between regions, in milliseconds.
     pub far_delay: [f64; 2],
-    /// The part by which a delay is longer at the most, by rng.
+    /// Maximum random increase of a delay, as a share of it.
     pub jitter: f64,
 }
 
@@ -81,18 +81,18 @@
     }
 }
 
-/// Where a node is.
+/// The region and zone of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Site {
     pub region: usize,
     pub zone: usize,
 }
 
-/// A fleet laid out.
+/// A fleet with the site and the subscriptions of each node.
 #[derive(Clone, Debug)]
 pub struct Layout {
     pub terms: LayoutTerms,
-    /// Control machines, which have the first numbers.
+    /// Number of control machines; these have the first node numbers.
     pub controls: usize,
     sites: Vec<Site>,
     /// The region of each zone.
@@ -106,11 +106,11 @@
 }
 
 impl Layout {
-    /// Lays a fleet out; the same terms and seed give the same layout.
+    /// Builds a layout; the same terms and seed give the same layout.
     ///
     /// # Errors
     ///
-    /// When the terms contradict each other.
+    /// Fails if the terms contradict each other.
     pub fn new(terms: LayoutTerms, seed: u64) -> Result<Self> {
         terms.check()?;
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -154,7 +154,7 @@
         (0..self.terms.zones).filter(|&zone| self.zone_regions[zone] == region).collect()
     }
 
-    /// All nodes: control machines and proxies.
+    /// Number of nodes: control machines and proxies.
     pub fn node_count(&self) -> usize {
         self.sites.len()
     }
@@ -210,7 +210,7 @@
         }
     }
 
-    /// The shortest delay between two zones, or none where there is only one.
+    /// Minimum delay between two zones in milliseconds; `None` if there is only one zone.
     pub fn min_delay_between_zones(&self) -> Option<f64> {
         let pairs = (0..self.terms.zones).flat_map(|one| (0..one).map(move |other| (one, other)));
         let delays =
@@ -224,7 +224,7 @@
         SocketAddr::from((address, PORT))
     }
 
-    /// The node of an address that [`Layout::address`] gave.
+    /// The node whose [`Layout::address`] this is, if any.
     pub fn node_at(&self, address: SocketAddr) -> Option<NodeId> {
         let SocketAddr::V4(address) = address else { return None };
         let [ten, high, middle, low] = address.ip().octets();
@@ -233,8 +233,8 @@
     }
 }
 
-/// Sizes by a power law whose exponent is set so that the largest service and the sum are those of the
-/// target, scaled to the fleet. In a small fleet the largest is twice the average at least.
+/// Sizes of services by a power law. Its exponent is chosen so that the largest service and the sum are those
+/// of the target, scaled to the fleet. In a small fleet the largest is at least twice the average.
 fn service_sizes(proxies: usize) -> Vec<usize> {
     let scaled = |of: usize| (of * proxies).div_ceil(TARGET_PROXIES);
     let services = scaled(TARGET_SERVICES);
@@ -250,7 +250,7 @@
         if sum(middle) > proxies { low = middle } else { high = middle }
     }
     let mut sizes: Vec<usize> = (0..services).map(|rank| size(rank, high)).collect();
-    // What rounding leaves over goes to the smaller ones in turn.
+    // Proxies left over by rounding go to the smaller services in turn.
     let remaining = proxies - sizes.iter().sum::<usize>();
     for rank in (1..services.max(2)).rev().cycle().take(remaining) {
         sizes[rank.min(services - 1)] += 1;
@@ -259,7 +259,7 @@
     sizes
 }
 
-/// Other services that a service calls, the larger ones likelier.
+/// Draws the other services that a service calls; larger ones are more likely.
 fn called_services(own: usize, services: &[usize], fan_out: usize, rng: &mut Pcg64Mcg) -> Vec<usize> {
     let others = services.iter().collect::<std::collections::BTreeSet<_>>().len().saturating_sub(1);
     let mut called = Vec::new();
--- a/lab/src/scale/meter.rs
+++ b/lab/src/scale/meter.rs
@@ -1,5 +1,4 @@
-//! What a node costs: bytes and messages in every second, processor time, and versions as they come into
-//! force.
+//! Meters a node: bytes and messages per second, processor time, and versions as they come into force.
 
 use std::collections::VecDeque;
 
@@ -10,13 +9,13 @@
 
 const SECOND_MS: f64 = 1000.0;
 
-/// Processor time of this thread in nanoseconds; 0 where the system does not tell.
+/// Processor time of this thread in nanoseconds; 0 if the clock cannot be read.
 pub fn thread_cpu_ns() -> u64 {
     let time = clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID);
     time.map_or(0, |time| time.tv_sec() as u64 * 1_000_000_000 + time.tv_nsec() as u64)
 }
 
-/// A sum over any second, wherever it begins, and the most that it came to.
+/// Sum over a sliding second, and its maximum.
 #[derive(Clone, Debug, Default)]
 pub struct SlidingSecond {
     items: VecDeque<(f64, u32)>,
@@ -37,7 +36,7 @@
     }
 }
 
-/// A sum over each second of the clock, and the most that it came to.
+/// Sum over each full second of the clock, and its maximum.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClockSecond {
     second: u64,
@@ -62,15 +61,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InForceEvent {
     pub in_force_at: f64,
-    /// The scope's place among those that the node subscribes to.
+    /// Index of the scope among those that the node subscribes to.
     pub slot: u16,
     pub version: Version,
 }
 
-/// One node's account.
+/// The meter of one node.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
-    /// Nothing is counted before.
+    /// Nothing before this time is counted, in milliseconds.
     counts_from: f64,
     both_ways: SlidingSecond,
     sent: u64,
@@ -78,19 +77,19 @@
     messages: u64,
     processor: ClockSecond,
     pub in_force_events: Vec<InForceEvent>,
-    /// Times that a scope's version in force went back.
+    /// How often a scope's version in force went back.
     pub went_back: u64,
 }
 
-/// What a node cost over the time measured.
+/// Cost of a node over the measured time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Cost {
-    /// Bytes of datagrams without what the network adds, both ways together.
+    /// Bytes of datagrams without network headers, sent and received together.
     pub bytes: u64,
     pub worst_second_bytes: u64,
     pub sent_bytes: u64,
     pub received_bytes: u64,
-    /// Sent and received.
+    /// Messages sent and received.
     pub messages: u64,
     pub processor_ns: u64,
     pub worst_second_processor_ns: u64,
--- a/lab/src/scale/mod.rs
+++ b/lab/src/scale/mod.rs
@@ -1,10 +1,10 @@
-//! Scale runs: thousands of hollow border proxies and the control machines that serve them.
+//! Scale runs: thousands of border proxies without callers, and the control machines that serve them.
 //!
-//! A hollow proxy has the real decision parts, encodings, signatures and timers, and no callers. A [`layout`]
-//! says who is where, a [`script`] what goes wrong when, [`resources`] whether the machine bears the run.
-//! [`virtual_run`] plays it under a virtual clock: [`engine`] is the clock and the links, sharded over
-//! threads, [`flat`] the fleet as it is without control machines, [`evaluation`] holds what was measured against
-//! the limits.
+//! Such a hollow proxy has the real decision parts, encodings, signatures and timers, but no callers. A
+//! [`layout`] places the nodes, a [`script`] schedules changes and faults, [`resources`] checks whether the
+//! machine can hold the run. [`virtual_run`] executes it under a virtual clock: [`engine`] is the clock and
+//! the links, sharded over threads, [`tier`] the fleet with control machines, [`flat`] the fleet without
+//! them, and [`evaluation`] compares the result with the limits.
 
 pub mod council;
 pub mod engine;
--- a/lab/src/scale/network.rs
+++ b/lab/src/scale/network.rs
@@ -1,10 +1,10 @@
-//! What the script makes of links and nodes at a time: cuts, loss, and nodes that stand still or are slow.
-//! Nothing here changes in a run, so that all threads share it.
+//! Faults of links and nodes by time: cuts, loss, and nodes that are paused or slow. Nothing here changes
+//! during a run, so all threads share it.
 
 use super::layout::{Layout, NodeId, Site};
 use super::script::{CutDirection, FaultKind, Script};
 
-/// A stretch of time in milliseconds, from the first up to before the second.
+/// A period in milliseconds, including `from` and excluding `until`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Period {
     pub from: f64,
@@ -49,17 +49,17 @@
     }
 }
 
-/// When a node does not read what has come for it.
+/// Why a node does not read the messages that have arrived for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stall {
-    /// Not before the end of the period.
+    /// It reads nothing before the end of the period.
     Paused(Period),
-    /// Within the period only once in so many milliseconds.
+    /// During the period it reads only once in this many milliseconds.
     Slow(Period, f64),
 }
 
 impl Stall {
-    /// When a node that would act at `now` does so.
+    /// The time at which a node that has something to do at `now` does it.
     pub fn acts_at(&self, now: f64) -> f64 {
         match *self {
             Self::Paused(period) if period.contains(now) => period.until,
@@ -72,7 +72,7 @@
     }
 }
 
-/// All links, over the whole run.
+/// Loss and cuts of all links over the whole run.
 #[derive(Clone, Debug)]
 pub struct Network {
     loss: f64,
@@ -99,7 +99,7 @@
         Self { loss: script.loss, losses, cuts }
     }
 
-    /// The part of messages that is lost on the way between two nodes; 1 where they are cut off.
+    /// Share of messages lost between two nodes; 1 if a cut separates them.
     pub fn loss(&self, now: f64, layout: &Layout, from: NodeId, to: NodeId) -> f64 {
         let (from, to) = (layout.site(from), layout.site(to));
         if self.cuts.iter().any(|cut| cut.period.contains(now) && cut.blocks(from, to)) {
--- a/lab/src/scale/node.rs
+++ b/lab/src/scale/node.rs
@@ -1,4 +1,4 @@
-//! What the [`super::engine`] drives: a node with real decision parts, and a fleet that starts nodes.
+//! The interface of the [`super::engine`]: a node with real decision parts, and a fleet that starts nodes.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 /// The index of a decision in the log.
 pub type Version = u64;
 
-/// A change of configuration: a key of a scope gets a value.
+/// A change of configuration: sets a key of a scope to a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigChange {
     pub scope: Scope,
@@ -15,7 +15,7 @@
     pub value: Vec<u8>,
 }
 
-/// Why a change was not taken by the node that it was given to.
+/// Error of a node that accepts no proposal now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotReady;
 
@@ -23,31 +23,31 @@
 pub trait Node: Send {
     fn receive(&mut self, now: f64, from: SocketAddr, datagram: &[u8]);
 
-    /// Does what has fallen due; called after each [`Node::receive`] too.
+    /// Runs one turn of the node's event loop; also called after each [`Node::receive`].
     fn turn(&mut self, now: f64);
 
-    /// When [`Node::turn`] is wanted.
+    /// Time of the next [`Node::turn`].
     fn due(&self) -> f64;
 
     fn outgoing(&mut self) -> Option<(SocketAddr, Vec<u8>)>;
 
-    /// Up to which decision this node's state of a scope is in force.
+    /// The newest decision that is in force in this node's state of a scope.
     fn in_force(&self, scope: Scope) -> Version;
 
-    /// Has a change decided; `number` tells it from others.
+    /// Proposes a change; `number` identifies it.
     ///
     /// # Errors
     ///
-    /// When the node takes none now: it is asked again.
+    /// Fails if the node accepts no proposal now: the change is proposed again later.
     fn propose(&mut self, now: f64, number: usize, change: &ConfigChange) -> Result<(), NotReady>;
 
-    /// The next change that was proposed here and is decided, by its number, with its version.
+    /// Removes and returns the next decided change that was proposed here: its number and version.
     fn next_decided(&mut self) -> Option<(usize, Version)>;
 
-    /// What the node's disk holds.
+    /// Content of the node's disk.
     fn disk(&self) -> Vec<u8>;
 
-    /// Bytes of the state that the node holds, written out.
+    /// Size in bytes of the node's encoded state.
     fn state_bytes(&self) -> usize;
 }
 
@@ -55,6 +55,6 @@
 pub trait Fleet: Sync {
     type Node: Node;
 
-    /// Starts a node with what its disk holds; `life` counts its starts from 0.
+    /// Starts a node with the content of its disk; `generation` counts its starts from 0.
     fn start(&self, node: NodeId, generation: u32, disk: &[u8], now: f64) -> Self::Node;
 }
--- a/lab/src/scale/proposals.rs
+++ b/lab/src/scale/proposals.rs
@@ -1,4 +1,4 @@
-//! The changes that a script makes: when, where, of which scope.
+//! The changes that a script proposes: when, at which node, of which scope.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -8,18 +8,18 @@
 use super::node::ConfigChange;
 use super::script::{FaultKind, Script};
 
-/// Shares of changes that concern a service, a zone and a region; the rest concerns all. Assumed: most
-/// changes of configuration belong to one service.
+/// Shares of changes that concern a service, a zone and a region; the others concern the whole fleet. This
+/// assumes that most changes of configuration belong to one service.
 const SERVICE_SHARE: f64 = 0.8;
 const ZONE_SHARE: f64 = 0.08;
 const REGION_SHARE: f64 = 0.06;
-/// Keys of each scope that are changed again and again, and bytes of a value.
+/// Number of keys that are changed repeatedly in each scope, and bytes of a value.
 const KEYS_PER_SCOPE: usize = 16;
 const VALUE_BYTES: usize = 64;
-/// A change is given to a control machine that no fault is_affected for so many seconds.
+/// A change is proposed at a control machine that no fault affects within this many seconds.
 const UNDISTURBED_SECONDS: f64 = 10.0;
 
-/// All changes of a script, by time. The numbers of those of bursts come with them.
+/// All changes of a script in order of time, and the numbers of those that belong to bursts.
 pub fn plan(layout: &Layout, script: &Script, seed: u64) -> (Vec<Proposal>, Vec<usize>) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xc4a6);
     let ordinary = (0..).map(|index| index as f64 * script.changes.every);
@@ -62,7 +62,7 @@
     ConfigChange { scope, key, value }
 }
 
-/// A control machine that is there and not cut off, another one each time.
+/// A control machine that no fault affects around `at`; the search starts at another one for each number.
 fn undisturbed(layout: &Layout, script: &Script, at: f64, number: usize) -> NodeId {
     let is_affected = |control: NodeId| {
         let active_faults = script.faults.iter().filter(|fault| {
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! What a run gave, for people and as JSON.
+//! The report of a run, as text and as JSON.
 
 use std::fmt::{self, Write};
 
@@ -7,14 +7,14 @@
 use super::evaluation::{InForce, RoleCost, Spread};
 use super::layout::LayoutTerms;
 
-/// A run's outcome. All that does not hang on the machine is the same for the same seed.
+/// Outcome of a run. All that does not depend on the machine is the same for the same seed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     pub script: String,
     pub seed: u64,
-    /// Under a virtual clock, or on sockets.
+    /// Run under a virtual clock instead of on sockets.
     pub simulated: bool,
-    /// Without control machines.
+    /// Run without control machines.
     pub flat: bool,
     pub layout: LayoutTerms,
     pub controls: usize,
@@ -23,13 +23,13 @@
     pub in_force: InForce,
     pub proxy: RoleCost,
     pub control: RoleCost,
-    /// Resident memory of this process by node, in bytes.
+    /// Resident memory of this process per node, in bytes.
     pub resident_per_node: f64,
     pub messages_arrived: u64,
     pub digest: String,
     pub threads: usize,
     pub wall_seconds: f64,
-    /// Limits that were not kept, the first one first.
+    /// The limits that were not kept, one line each.
     pub misses: Vec<String>,
 }
 
--- a/lab/src/scale/resources.rs
+++ b/lab/src/scale/resources.rs
@@ -1,33 +1,33 @@
-//! Whether the machine bears a run, looked at before anything is started.
+//! Checks whether the machine can hold a run, before anything is started.
 
 use std::fmt;
 use std::fs;
 
-/// Processes that a run may have at the most, this one among them.
+/// Maximum processes of a run, including this one.
 pub const MAX_PROCESSES: usize = 300;
-/// Of the memory that is free, and of descriptors, a run takes no more than this part.
+/// Maximum share of the free memory and of the allowed descriptors that a run may use.
 const MAX_SHARE: f64 = 0.5;
 
-/// What a run will take.
+/// The resources that a run needs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Need {
-    /// Bytes, as estimated.
+    /// Estimated bytes.
     pub memory: f64,
     pub processes: usize,
-    /// Descriptors of the process that holds most.
+    /// Descriptors of the process that has the most open.
     pub descriptors: u64,
 }
 
-/// What is free now.
+/// The resources that are free now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Free {
     /// Bytes.
     pub memory: f64,
-    /// Descriptors that a process may hold.
+    /// Descriptors that a process may have open.
     pub descriptors: u64,
 }
 
-/// Why a run is refused: a plain line.
+/// Refusal of a run, with the resource that is short.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InsufficientResources(String);
 
@@ -40,7 +40,7 @@
 impl std::error::Error for InsufficientResources {}
 
 impl Free {
-    /// As the system tells it; nothing is free where it does not.
+    /// Reads the free resources from `/proc`; what cannot be read counts as 0.
     pub fn now() -> Self {
         let memory = fs::read_to_string("/proc/meminfo").unwrap_or_default();
         let limits = fs::read_to_string("/proc/self/limits").unwrap_or_default();
@@ -48,25 +48,25 @@
     }
 }
 
-/// Bytes that are available, from the text of `/proc/meminfo`.
+/// Available memory in bytes, from the text of `/proc/meminfo`; 0 if missing.
 pub fn parse_available_memory(meminfo: &str) -> f64 {
     let line = meminfo.lines().find_map(|line| line.strip_prefix("MemAvailable:"));
     let kib = line.and_then(|line| line.trim().trim_end_matches(" kB").trim().parse::<f64>().ok());
     kib.unwrap_or(0.0) * 1024.0
 }
 
-/// Descriptors that this process may hold, from the text of `/proc/self/limits`.
+/// Descriptors that this process may have open, from the text of `/proc/self/limits`; 0 if missing.
 pub fn parse_max_open_files(limits: &str) -> u64 {
     let line = limits.lines().find_map(|line| line.strip_prefix("Max open files"));
     let soft = line.and_then(|line| line.split_whitespace().next());
     soft.map_or(0, |soft| if soft == "unlimited" { u64::MAX } else { soft.parse().unwrap_or(0) })
 }
 
-/// Whether a run fits into half of what is free.
+/// Checks that a run fits into half of the free resources.
 ///
 /// # Errors
 ///
-/// A plain line that says what it would take and what is free.
+/// Fails with a line that names what the run needs and what is free.
 pub fn check(need: &Need, free: &Free) -> Result<(), InsufficientResources> {
     let mib = |bytes: f64| bytes / f64::from(1 << 20);
     if need.processes > MAX_PROCESSES {
--- a/lab/src/scale/scoped_machine.rs
+++ b/lab/src/scale/scoped_machine.rs
@@ -1,4 +1,4 @@
-//! The machine of control machines in a scale run: changes by scope, as they are served.
+//! The state machine of control machines in a scale run: changes by scope, as served to subscribers.
 
 use agree::{Hash, Index, Machine, UnsupportedDecision};
 use distribution::{Change, Key, ScopedState};
@@ -6,13 +6,13 @@
 use super::kv_machine::{CHANGES_PART, Command};
 use super::node::Version;
 
-/// The state of all scopes, and what has changed since it was last asked for.
+/// The state of all scopes, and the changes since they were last taken.
 #[derive(Clone, Debug, Default)]
 pub struct ScopedMachine {
     newest: Version,
     state: ScopedState,
     changes: Vec<Change>,
-    /// The state was put in place as a whole.
+    /// The whole state was replaced since then.
     replaced: bool,
 }
 
@@ -25,7 +25,7 @@
         &self.state
     }
 
-    /// What has changed since this was last asked for; none where the state was put in place as a whole.
+    /// Takes the changes since the last call; `None` if the whole state was replaced.
     pub fn take_changes(&mut self) -> Option<Vec<Change>> {
         let changes = std::mem::take(&mut self.changes);
         (!std::mem::take(&mut self.replaced)).then_some(changes)
@@ -36,12 +36,13 @@
     fn decide(&mut self, index: Index, part: u8, command: &[u8]) -> Result<Vec<u8>, UnsupportedDecision> {
         let unsupported = |what: &str| UnsupportedDecision { index, part, reason: what.to_owned() };
         if part != CHANGES_PART {
-            return Err(unsupported("no part of a scale run"));
+            return Err(unsupported("unknown part"));
         }
-        let command: Command = postcard::from_bytes(command).map_err(|_| unsupported("no change"))?;
-        let key = Key::new(command.key).map_err(|_| unsupported("no key"))?;
+        let command: Command =
+            postcard::from_bytes(command).map_err(|_| unsupported("not a valid change"))?;
+        let key = Key::new(command.key).map_err(|_| unsupported("not a valid key"))?;
         let change = Change { scope: command.scope, key, version: index, value: Some(command.value) };
-        self.state.apply(change.clone()).map_err(|_| unsupported("out of order"))?;
+        self.state.apply(change.clone()).map_err(|_| unsupported("change out of order"))?;
         self.changes.push(change);
         self.newest = index;
         Ok(Vec::new())
@@ -55,7 +56,7 @@
         let invalid_state = |_| UnsupportedDecision {
             index,
             part: CHANGES_PART,
-            reason: "no state of a scale run".to_owned(),
+            reason: "not a valid state of a scale run".to_owned(),
         };
         (self.newest, self.state) = postcard::from_bytes(state).map_err(invalid_state)?;
         self.changes.clear();
--- a/lab/src/scale/script.rs
+++ b/lab/src/scale/script.rs
@@ -1,4 +1,4 @@
-//! What befalls a fleet, by the second, as TOML. Times in it are seconds since the end of the warm-up.
+//! Scripts of scale runs, as TOML: changes and faults. Times are seconds since the end of the warm-up.
 
 use anyhow::{Context, Result, ensure};
 use rand::SeedableRng;
@@ -8,7 +8,7 @@
 
 use super::layout::{Layout, NodeId};
 
-/// The longest run that a script may ask for, in seconds.
+/// Maximum length of the warm-up and of the measured time, in seconds each.
 const MAX_SECONDS: f64 = 600.0;
 
 const BUILT_IN: [(&str, &str); 6] = [
@@ -25,11 +25,11 @@
 #[serde(deny_unknown_fields)]
 pub struct Script {
     pub name: String,
-    /// How long the fleet comes together before anything is changed or measured.
+    /// Seconds in which the fleet forms before anything is changed or measured.
     pub warm_up: f64,
-    /// How long it is measured after that.
+    /// Seconds measured after the warm-up.
     pub seconds: f64,
-    /// The part of messages that is lost throughout.
+    /// Share of messages lost throughout the run.
     #[serde(default)]
     pub loss: f64,
     pub changes: Changes,
@@ -37,39 +37,40 @@
     pub faults: Vec<Fault>,
 }
 
-/// Changes made one after the other.
+/// Changes proposed at a fixed interval.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Changes {
-    /// Seconds between two.
+    /// Seconds between two changes.
     pub every: f64,
-    /// When the last one is made, so that it can still come into force within the run.
+    /// Time of the last change, early enough that it can come into force within the run.
     pub until: f64,
 }
 
-/// One thing that goes wrong.
+/// A fault, or a burst of changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
     pub at: f64,
-    /// How long it lasts.
+    /// Duration in seconds.
     #[serde(rename = "for", default)]
     pub duration: f64,
     #[serde(flatten)]
     pub kind: FaultKind,
 }
 
-/// Which messages a cut stops, as seen from what is cut off.
+/// Which messages a cut stops, as seen from the part that is cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CutDirection {
     Both,
     /// Nothing leaves.
     Out,
-    /// Nothing comes in.
+    /// Nothing enters.
     In,
 }
 
-/// The kinds of fault. Zones, regions and control machines are given by number, `part` is of all proxies.
+/// The kinds of fault. Zones, regions and control machines are given by number; `part` is a share of all
+/// proxies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum FaultKind {
@@ -81,7 +82,7 @@
         region: usize,
         ways: CutDirection,
     },
-    /// Processes are killed, and start again at the end with what their disks hold.
+    /// Processes are killed, and restart at the end of the fault with the content of their disks.
     KillProxies {
         part: f64,
     },
@@ -91,39 +92,39 @@
     KillControl {
         control: usize,
     },
-    /// Processes stand still, as with SIGSTOP: what comes meanwhile waits.
+    /// Processes are paused, as by SIGSTOP: messages that arrive meanwhile wait.
     PauseProxies {
         part: f64,
     },
     PauseControl {
         control: usize,
     },
-    /// A control machine is killed, and starts again with its disk as it was so many seconds before.
+    /// A control machine is killed, and restarts with its disk as it was `older` seconds before the kill.
     OldDisk {
         control: usize,
         older: f64,
     },
-    /// Proxies read what has come for them only once in so many seconds.
+    /// Proxies read the messages that have arrived only once in `every` seconds.
     SlowProxies {
         part: f64,
         every: f64,
     },
-    /// So many changes more, spread over one second.
+    /// This many additional changes, spread over one second.
     Burst {
         changes: usize,
     },
-    /// The part of messages that is lost, in place of the script's.
+    /// Share of messages lost, in place of the script's.
     Loss {
         part: f64,
     },
 }
 
 impl Script {
-    /// A built-in script, or one from a file.
+    /// Loads a built-in script by name, or else a script from a file.
     ///
     /// # Errors
     ///
-    /// When there is none of that name, or it is not sound.
+    /// Fails if there is none of that name, or it is invalid.
     pub fn named(name: &str) -> Result<Self> {
         let built_in = BUILT_IN.iter().find(|(built_in_name, _)| *built_in_name == name);
         let text = match built_in {
@@ -139,11 +140,11 @@
         BUILT_IN.map(|(name, _)| name).join(", ")
     }
 
-    /// Reads a script.
+    /// Parses a script.
     ///
     /// # Errors
     ///
-    /// When it is no TOML of this form, or its times or parts are out of range.
+    /// Fails if it is not TOML of this form, or a time or share is out of range.
     pub fn parse(text: &str) -> Result<Self> {
         let script: Self = toml::from_str(text)?;
         let in_range = |seconds: f64| (0.0..=MAX_SECONDS).contains(&seconds);
@@ -151,14 +152,14 @@
             in_range(script.warm_up) && in_range(script.seconds),
             "times are not 0 to {MAX_SECONDS} seconds"
         );
-        ensure!((0.0..1.0).contains(&script.loss), "loss is no part");
+        ensure!((0.0..1.0).contains(&script.loss), "loss is not a share from 0 to below 1");
         ensure!(script.changes.every > 0.0, "changes.every is not above 0");
-        ensure!(script.changes.until <= script.seconds, "changes.until is after the end");
+        ensure!(script.changes.until <= script.seconds, "changes.until is after the end of the run");
         script.faults.iter().try_for_each(|fault| fault.check(&script))?;
         Ok(script)
     }
 
-    /// A time of the script in milliseconds since the run began.
+    /// Converts a time of the script to milliseconds since the run began.
     pub fn to_ms(&self, seconds: f64) -> f64 {
         (self.warm_up + seconds) * 1000.0
     }
@@ -168,11 +169,11 @@
         self.to_ms(self.seconds)
     }
 
-    /// Faults must fit the layout: zones, regions and control machines that are there.
+    /// Checks that the layout has the zones, regions and control machines that the faults name.
     ///
     /// # Errors
     ///
-    /// When one names what is not there.
+    /// Fails if a fault names one that the layout does not have.
     pub fn check(&self, layout: &Layout) -> Result<()> {
         for fault in &self.faults {
             let (number, count, what) = match fault.kind {
@@ -210,8 +211,8 @@
         self.at + self.duration
     }
 
-    /// The nodes that it befalls: those that are killed, paused, slow, or on the inner side of a cut. `place`
-    /// is the fault's place in its script.
+    /// The nodes that the fault affects: those killed, paused, slow, or on the inner side of a cut. `index`
+    /// is the fault's index in its script.
     pub fn affected_nodes(&self, layout: &Layout, index: usize, seed: u64) -> Vec<NodeId> {
         match self.kind {
             FaultKind::CutZone { zone, .. } | FaultKind::KillZone { zone } => layout.nodes_in_zone(zone),
--- a/lab/src/scale/tier.rs
+++ b/lab/src/scale/tier.rs
@@ -1,5 +1,5 @@
-//! The fleet over control machines: these decide among themselves and serve subscribers by scope; a border
-//! proxy subscribes to what it uses and neither gossips nor follows the log.
+//! The fleet with control machines: these agree among themselves and serve subscribers by scope. A border
+//! proxy subscribes to the scopes it uses and neither gossips nor follows the log.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -18,23 +18,23 @@
 use super::node::{ConfigChange, Fleet, Node, NotReady, Version};
 use super::scoped_machine::ScopedMachine;
 
-/// How often subscribers poll, and the age that their state may have, in milliseconds.
+/// Milliseconds between two polls of a subscriber, and the maximum age of its state.
 const POLL_INTERVAL_MS: f64 = 1_000.0;
 const LEASE_MS: f64 = 10_000.0;
-/// Bounds of a control machine, as the example settings have them: subscribers, bytes a second to all and to
-/// each, snapshots at once.
+/// Limits of a control machine, as in the example settings: subscribers, bytes per second to all and to each,
+/// concurrent snapshots.
 const MAX_SUBSCRIBERS: usize = 4_096;
 const BYTES_PER_SECOND: f64 = 8e6;
 const SUBSCRIBER_BYTES_PER_SECOND: f64 = 3_000.0;
 const SNAPSHOTS_AT_ONCE: usize = 64;
-/// Bytes of the largest scope that a subscriber takes.
+/// Maximum bytes of a scope that a subscriber accepts.
 const MAX_SCOPE_BYTES: usize = 1 << 20;
 
-/// What the nodes have in common.
+/// A fleet with control machines: the terms and keys shared by its nodes.
 pub struct TierFleet {
     layout: Layout,
     council: CouncilTerms,
-    /// All nodes, as a control machine knows them.
+    /// Keys of all nodes, known to the control machines.
     all_nodes: Roster,
     controls: Vec<ControlMachine>,
     addresses: Arc<BTreeMap<Id, SocketAddr>>,
@@ -73,7 +73,7 @@
     }
 }
 
-/// A border proxy: it holds its scopes.
+/// A border proxy: subscribes to its scopes.
 pub struct SubscriberNode {
     channel: Channel,
     subscriber: Subscriber<SharedKeys>,
@@ -108,7 +108,7 @@
         started
     }
 
-    /// Looks at what has come into force, and keeps what is to be kept.
+    /// Records the versions that have come into force, and saves the state if it changed.
     fn apply_changes(&mut self) {
         while let Some(scope) = self.subscriber.changed() {
             let newest =
@@ -151,7 +151,7 @@
         self.versions.get(&scope).copied().unwrap_or(0)
     }
 
-    /// A border proxy decides nothing.
+    /// Always fails: a border proxy does not take part in decisions.
     fn propose(&mut self, _: f64, _: usize, _: &ConfigChange) -> Result<(), NotReady> {
         Err(NotReady)
     }
@@ -169,12 +169,12 @@
     }
 }
 
-/// A control machine: it follows the log and serves subscribers.
+/// A control machine: follows the log and serves subscribers.
 pub struct ControlNode {
     council: CouncilNode<ScopedMachine>,
     channel: Channel,
     control: Control,
-    /// Where each subscriber was last heard.
+    /// Address from which each subscriber's last message came.
     addresses: HashMap<Id, SocketAddr>,
     control_roster: Arc<Roster>,
     certified: Version,
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Hands what was decided to those who are served, and asks the council for them.
+    /// Passes decisions, certificates and freshness proofs to `control`, and its requests to the council.
     fn exchange(&mut self, now: f64) {
         let agreement = self.council.agreement();
         let applied = agreement.applied();
@@ -288,7 +288,7 @@
     }
 }
 
-/// Either of them.
+/// A border proxy or a control machine.
 pub enum TierNode {
     Subscriber(Box<SubscriberNode>),
     Control(Box<ControlNode>),
--- a/lab/src/scale/virtual_run.rs
+++ b/lab/src/scale/virtual_run.rs
@@ -1,4 +1,4 @@
-//! Plays a scale run under the virtual clock and judges it.
+//! Executes a scale run under the virtual clock and evaluates it.
 
 use std::time::Duration;
 
@@ -15,25 +15,25 @@
 use super::script::Script;
 use super::tier::TierFleet;
 
-/// Bytes that a member of a flat fleet holds of each other member, and that any node holds of itself.
+/// Estimated bytes that a node holds per other node it gossips with, and for itself.
 const FLAT_BYTES_PER_PAIR: f64 = 900.0;
 const BYTES_PER_NODE: f64 = 200_000.0;
 
-/// What is to be result.
+/// Settings of a scale run.
 #[derive(Clone, Debug)]
 pub struct VirtualRun {
     pub layout: LayoutTerms,
     pub script: Script,
     pub seed: u64,
     pub threads: usize,
-    /// Everybody gossips with everybody, without control machines.
+    /// Every node gossips with every other, without control machines.
     pub flat: bool,
-    /// The run is broken off when it has taken so long by the wall clock.
+    /// The run is stopped after this much wall-clock time.
     pub max_wall_time: Duration,
 }
 
 impl VirtualRun {
-    /// What it will take of this machine.
+    /// Estimate of the resources that the run needs.
     pub fn need(&self) -> Need {
         let controls = self.layout.regions * self.layout.controls_per_region;
         let nodes = (self.layout.proxies + controls) as f64;
@@ -42,11 +42,11 @@
         Need { memory, processes: 1, descriptors: 0 }
     }
 
-    /// Plays it; `progress` is told the virtual time in milliseconds.
+    /// Executes the run; `progress` gets the virtual time reached, in milliseconds.
     ///
     /// # Errors
     ///
-    /// When the machine does not bear it, the layout or the script is not sound, or the time is over first.
+    /// Fails if the machine lacks the resources, the layout or script is invalid, or the time runs out.
     pub fn execute(&self, progress: &(dyn Fn(f64) + Sync)) -> Result<Report> {
         resources::check(&self.need(), &Free::now())?;
         let layout = Layout::new(self.layout, self.seed)?;
@@ -75,7 +75,7 @@
         };
         let result = engine::run(fleet, &plan, progress);
         let (reached, end) = (result.reached_ms / 1000.0, self.script.end_ms() / 1000.0);
-        ensure!(reached >= end, "broken off after {:?} at {reached:.1} of {end:.1} s", self.max_wall_time);
+        ensure!(reached >= end, "stopped after {:?} at {reached:.1} of {end:.1} s", self.max_wall_time);
         let in_force = evaluation::in_force(layout, &self.script, self.seed, (&proposals, &bursts), &result);
         Ok(self.report(layout, in_force, &result))
     }
--- a/lab/tests/scale/layout.rs
+++ b/lab/tests/scale/layout.rs
@@ -1,10 +1,10 @@
-//! Regions, zones, services and control machines are as the operators' target has them.
+//! Regions, zones, services and control machines match the operators' target.
 
 use lab::scale::layout::{Layout, LayoutTerms, Scope};
 use rstest::rstest;
 
 fn layout(proxies: usize, seed: u64) -> Layout {
-    Layout::new(LayoutTerms { proxies, ..LayoutTerms::default() }, seed).expect("sound terms")
+    Layout::new(LayoutTerms { proxies, ..LayoutTerms::default() }, seed).expect("valid terms")
 }
 
 #[test]
@@ -18,7 +18,7 @@
 }
 
 #[rstest]
-fn any_size_gives_each_proxy_one_service(#[values(1, 2, 26, 40, 333, 1_000, 10_000)] proxies: usize) {
+fn each_proxy_has_one_service_at_any_fleet_size(#[values(1, 2, 26, 40, 333, 1_000, 10_000)] proxies: usize) {
     let laid_out = layout(proxies, 1);
     assert_eq!(laid_out.service_sizes().iter().sum::<usize>(), proxies);
     assert_eq!(laid_out.node_count(), proxies + 18);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn voters_stand_in_regions_of_their_own() {
+fn no_two_voters_share_a_region() {
     let target = layout(100, 1);
     let mut regions: Vec<usize> = target.voters().iter().map(|&voter| target.site(voter).region).collect();
     regions.sort_unstable();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_proxy_subscribes_to_its_own_places_and_services_and_a_control_machine_to_nothing() {
+fn a_proxy_subscribes_to_its_region_zone_and_services_and_a_control_machine_to_nothing() {
     let laid_out = layout(1_000, 1);
     assert_eq!(laid_out.scopes(0), Vec::new());
     for node in laid_out.controls..laid_out.node_count() {
@@ -56,12 +56,12 @@
         let mut services = scopes[3..].to_vec();
         services.sort_unstable();
         services.dedup();
-        assert_eq!(services.len(), 5, "its own and four called");
+        assert_eq!(services.len(), 5, "its own service and four called ones");
     }
 }
 
 #[test]
-fn delays_are_as_far_apart_as_places_are() {
+fn delays_grow_from_zone_to_region_to_other_regions() {
     let laid_out = layout(1_000, 1);
     let (one, near) = (laid_out.nodes_in_zone(0)[0], laid_out.nodes_in_zone(0)[1]);
     let (next, far) = (laid_out.nodes_in_zone(1)[0], laid_out.nodes_in_zone(15)[0]);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn one_seed_gives_one_layout_and_another_seed_another() {
+fn a_layout_depends_on_its_seed_only() {
     let scopes = |seed| (18..1_018).map(|node| layout(1_000, seed).scopes(node)).collect::<Vec<_>>();
     let first = scopes(1);
     assert_eq!(first, scopes(1));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn addresses_lead_back_to_their_nodes() {
+fn an_address_maps_back_to_its_node() {
     let laid_out = layout(33_000, 1);
     for node in [0, 255, 256, 33_017] {
         assert_eq!(laid_out.node_at(Layout::address(node)), Some(node));
@@ -93,6 +93,6 @@
 #[case::too_few_zones(LayoutTerms { zones: 5, ..LayoutTerms::default() })]
 #[case::more_voters_than_controls(LayoutTerms { voters: 19, ..LayoutTerms::default() })]
 #[case::delays_out_of_order(LayoutTerms { zone_delay: 2.0, ..LayoutTerms::default() })]
-fn terms_that_contradict_each_other_are_refused(#[case] terms: LayoutTerms) {
+fn contradictory_terms_are_rejected(#[case] terms: LayoutTerms) {
     assert!(Layout::new(terms, 1).is_err());
 }
--- a/lab/tests/scale/main.rs
+++ b/lab/tests/scale/main.rs
@@ -1,4 +1,4 @@
-//! Scale runs: the layout, the script, the look at the machine, and the virtual clock.
+//! Scale runs: the layout, the script, the check of the machine's resources, and the virtual clock.
 
 mod engine;
 mod flat;
--- a/lab/tests/scale/network.rs
+++ b/lab/tests/scale/network.rs
@@ -1,4 +1,4 @@
-//! Cuts, loss and stalls hold when and where the script says.
+//! Cuts, loss and stalls apply when and where the script says.
 
 use lab::scale::layout::{Layout, LayoutTerms, NodeId};
 use lab::scale::network::{Network, Period, Stall};
@@ -8,10 +8,10 @@
 const CUT_ZONE: usize = 15;
 
 fn loss(fault: &str, now: f64, inwards: bool) -> f64 {
-    let layout = Layout::new(LayoutTerms { proxies: 64, ..LayoutTerms::default() }, 1).expect("sound");
+    let layout = Layout::new(LayoutTerms { proxies: 64, ..LayoutTerms::default() }, 1).expect("valid");
     let head =
         "name = \"x\"\nwarm_up = 1.0\nseconds = 9.0\nloss = 0.1\n[changes]\nevery = 1.0\nuntil = 8.0\n";
-    let script = Script::parse(&format!("{head}[[fault]]\nat = 2.0\nfor = 3.0\n{fault}\n")).expect("sound");
+    let script = Script::parse(&format!("{head}[[fault]]\nat = 2.0\nfor = 3.0\n{fault}\n")).expect("valid");
     let (inside, outside): (NodeId, NodeId) = (layout.nodes_in_zone(CUT_ZONE)[0], layout.nodes_in_zone(0)[0]);
     let (from, to) = if inwards { (outside, inside) } else { (inside, outside) };
     Network::new(&script).loss(now, &layout, from, to)
@@ -25,7 +25,11 @@
 #[case::in_stops_in("kind = \"cut_region\"\nregion = 5\nways = \"in\"", true, 1.0)]
 #[case::another_zone("kind = \"cut_zone\"\nzone = 7\nways = \"both\"", true, 0.1)]
 #[case::loss("kind = \"loss\"\npart = 0.3", true, 0.3)]
-fn a_cut_stops_what_it_names_while_it_lasts(#[case] fault: &str, #[case] inwards: bool, #[case] part: f64) {
+fn a_cut_or_loss_applies_only_to_its_links_and_period(
+    #[case] fault: &str,
+    #[case] inwards: bool,
+    #[case] part: f64,
+) {
     assert_eq!(loss(fault, 3_000.0, inwards), part);
     assert_eq!(loss(fault, 5_999.0, inwards), part);
     assert_eq!(loss(fault, 2_999.0, inwards), 0.1);
