--- a/lab/src/capacity/scenarios.rs
+++ b/lab/src/capacity/scenarios.rs
@@ -63,8 +63,8 @@
 }
 
 fn agree_subjects() -> Vec<Subject> {
-    let at_follower = |id, unit, limit| subject(id, unit, "members", "agree/src/follow.rs", limit);
-    let at_leader = |id, unit, limit| subject(id, unit, "members", "agree/src/replicate.rs", limit);
+    let at_follower = |id, unit, limit| subject(id, unit, "members", "agree/src/dissemination.rs", limit);
+    let at_leader = |id, unit, limit| subject(id, unit, "members", "agree/src/replication.rs", limit);
     vec![
         at_follower("agree.decision: one decision known to the last, no cap", "ms", Some(TARGET_IN_FORCE_MS)),
         at_follower("agree.burst: 50 in a second, last, no cap", "ms", Some(TARGET_IN_FORCE_MS)),
