--- a/lab/src/drills/simulated.rs
+++ b/lab/src/drills/simulated.rs
@@ -325,9 +325,9 @@
     }
 
     fn run_actions(&mut self) {
-        while let Some(out) = self.cluster.next_action() {
+        while let Some(action) = self.cluster.next_action() {
             let now = self.now;
-            match out {
+            match action {
                 Action::Datagram { from, to, bytes } => {
                     let proxy = index(to);
                     let (side, peer) = match from {
--- a/lab/src/drills/sockets/mod.rs
+++ b/lab/src/drills/sockets/mod.rs
@@ -301,12 +301,12 @@
     }
 
     async fn run_actions(&mut self) -> Result<()> {
-        while let Some(out) = self.cluster.next_action() {
-            match out {
+        while let Some(action) = self.cluster.next_action() {
+            match action {
                 Action::Datagram { from, to, bytes } => {
-                    if let Some(stand_in) = self.listeners.get(&from) {
+                    if let Some(listener) = self.listeners.get(&from) {
                         // A datagram that the socket's buffer has no space for is lost.
-                        let _ = stand_in.socket.try_send_to(&bytes, to);
+                        let _ = listener.socket.try_send_to(&bytes, to);
                     }
                 }
                 Action::List { proxy, updates } => {
@@ -316,9 +316,9 @@
                     self.send_list(proxy, &updates.write()).await;
                 }
                 Action::ServerDown { server } => {
-                    if let Some(stand_in) = self.listeners.remove(&StandIn::Server(server)) {
-                        stand_in.reader.abort();
-                        let _ = stand_in.reader.await;
+                    if let Some(listener) = self.listeners.remove(&StandIn::Server(server)) {
+                        listener.reader.abort();
+                        let _ = listener.reader.await;
                     }
                 }
                 Action::ServerUp { server } => {
@@ -327,7 +327,7 @@
                 }
                 Action::ServerAdded { server } => self.add_server(server)?,
                 Action::KillProxy { proxy } => {
-                    self.script(proxy, f64::INFINITY);
+                    self.expect_fault(proxy, f64::INFINITY);
                     self.slots[proxy].subscriber = None;
                     if let Some(mut child) = self.slots[proxy].child.take() {
                         child.kill().await?;
@@ -335,12 +335,12 @@
                 }
                 Action::StartProxy { proxy } => {
                     let now = self.now();
-                    self.script(proxy, now);
+                    self.expect_fault(proxy, now);
                     self.start(proxy)?;
                 }
                 Action::StallProxy { proxy, duration } => {
                     let now = self.now();
-                    self.script(proxy, now + duration);
+                    self.expect_fault(proxy, now + duration);
                     self.signal(proxy, Signal::SIGSTOP);
                     let sender = self.input_sender.clone();
                     tokio::spawn(async move {
--- a/lab/src/drills/sockets/releasing.rs
+++ b/lab/src/drills/sockets/releasing.rs
@@ -71,7 +71,7 @@
     }
 
     /// A scheduled fault accounts for the proxy until then.
-    pub(super) fn script(&mut self, proxy: usize, until: f64) {
+    pub(super) fn expect_fault(&mut self, proxy: usize, until: f64) {
         if let Some(availability) = &mut self.cluster.availability {
             availability.expect_fault(proxy, until);
         }
