--- a/lab/src/stand_ins/baseline.rs
+++ b/lab/src/stand_ins/baseline.rs
@@ -176,7 +176,7 @@
         Handle(place as u32)
     }
 
-    fn place(&mut self, handle: Handle) {
+    fn enqueue(&mut self, handle: Handle) {
         self.held.push(handle);
     }
 
@@ -184,7 +184,7 @@
         self.off(handle);
     }
 
-    fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
+    fn attempt_ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
         self.off(handle);
         let Some(kept) = &mut self.kept[handle.0 as usize] else { return };
         if finished || kept.over {
@@ -299,14 +299,14 @@
     fn accept(&mut self, call: &Call) -> Handle {
         pass_on!(self, accept(call))
     }
-    fn place(&mut self, handle: Handle) {
-        pass_on!(self, place(handle));
+    fn enqueue(&mut self, handle: Handle) {
+        pass_on!(self, enqueue(handle));
     }
     fn established(&mut self, handle: Handle) {
         pass_on!(self, established(handle));
     }
-    fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
-        pass_on!(self, ended(handle, ending, finished, host));
+    fn attempt_ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
+        pass_on!(self, attempt_ended(handle, ending, finished, host));
     }
     fn caller_gone(&mut self, handle: Handle) {
         pass_on!(self, caller_gone(handle));
--- a/proxy/src/border/callers.rs
+++ b/proxy/src/border/callers.rs
@@ -111,7 +111,7 @@
         }
         self.host.conversations[index] = Some(conversation);
         self.host.by_caller.insert(caller, handle);
-        self.module.place(handle);
+        self.module.enqueue(handle);
     }
 
     /// The key by which a caller that dials again is recognised. It includes the called number, as many
@@ -148,7 +148,7 @@
             self.module.caller_gone(handle);
         }
         if had_attempt {
-            self.module.ended(handle, ending, true, &mut self.host);
+            self.module.attempt_ended(handle, ending, true, &mut self.host);
         }
     }
 }
--- a/proxy/src/border/servers.rs
+++ b/proxy/src/border/servers.rs
@@ -108,7 +108,7 @@
         *(if cut { &mut self.host.counters.cut } else { &mut self.host.counters.cleared }) += 1;
         self.host.record_outcome(handle, if cut { Outcome::Cut } else { Outcome::Completed });
         self.host.close(handle, if cut { causes::CUT } else { cause::NORMAL_CLEARING }, None);
-        self.module.ended(handle, ending, true, &mut self.host);
+        self.module.attempt_ended(handle, ending, true, &mut self.host);
     }
 
     /// Counts the end of an attempt and reports it to the module, which may send another attempt.
@@ -120,7 +120,7 @@
             Ending::Reset => counters.reset += 1,
             _ => {}
         }
-        self.module.ended(handle, ending, false, &mut self.host);
+        self.module.attempt_ended(handle, ending, false, &mut self.host);
     }
 
     /// Passes a server's report to the module and its rate to the fleet's limits.
--- a/proxy/src/decisions.rs
+++ b/proxy/src/decisions.rs
@@ -25,14 +25,14 @@
     fn set_within_share(&mut self, _tenant: usize, _within: Option<bool>) {}
     /// Accepts a call and returns its handle.
     fn accept(&mut self, call: &Call) -> Handle;
-    /// Admits an accepted conversation; [`Decisions::run_pending`] sends its first attempt, holds it or gives it
-    /// up.
-    fn place(&mut self, handle: Handle);
+    /// Queues an accepted conversation for its first decision; [`Decisions::run_pending`] sends its first attempt,
+    /// holds it or gives it up.
+    fn enqueue(&mut self, handle: Handle);
     /// Reports that a server answered the conversation's attempt.
     fn established(&mut self, handle: Handle);
     /// Reports the end of an attempt or of an established conversation; `finished` if the caller needs no
     /// further answer.
-    fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host);
+    fn attempt_ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host);
     /// Reports that the caller hung up before an answer.
     fn caller_gone(&mut self, handle: Handle);
     /// Runs pending decisions and sends the resulting requests to `host`.
@@ -67,13 +67,13 @@
     fn accept(&mut self, call: &Call) -> Handle {
         self.accept(call)
     }
-    fn place(&mut self, handle: Handle) {
+    fn enqueue(&mut self, handle: Handle) {
         handle.enqueue(self);
     }
     fn established(&mut self, handle: Handle) {
         handle.established(self);
     }
-    fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
+    fn attempt_ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
         handle.attempt_ended(self, ending, finished, host);
     }
     fn caller_gone(&mut self, handle: Handle) {
--- a/proxy/src/watch.rs
+++ b/proxy/src/watch.rs
@@ -173,13 +173,13 @@
     fn accept(&mut self, call: &Call) -> Handle {
         self.module.accept(call)
     }
-    fn place(&mut self, handle: Handle) {
+    fn enqueue(&mut self, handle: Handle) {
         handle.enqueue(&mut self.module);
     }
     fn established(&mut self, handle: Handle) {
         handle.established(&mut self.module);
     }
-    fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
+    fn attempt_ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
         self.decide_twice(host, |module, host| handle.attempt_ended(module, ending, finished, host));
     }
     fn caller_gone(&mut self, handle: Handle) {
--- a/proxy/tests/scenarios.rs
+++ b/proxy/tests/scenarios.rs
@@ -382,15 +382,15 @@
     for now in [0.0, 10.0, 20.0] {
         watched.advance_clock(now);
         let handle = watched.accept(&call);
-        watched.place(handle);
+        watched.enqueue(handle);
         watched.run_pending(&mut attempts);
         if now == 0.0 {
             watched.reported(Server(0), Report { retry_after: Some(500.0), ..Report::default() });
-            watched.ended(handle, Ending::Rejected, false, &mut attempts);
+            watched.attempt_ended(handle, Ending::Rejected, false, &mut attempts);
             watched.run_pending(&mut attempts);
         }
         watched.established(handle);
-        watched.ended(handle, Ending::Ok, true, &mut attempts);
+        watched.attempt_ended(handle, Ending::Ok, true, &mut attempts);
     }
     (attempts, watched.differences())
 }
