--- a/lab/src/stand_ins/baseline.rs
+++ b/lab/src/stand_ins/baseline.rs
@@ -180,7 +180,7 @@
         Handle(place as u32)
     }
 
-    fn place(&mut self, handle: Handle) {
+    fn enqueue(&mut self, handle: Handle) {
         self.queue.push(handle);
     }
 
@@ -188,7 +188,7 @@
         self.attempt_ended(handle);
     }
 
-    fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
+    fn attempt_ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
         self.attempt_ended(handle);
         let Some(calls) = &mut self.calls[handle.0 as usize] else { return };
         if finished || calls.caller_gone {
@@ -304,14 +304,14 @@
     fn accept(&mut self, call: &Call) -> Handle {
         delegate!(self, accept(call))
     }
-    fn place(&mut self, handle: Handle) {
-        delegate!(self, place(handle));
+    fn enqueue(&mut self, handle: Handle) {
+        delegate!(self, enqueue(handle));
     }
     fn established(&mut self, handle: Handle) {
         delegate!(self, established(handle));
     }
-    fn ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
-        delegate!(self, ended(handle, ending, finished, host));
+    fn attempt_ended(&mut self, handle: Handle, ending: Ending, finished: bool, host: &mut impl Host) {
+        delegate!(self, attempt_ended(handle, ending, finished, host));
     }
     fn caller_gone(&mut self, handle: Handle) {
         delegate!(self, caller_gone(handle));
