--- a/daemon/src/council.rs
+++ b/daemon/src/council.rs
@@ -1,5 +1,5 @@
-//! Keeps on the disk what a proxy must not forget of the decisions. `agree::disk` says what; this reads it
-//! once, and writes and syncs what is handed to it, away from the loop. A lock beside the file keeps a second
+//! The file that persists a council member's state. `agree::disk` defines its content; this module reads it
+//! once, then writes and syncs what it is given on a blocking thread. A lock file beside it keeps a second
 //! process out.
 
 use std::fs::{self, File, OpenOptions};
@@ -11,71 +11,71 @@
 use anyhow::{Context, Result, bail};
 use tokio::sync::mpsc;
 
-/// The file, while this process has it.
-pub struct Keeper {
+/// The state file, locked by this process.
+pub struct CouncilFile {
     path: PathBuf,
     file: Arc<Mutex<Option<File>>>,
-    told: mpsc::Sender<io::Result<()>>,
+    results: mpsc::Sender<io::Result<()>>,
     _lock: File,
 }
 
-impl Keeper {
-    /// Reads what the file holds, and keeps other processes from it. What each write came to is told over
-    /// `told`.
+impl CouncilFile {
+    /// Locks and reads the file. The result of each later write is sent to `results`.
     pub fn open(
         path: &Path,
-        told: mpsc::Sender<io::Result<()>>,
+        results: mpsc::Sender<io::Result<()>>,
     ) -> Result<(Self, Result<PersistedState, RecoveryError>)> {
-        let folder = path.parent().context("a file in a folder wanted")?;
+        let folder = path.parent().context("the path has no parent directory")?;
         fs::create_dir_all(folder)?;
         let lock =
             OpenOptions::new().create(true).truncate(false).write(true).open(path.with_extension("lock"))?;
         if lock.try_lock().is_err() {
-            bail!("another process has it");
+            bail!("another process has locked it");
         }
-        let found = match fs::read(path) {
+        let recovered = match fs::read(path) {
             Ok(bytes) => recover(&bytes),
             Err(error) if error.kind() == io::ErrorKind::NotFound => Err(RecoveryError::Empty),
             Err(error) => return Err(error.into()),
         };
-        if let Err(lost @ (RecoveryError::Damaged { .. } | RecoveryError::Inconsistent)) = &found {
-            // Kept for whoever wants to look; this proxy has no vote by it any more.
-            let aside = path.with_extension("damaged");
-            tracing::error!(aside = %aside.display(), "council.state_lost: {lost}");
-            fs::rename(path, aside)?;
+        if let Err(lost @ (RecoveryError::Damaged { .. } | RecoveryError::Inconsistent)) = &recovered {
+            // Kept aside for inspection; the proxy has no vote based on it any more.
+            let damaged_copy = path.with_extension("damaged");
+            tracing::error!(aside = %damaged_copy.display(), "council.state_lost: {lost}");
+            fs::rename(path, damaged_copy)?;
         }
         let file = Arc::new(Mutex::new(None));
-        Ok((Self { path: path.to_owned(), file, told, _lock: lock }, found))
+        Ok((Self { path: path.to_owned(), file, results, _lock: lock }, recovered))
     }
 
-    /// Begins to write and sync.
+    /// Starts a write with its sync.
     pub fn write(&self, write: DiskWrite) {
-        let (path, file, told) = (self.path.clone(), self.file.clone(), self.told.clone());
+        let (path, file, results) = (self.path.clone(), self.file.clone(), self.results.clone());
         tokio::task::spawn_blocking(move || {
             let mut file = file.lock().expect("no writer panics");
-            let done = if write.replaces_file {
-                put(&path, &write.bytes).map(|put| *file = Some(put))
+            let result = if write.replaces_file {
+                replace_file(&path, &write.bytes).map(|replace_file| *file = Some(replace_file))
             } else {
-                add(&file, &write.bytes)
+                append(&file, &write.bytes)
             };
-            let _ = told.blocking_send(done);
+            let _ = results.blocking_send(result);
         });
     }
 }
 
-/// A whole new file in the place of the old one, or the old one still.
-fn put(path: &Path, bytes: &[u8]) -> io::Result<File> {
+/// Replaces the file atomically: after a crash either the new file or the old one is there.
+fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<File> {
     let folder = path.parent().unwrap_or(Path::new("."));
-    let mut fresh = tempfile::NamedTempFile::new_in(folder)?;
-    fresh.write_all(bytes)?;
-    fresh.as_file().sync_all()?;
-    let file = fresh.persist(path)?;
+    let mut temporary = tempfile::NamedTempFile::new_in(folder)?;
+    temporary.write_all(bytes)?;
+    temporary.as_file().sync_all()?;
+    let file = temporary.persist(path)?;
     File::open(folder)?.sync_all()?;
     Ok(file)
 }
 
-fn add(file: &Option<File>, bytes: &[u8]) -> io::Result<()> {
-    let mut file = file.as_ref().ok_or_else(|| io::Error::other("nothing was written yet"))?;
+/// Appends to the file and syncs it.
+fn append(file: &Option<File>, bytes: &[u8]) -> io::Result<()> {
+    let mut file = file.as_ref().ok_or_else(|| io::Error::other("the file was not written yet"))?;
     file.write_all(bytes)?;
     file.sync_data()
 }
--- a/daemon/src/distribution.rs
+++ b/daemon/src/distribution.rs
@@ -1,5 +1,5 @@
-//! Distribution of decided state in the daemon: its keys, and the file that a subscriber keeps what it holds
-//! in.
+//! Distribution of decided state in the daemon: its keys, and the file in which a subscriber persists its
+//! scopes.
 
 use std::fs;
 use std::io::ErrorKind;
@@ -17,11 +17,14 @@
 use gossip::keys::Roster;
 
 use crate::keys::{self, Keyring};
-use crate::settings::{DistributionPlan, DistributionRole, Plan, ServedPlan, SubscriberPlan};
+use crate::settings::{
+    DistributionRole, DistributionSettings, ProxySettings, ServiceSettings, SubscriberSettings,
+};
 
 /// The file of a subscriber's state.
 pub struct StateFile {
     path: PathBuf,
+    /// State that is still to be written.
     unwritten: Option<Vec<u8>>,
     write_at: f64,
 }
@@ -31,7 +34,7 @@
         Self { path, unwritten: None, write_at: 0.0 }
     }
 
-    /// What was kept; nothing where there is no file that can be read.
+    /// Reads the saved state; none if there is no readable file.
     fn read(&self) -> Option<Vec<u8>> {
         match fs::read(&self.path) {
             Ok(bytes) => Some(bytes),
@@ -43,7 +46,7 @@
         }
     }
 
-    /// Keeps what the proxy holds now, at most once in [`STATE_WRITE_INTERVAL`].
+    /// Writes the proxy's state if it has changed, at most once per [`STATE_WRITE_INTERVAL`].
     pub fn turn(&mut self, now: f64, proxy: &mut BorderProxy<impl Decisions>) {
         if let Some(bytes) = proxy.distribution_state_to_save() {
             self.unwritten = Some(bytes);
@@ -56,122 +59,123 @@
         }
     }
 
-    /// Writes what waits, as the proxy stops.
+    /// Writes pending state when the proxy stops.
     pub fn finish(&mut self) {
         if let Some(bytes) = self.unwritten.take() {
             self.write(&bytes);
         }
     }
 
-    /// When [`StateFile::turn`] has something to write.
+    /// Returns when [`StateFile::turn`] has something to write, in milliseconds.
     pub fn due(&self) -> f64 {
         if self.unwritten.is_some() { self.write_at } else { f64::INFINITY }
     }
 
     fn write(&self, bytes: &[u8]) {
-        if let Err(error) = crate::run::write_whole(&self.path, bytes) {
+        if let Err(error) = crate::run::write_atomically(&self.path, bytes) {
             tracing::warn!(file = %self.path.display(), "distribution.unwritten: {error:#}");
         }
     }
 }
 
-/// Where a subscriber listens.
-pub fn listens(plan: &Plan) -> Option<&SubscriberPlan> {
-    match &plan.distribution.as_ref()?.role {
+/// Returns a subscriber's settings; none if this proxy is not a subscriber.
+pub fn subscriber_settings(settings: &ProxySettings) -> Option<&SubscriberSettings> {
+    match &settings.distribution.as_ref()?.role {
         DistributionRole::Subscriber(subscriber) => Some(subscriber),
         DistributionRole::Control(_) => None,
     }
 }
 
-/// Lets the proxy take part in the distribution by its settings, if it does. A control machine has to decide
-/// with others before. Gives the file that a subscriber keeps.
-pub fn begin(
+/// Starts this proxy's part in the distribution, if its settings give it one. A control machine must have
+/// joined the council before. Returns a subscriber's state file.
+pub fn start(
     proxy: &mut BorderProxy<impl Decisions>,
-    plan: &Plan,
+    settings: &ProxySettings,
     seed: u64,
     now: f64,
-    unix: f64,
+    unix_ms: f64,
 ) -> Result<Option<StateFile>> {
-    let Some(distribution) = &plan.distribution else { return Ok(None) };
-    match (&distribution.role, &plan.gossip) {
+    let Some(distribution) = &settings.distribution else { return Ok(None) };
+    match (&distribution.role, &settings.gossip) {
         (DistributionRole::Subscriber(subscriber), _) => {
             let file = StateFile::new(subscriber.file.clone());
-            let mut subscription = subscribe(subscriber, distribution, &plan.name, seed, now, unix)?;
+            let mut subscription = subscribe(subscriber, distribution, &settings.name, seed, now, unix_ms)?;
             if let Some(bytes) = file.read() {
                 let restored = subscription.restore(&bytes);
-                let (scopes, unproved) = (restored.scopes, restored.unproved);
+                let (scopes, unproved) = (restored.scopes, restored.unverified);
                 tracing::info!(scopes, unproved, "distribution.restored");
             }
             proxy.enable_distribution(Distribution::Subscribes(Box::new(subscription)));
             Ok(Some(file))
         }
-        (DistributionRole::Control(served), Some(gossip)) => {
-            let Keyring { secrets, .. } = Keyring::read(gossip, &plan.name).context("gossip")?;
-            let roster = keys::read_roster(&served.subscribers).context("distribution.subscribers")?;
-            let terms = service_terms(served, distribution.heartbeat);
-            let service = Service::new(terms, secrets, roster, seed, now, unix);
-            proxy.enable_distribution(Distribution::Serves(Box::new(service)));
+        (DistributionRole::Control(service), Some(gossip)) => {
+            let Keyring { secrets, .. } = Keyring::read(gossip, &settings.name).context("gossip")?;
+            let roster = keys::read_roster(&service.subscribers).context("distribution.subscribers")?;
+            let terms = service_terms(service, distribution.heartbeat);
+            let service_state = Service::new(terms, secrets, roster, seed, now, unix_ms);
+            proxy.enable_distribution(Distribution::Serves(Box::new(service_state)));
             Ok(None)
         }
         (DistributionRole::Control(_), None) => Ok(None),
     }
 }
 
-fn service_terms(served: &ServedPlan, heartbeat: f64) -> ServiceTerms {
+fn service_terms(service: &ServiceSettings, heartbeat: f64) -> ServiceTerms {
     ServiceTerms {
         heartbeat,
-        max_subscribers: served.most_subscribers,
-        bytes_per_second: served.bytes_per_second,
-        subscriber_bytes_per_second: served.subscriber_bytes_per_second,
-        snapshots_at_once: served.snapshots_at_once,
+        max_subscribers: service.max_subscribers,
+        bytes_per_second: service.bytes_per_second,
+        subscriber_bytes_per_second: service.subscriber_bytes_per_second,
+        snapshots_at_once: service.snapshots_at_once,
     }
 }
 
 fn subscribe(
-    plan: &SubscriberPlan,
-    distribution: &DistributionPlan,
+    settings: &SubscriberSettings,
+    distribution: &DistributionSettings,
     name: &str,
     seed: u64,
     now: f64,
-    unix: f64,
+    unix_ms: f64,
 ) -> Result<Subscription> {
-    let Keyring { secrets, roster } = Keyring::read(plan, name).context("distribution")?;
-    let founders = plan.founders.iter().map(|name| named(&roster, "founders", name));
-    let controls = plan.controls.iter().map(|control| {
-        let id = named(&roster, "control", &control.name)?;
+    let Keyring { secrets, roster } = Keyring::read(settings, name).context("distribution")?;
+    let members = settings.bootstrap_members.iter().map(|name| roster_id(&roster, "founders", name));
+    let controls = settings.controls.iter().map(|control| {
+        let id = roster_id(&roster, "control", &control.name)?;
         let machine = ControlMachine { id, region: control.region };
         Ok(ControlAddress { machine, address: control.address })
     });
     let terms = SubscriptionTerms {
-        region: plan.region,
+        region: settings.region,
         controls: controls.collect::<Result<_>>()?,
-        bootstrap_members: founders.collect::<Result<_>>()?,
-        scopes: plan.scopes.clone(),
+        bootstrap_members: members.collect::<Result<_>>()?,
+        scopes: settings.scopes.clone(),
         heartbeat: distribution.heartbeat,
     };
-    Ok(Subscription::new(terms, FleetKeys { secrets, roster }, seed, now, unix))
+    Ok(Subscription::new(terms, FleetKeys { secrets, roster }, seed, now, unix_ms))
 }
 
-fn named(roster: &Roster, key: &str, name: &str) -> Result<Id> {
-    let found = roster.ids().find(|&id| roster.name(id) == Some(name));
-    found.with_context(|| format!("distribution.{key}: {name}: not in the roster"))
+/// Finds a member of a roster; `key` is the settings key for the error.
+fn roster_id(roster: &Roster, key: &str, name: &str) -> Result<Id> {
+    let id = roster.ids().find(|&id| roster.name(id) == Some(name));
+    id.with_context(|| format!("distribution.{key}: {name}: not in the roster"))
 }
 
 /// Reads the key files and rosters of the distribution again.
 ///
 /// # Errors
 ///
-/// What is wrong with them; the proxy goes on with the former ones then.
-pub fn rekey(proxy: &mut BorderProxy<impl Decisions>, plan: &Plan) -> Result<()> {
-    let Some(distribution) = &plan.distribution else { return Ok(()) };
-    let (secrets, roster) = match (&distribution.role, &plan.gossip) {
+/// What is wrong with them; the proxy then continues with the previous ones.
+pub fn rekey(proxy: &mut BorderProxy<impl Decisions>, settings: &ProxySettings) -> Result<()> {
+    let Some(distribution) = &settings.distribution else { return Ok(()) };
+    let (secrets, roster) = match (&distribution.role, &settings.gossip) {
         (DistributionRole::Subscriber(subscriber), _) => {
-            let Keyring { secrets, roster } = Keyring::read(subscriber, &plan.name)?;
+            let Keyring { secrets, roster } = Keyring::read(subscriber, &settings.name)?;
             (secrets, roster)
         }
-        (DistributionRole::Control(served), Some(gossip)) => {
-            let Keyring { secrets, .. } = Keyring::read(gossip, &plan.name)?;
-            (secrets, keys::read_roster(&served.subscribers)?)
+        (DistributionRole::Control(service), Some(gossip)) => {
+            let Keyring { secrets, .. } = Keyring::read(gossip, &settings.name)?;
+            (secrets, keys::read_roster(&service.subscribers)?)
         }
         (DistributionRole::Control(_), None) => return Ok(()),
     };
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,27 +1,27 @@
-//! The border proxy as a daemon: [`settings`] reads and checks its file, [`run`] drives it on sockets,
-//! [`serve`] does the same where the platform's protocol is spoken, [`control`] is the socket that operators
-//! ask.
+//! The border proxy as a daemon. [`settings`] reads and checks its settings file, [`run`] runs it on UDP
+//! sockets, [`serve`] runs it with the platform's protocol, and [`control`] is the socket for operators'
+//! requests.
 
 #![forbid(unsafe_code)]
 
 pub mod backlog;
 pub mod backoff;
+mod changelog_client;
 mod clock;
+mod connections;
 pub mod control;
 pub mod council;
 mod distribution;
 pub mod feed;
 pub mod journal;
 pub mod keys;
+mod pending_commands;
 pub mod records;
 pub mod release;
-mod replacing;
+mod release_agent;
 pub mod run;
 pub mod running_release;
 pub mod serve;
 pub mod settings;
 mod sockets;
-mod stamp;
-mod watch_log;
-mod wires;
-mod wishes;
+mod udp_timestamps;
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,5 @@
-//! `frostthread`: runs a border proxy, checks its settings, asks a running one for its status.
+//! The program `frostthread`: runs a border proxy, checks settings, and sends operators' requests to a
+//! running proxy.
 
 use std::fs;
 use std::io::{self, IsTerminal, Read};
@@ -10,10 +11,10 @@
 use border::distributed::{ChangeStatus, DistributionStatus};
 use border::status::{GossipStatus, LimitsStatus, Status};
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use daemon::control::Wished;
+use daemon::control::CommandRequest;
 use daemon::records::{self, RecordsCommand};
 use daemon::release::{self, Start};
-use daemon::settings::{self, Plan};
+use daemon::settings::{self, ProxySettings};
 use daemon::{control, keys, run, serve};
 use outs::Kind;
 use serde::Serialize;
@@ -33,7 +34,7 @@
     version,
     about = "An IAX2 call router: border proxies before central servers"
 )]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
@@ -44,103 +45,105 @@
     Run {
         #[arg(long)]
         config: PathBuf,
-        /// How log lines look
-        #[arg(long, value_enum, default_value_t = Log::Plain)]
-        log: Log,
+        /// Format of log lines
+        #[arg(long, value_enum, default_value_t = LogFormat::Plain)]
+        log: LogFormat,
     },
-    /// Run a border proxy as the platform starts it: told by LB_CONFIG, callers on LB_LISTEN, until SIGTERM
+    /// Run a border proxy as the platform starts it, until SIGTERM: LB_CONFIG is the configuration file,
+    /// LB_LISTEN the callers' address
     Serve {
-        /// How log lines look
-        #[arg(long, value_enum, default_value_t = Log::Plain)]
-        log: Log,
+        /// Format of log lines
+        #[arg(long, value_enum, default_value_t = LogFormat::Plain)]
+        log: LogFormat,
     },
-    /// Tell all that is wrong with a settings file (- for standard input); exit code 2 if anything is
+    /// Print all errors in a settings file (- for standard input); exit code 2 if there are any
     Check { file: PathBuf },
-    /// Print a full example of the settings, with a word on each
+    /// Print a full example of the settings, with a comment on each
     Settings,
-    /// Ask a running border proxy who else is there
+    /// Print which other proxies a running border proxy knows
     Members {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Ask a running border proxy which servers are called silent, by whom, and what it believes
+    /// Print which servers are suspected to be silent, by whom, and whether a running border proxy believes
+    /// it
     Suspicions {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Ask a running border proxy where it stands with the limits of the fleet
+    /// Print the fleet limits as a running border proxy applies them
     Limits {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Who decides for all proxies, and how this one stands with it; let a member in, or take one out
+    /// Print the council as a running border proxy sees it; add or remove a member
     Council {
         #[command(subcommand)]
-        what: CouncilCommand,
+        subcommand: CouncilCommand,
     },
-    /// Have no proxy send a central server anything new, by a decision of the fleet
+    /// Drain a central server by a decision of the fleet: no proxy sends it new calls
     Drain {
         server: String,
         /// Kept with the decision
         #[arg(long, default_value = "")]
         why: String,
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
-    /// Take a drain back
+    /// End a drain
     Undrain {
         server: String,
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
-    /// Replace the proxies of the fleet by a decision, in waves
+    /// Replace the proxies of the fleet in waves, by a decision of the fleet
     Release {
         #[command(subcommand)]
-        what: ReleaseCommand,
+        subcommand: ReleaseCommand,
     },
-    /// Ask a running border proxy who is out by the fleet's decision, since when and why
+    /// Print which servers and proxies are unavailable by the fleet's decision, since when and why
     Outs {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Ask a running border proxy how decided state reaches it by scope, and how old that is
+    /// Print a running border proxy's scopes of distributed state, and how old they are
     Distribution {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Ask a running control machine who of its subscribers has the newest changes, and who lacks them
+    /// Print which subscribers of a running control machine have the newest changes, and which lack them
     Changes {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Have a running border proxy read its key files and roster again
+    /// Make a running border proxy read its key files and roster again
     Rekey {
         #[arg(long)]
         config: PathBuf,
     },
-    /// Look at call detail records
+    /// Print call detail records
     Records {
         #[command(subcommand)]
-        what: RecordsCommand,
+        subcommand: RecordsCommand,
     },
-    /// Make or look at key files
+    /// Create key files, or print their public keys
     Key {
         #[command(subcommand)]
-        what: KeyCommand,
+        subcommand: KeyCommand,
     },
-    /// Ask a running border proxy for its servers, conversations and counters
+    /// Print a running border proxy's servers, conversations and counters
     Status {
         #[arg(long)]
         config: PathBuf,
@@ -151,68 +154,69 @@
 
 #[derive(Subcommand)]
 enum CouncilCommand {
-    /// Print it
+    /// Print the council's state
     State {
         #[arg(long)]
         config: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Give a proxy of the roster a seat
+    /// Give a proxy of the roster a vote
     Add {
         proxy: String,
-        /// The number of its disk, where no member has heard it: `council state` there has it
+        /// The number of its stored state, needed if no member has heard from it: `council state` there
+        /// prints it
         #[arg(long)]
         life: Option<u64>,
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
-    /// Take a proxy's seat
+    /// Take a proxy's vote
     Remove {
         proxy: String,
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
 }
 
 #[derive(Subcommand)]
 enum ReleaseCommand {
-    /// Put a file beside this proxy's state, and have all proxies look for it there
+    /// Copy a file into this proxy's state directory, and make all proxies look for it in theirs
     Stage {
         file: PathBuf,
         #[arg(long, value_enum)]
-        kind: Staged,
+        kind: StagedKind,
         #[arg(long, default_value = "")]
         why: String,
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
-    /// Replace all proxies in waves, once all are ready; or go on after a halt
+    /// Replace all proxies in waves once all are ready, or continue after a halt
     Start {
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
-    /// Let nobody out for it any more
+    /// Let no further proxy be replaced
     Halt {
         #[arg(long, default_value = "")]
         why: String,
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
-    /// Have all go back that run it, the newest wave first
+    /// Revert all proxies that run the release, the newest wave first
     Back {
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
-    /// A proxy that is out never comes back: it takes up no place any more
+    /// Give up an unavailable proxy: it no longer counts towards those that may be unavailable
     WriteOff {
         proxy: String,
         #[arg(long)]
         why: String,
         #[command(flatten)]
-        order: Order,
+        options: DecisionOptions,
     },
-    /// Print it
+    /// Print the release's state
     State {
         #[arg(long)]
         config: PathBuf,
@@ -222,26 +226,26 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Staged {
+enum StagedKind {
     Settings,
     Program,
 }
 
-impl From<Staged> for Kind {
-    fn from(staged: Staged) -> Self {
+impl From<StagedKind> for Kind {
+    fn from(staged: StagedKind) -> Self {
         match staged {
-            Staged::Settings => Self::Settings,
-            Staged::Program => Self::Program,
+            StagedKind::Settings => Self::Settings,
+            StagedKind::Program => Self::Program,
         }
     }
 }
 
-/// How something is asked for. Exit code 3 where it is refused, 1 where it was not decided in time.
+/// How a decision is requested. Exit code 3 if it is refused, 1 if it was not decided in time.
 #[derive(Args)]
-struct Order {
+struct DecisionOptions {
     #[arg(long)]
     config: PathBuf,
-    /// Only tell what it would come to, by what the proxy knows
+    /// Only print the predicted outcome, by what the proxy knows
     #[arg(long)]
     dry_run: bool,
     #[arg(long)]
@@ -250,32 +254,32 @@
 
 #[derive(Subcommand)]
 enum KeyCommand {
-    /// Draw a secret key into a new file, and print its public key
+    /// Write a random secret key to a new file, and print its public key
     New { file: PathBuf },
-    /// Print the public key of a secret one, as a roster has it
+    /// Print the public key of a secret key file, as rosters list it
     Public { file: PathBuf },
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Log {
+enum LogFormat {
     Plain,
     Json,
 }
 
-impl Log {
-    fn begin(self) {
+impl LogFormat {
+    fn install(self) {
         let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
-        let lines = tracing_subscriber::fmt().with_env_filter(filter).with_writer(io::stderr);
-        let lines = lines.with_ansi(io::stderr().is_terminal());
+        let subscriber = tracing_subscriber::fmt().with_env_filter(filter).with_writer(io::stderr);
+        let subscriber = subscriber.with_ansi(io::stderr().is_terminal());
         match self {
-            Self::Plain => lines.init(),
-            Self::Json => lines.json().init(),
+            Self::Plain => subscriber.init(),
+            Self::Json => subscriber.json().init(),
         }
     }
 }
 
 fn main() -> ExitCode {
-    match carry_out(Line::parse().command) {
+    match execute(CommandLine::parse().command) {
         Ok(code) => code,
         Err(error) => {
             eprintln!("frostthread: {error:#}");
@@ -284,8 +288,8 @@
     }
 }
 
-/// Reads a plan; tells all that is wrong with it.
-fn plan(file: &Path) -> Result<Option<Plan>> {
+/// Reads a settings file; prints its errors and returns none if there are any.
+fn read_settings(file: &Path) -> Result<Option<ProxySettings>> {
     let mut source = String::new();
     if file == Path::new("-") {
         io::stdin().read_to_string(&mut source)?;
@@ -293,7 +297,7 @@
         source = fs::read_to_string(file).with_context(|| format!("{}", file.display()))?;
     }
     match settings::read(&source) {
-        Ok(plan) => Ok(Some(plan)),
+        Ok(proxy_settings) => Ok(Some(proxy_settings)),
         Err(faults) => {
             for fault in faults {
                 eprintln!("{}: {fault}", file.display());
@@ -303,154 +307,173 @@
     }
 }
 
-fn carry_out(command: Command) -> Result<ExitCode> {
-    let wrong = ExitCode::from(2);
+fn execute(command: Command) -> Result<ExitCode> {
+    let invalid_settings = ExitCode::from(2);
     match command {
         Command::Settings => print!("{}", settings::EXAMPLE),
         Command::Check { file } => {
-            let Some(plan) = plan(&file)? else { return Ok(wrong) };
-            println!("{}: fit to run as {}", file.display(), plan.name);
+            let Some(proxy_settings) = read_settings(&file)? else { return Ok(invalid_settings) };
+            println!("{}: valid settings of {}", file.display(), proxy_settings.name);
         }
         Command::Serve { log } => {
-            log.begin();
+            log.install();
             runtime()?.block_on(serve::serve())?;
         }
         Command::Run { config, log } => {
-            log.begin();
-            let Some(plan) = plan(&config)? else { return Ok(wrong) };
-            run_by(plan, config)?;
+            log.install();
+            let Some(proxy_settings) = read_settings(&config)? else { return Ok(invalid_settings) };
+            run_with_releases(proxy_settings, config)?;
         }
-        Command::Release { what } => return carry_out_release(what),
-        Command::Records { what } => records::carry_out(&what)?,
-        Command::Key { what: KeyCommand::New { file } } => println!("{}", keys::draw(&file)?),
-        Command::Key { what: KeyCommand::Public { file } } => println!("{}", keys::public(&file)?),
+        Command::Release { subcommand } => return execute_release(subcommand),
+        Command::Records { subcommand } => records::execute(&subcommand)?,
+        Command::Key { subcommand: KeyCommand::New { file } } => println!("{}", keys::generate(&file)?),
+        Command::Key { subcommand: KeyCommand::Public { file } } => println!("{}", keys::public(&file)?),
         Command::Rekey { config } => {
-            if ask::<serde_json::Value>(&config, "rekey")?.is_none() {
-                return Ok(wrong);
+            if request::<serde_json::Value>(&config, "rekey")?.is_none() {
+                return Ok(invalid_settings);
             }
-            println!("it goes on with the keys as they are now");
+            println!("keys reloaded");
         }
         Command::Members { config, json } => {
-            let Some(gossip) = ask::<GossipStatus>(&config, "gossip")? else { return Ok(wrong) };
-            tell(json, &gossip.members, || show_members(&gossip))?;
+            let Some(gossip) = request::<GossipStatus>(&config, "gossip")? else {
+                return Ok(invalid_settings);
+            };
+            print_status(json, &gossip.members, || show_members(&gossip))?;
         }
         Command::Suspicions { config, json } => {
-            let Some(gossip) = ask::<GossipStatus>(&config, "gossip")? else { return Ok(wrong) };
-            tell(json, &gossip.suspicions, || show_suspicions(&gossip))?;
+            let Some(gossip) = request::<GossipStatus>(&config, "gossip")? else {
+                return Ok(invalid_settings);
+            };
+            print_status(json, &gossip.suspicions, || show_suspicions(&gossip))?;
         }
         Command::Limits { config, json } => {
-            let Some(limits) = ask::<LimitsStatus>(&config, "limits")? else { return Ok(wrong) };
-            tell(json, &limits, || show_limits(&limits))?;
+            let Some(limits) = request::<LimitsStatus>(&config, "limits")? else {
+                return Ok(invalid_settings);
+            };
+            print_status(json, &limits, || show_limits(&limits))?;
+        }
+        Command::Council { subcommand: CouncilCommand::State { config, json } } => {
+            let Some(council) = request::<CouncilStatus>(&config, "council")? else {
+                return Ok(invalid_settings);
+            };
+            print_status(json, &council, || show_council(&council))?;
         }
-        Command::Council { what: CouncilCommand::State { config, json } } => {
-            let Some(council) = ask::<CouncilStatus>(&config, "council")? else { return Ok(wrong) };
-            tell(json, &council, || show_council(&council))?;
+        Command::Council { subcommand: CouncilCommand::Add { proxy, life, options } } => {
+            return submit(OperatorCommand::Add { proxy, generation: life }, &options);
         }
-        Command::Council { what: CouncilCommand::Add { proxy, life, order } } => {
-            return wish(OperatorCommand::Add { proxy, generation: life }, &order);
+        Command::Council { subcommand: CouncilCommand::Remove { proxy, options } } => {
+            return submit(OperatorCommand::Remove { proxy }, &options);
         }
-        Command::Council { what: CouncilCommand::Remove { proxy, order } } => {
-            return wish(OperatorCommand::Remove { proxy }, &order);
+        Command::Drain { server, why, options } => {
+            return submit(OperatorCommand::Drain { server, why }, &options);
         }
-        Command::Drain { server, why, order } => return wish(OperatorCommand::Drain { server, why }, &order),
-        Command::Undrain { server, order } => return wish(OperatorCommand::Undrain { server }, &order),
+        Command::Undrain { server, options } => return submit(OperatorCommand::Undrain { server }, &options),
         Command::Outs { config, json } => {
-            let Some(outs) = ask::<AvailabilityStatus>(&config, "outs")? else { return Ok(wrong) };
-            tell(json, &outs, || show_outs(&outs))?;
+            let Some(outs) = request::<AvailabilityStatus>(&config, "outs")? else {
+                return Ok(invalid_settings);
+            };
+            print_status(json, &outs, || show_outs(&outs))?;
         }
         Command::Distribution { config, json } => {
-            let Some(status) = ask::<DistributionStatus>(&config, "distribution")? else { return Ok(wrong) };
-            tell(json, &status, || show_distribution(&status))?;
+            let Some(status) = request::<DistributionStatus>(&config, "distribution")? else {
+                return Ok(invalid_settings);
+            };
+            print_status(json, &status, || show_distribution(&status))?;
         }
         Command::Changes { config, json } => {
-            let Some(changes) = ask::<Vec<ChangeStatus>>(&config, "changes")? else { return Ok(wrong) };
-            tell(json, &changes, || show_changes(&changes))?;
+            let Some(changes) = request::<Vec<ChangeStatus>>(&config, "changes")? else {
+                return Ok(invalid_settings);
+            };
+            print_status(json, &changes, || show_changes(&changes))?;
         }
         Command::Status { config, json } => {
-            let Some(status) = ask::<Status>(&config, "status")? else { return Ok(wrong) };
-            tell(json, &status, || show(&status))?;
+            let Some(status) = request::<Status>(&config, "status")? else { return Ok(invalid_settings) };
+            print_status(json, &status, || show(&status))?;
         }
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// Runs a proxy, and what it is to become by a release; goes on as it is where that can't be run.
-fn run_by(mut plan: Plan, config: PathBuf) -> Result<()> {
-    fs::create_dir_all(&plan.state).with_context(|| format!("state directory {}", plan.state.display()))?;
-    let mut change = None;
-    match release::start(&plan.state)? {
-        Start::Here(runs) => plan.runs = runs,
-        Start::Elsewhere(other) => change = Some(other),
+/// Runs a proxy, and replaces it by releases; continues with the current program where a release can't run.
+fn run_with_releases(mut proxy_settings: ProxySettings, config: PathBuf) -> Result<()> {
+    fs::create_dir_all(&proxy_settings.state_dir)
+        .with_context(|| format!("state directory {}", proxy_settings.state_dir.display()))?;
+    let mut target = None;
+    match release::start(&proxy_settings.state_dir)? {
+        Start::Current(running_release) => proxy_settings.running_release = running_release,
+        Start::Become(found) => target = Some(found),
     }
-    plan.config = config;
+    proxy_settings.config_file = config;
     loop {
-        if let Some(change) = change.take() {
-            let error = change.exec();
+        if let Some(target) = target.take() {
+            let error = target.exec();
             tracing::error!("release.unrun: {error}");
-            release::give_up(&plan.state, &error.to_string())?;
-            if let Start::Here(runs) = release::start(&plan.state)? {
-                plan.runs = runs;
+            release::mark_failed(&proxy_settings.state_dir, &error.to_string())?;
+            if let Start::Current(running_release) = release::start(&proxy_settings.state_dir)? {
+                proxy_settings.running_release = running_release;
             }
         }
-        let Some(replace) = runtime()?.block_on(run::run(plan.clone()))? else { return Ok(()) };
-        match release::install(&plan.state, &plan.config, &replace) {
-            Ok(next) => change = Some(next),
+        let Some(replacement) = runtime()?.block_on(run::run(proxy_settings.clone()))? else { return Ok(()) };
+        match release::install(&proxy_settings.state_dir, &proxy_settings.config_file, &replacement) {
+            Ok(next) => target = Some(next),
             Err(error) => {
                 tracing::error!("release.uninstalled: {error:#}");
-                plan.runs.failed = Some((replace.release, format!("{error:#}")));
+                proxy_settings.running_release.failed = Some((replacement.release, format!("{error:#}")));
             }
         }
     }
 }
 
-fn carry_out_release(what: ReleaseCommand) -> Result<ExitCode> {
-    match what {
-        ReleaseCommand::Stage { file, kind, why, order } => {
-            let Some(plan) = plan(&order.config)? else { return Ok(ExitCode::from(2)) };
-            let sum = release::stage(&plan.state, &file)?;
-            eprintln!("each proxy looks for it in its state directory as staged/{}", hex::encode(sum));
-            wish(OperatorCommand::Stage { kind: kind.into(), sum: hex::encode(sum), why }, &order)
+fn execute_release(subcommand: ReleaseCommand) -> Result<ExitCode> {
+    match subcommand {
+        ReleaseCommand::Stage { file, kind, why, options } => {
+            let Some(proxy_settings) = read_settings(&options.config)? else { return Ok(ExitCode::from(2)) };
+            let sum = release::stage(&proxy_settings.state_dir, &file)?;
+            eprintln!("each proxy looks for the file in its state directory as staged/{}", hex::encode(sum));
+            submit(OperatorCommand::Stage { kind: kind.into(), sum: hex::encode(sum), why }, &options)
         }
-        ReleaseCommand::Start { order } => wish(OperatorCommand::Start, &order),
-        ReleaseCommand::Halt { why, order } => wish(OperatorCommand::Halt { why }, &order),
-        ReleaseCommand::Back { order } => wish(OperatorCommand::Back, &order),
-        ReleaseCommand::WriteOff { proxy, why, order } => {
-            wish(OperatorCommand::WriteOff { proxy, why }, &order)
+        ReleaseCommand::Start { options } => submit(OperatorCommand::Start, &options),
+        ReleaseCommand::Halt { why, options } => submit(OperatorCommand::Halt { why }, &options),
+        ReleaseCommand::Back { options } => submit(OperatorCommand::Back, &options),
+        ReleaseCommand::WriteOff { proxy, why, options } => {
+            submit(OperatorCommand::WriteOff { proxy, why }, &options)
         }
         ReleaseCommand::State { config, json } => {
-            let Some(outs) = ask::<AvailabilityStatus>(&config, "outs")? else {
+            let Some(outs) = request::<AvailabilityStatus>(&config, "outs")? else {
                 return Ok(ExitCode::from(2));
             };
-            tell(json, &outs.release, || show_release(outs.release.as_ref()))?;
+            print_status(json, &outs.release, || show_release(outs.release.as_ref()))?;
             Ok(ExitCode::SUCCESS)
         }
     }
 }
 
-/// Has something decided, or tells what it would come to.
-fn wish(wish: OperatorCommand, order: &Order) -> Result<ExitCode> {
-    let wished = Wished { wish, dry: order.dry_run };
-    let Some(answer) = ask::<CommandOutcome>(&order.config, &serde_json::to_string(&wished)?)? else {
+/// Submits a command to the council, or predicts its outcome; prints the result.
+fn submit(operator_command: OperatorCommand, options: &DecisionOptions) -> Result<ExitCode> {
+    let request_line = CommandRequest { command: operator_command, dry_run: options.dry_run };
+    let Some(outcome) = request::<CommandOutcome>(&options.config, &serde_json::to_string(&request_line)?)?
+    else {
         return Ok(ExitCode::from(2));
     };
-    tell(order.json, &answer, || match &answer {
-        CommandOutcome::Done { .. } if order.dry_run => println!("would be decided"),
+    print_status(options.json, &outcome, || match &outcome {
+        CommandOutcome::Done { .. } if options.dry_run => println!("would be decided"),
         CommandOutcome::Done { decision } => println!("decided, as decision {decision}"),
-        CommandOutcome::Already => println!("it is so already"),
+        CommandOutcome::Already => println!("already in effect"),
         CommandOutcome::Refused { why } => println!("refused: {why}"),
     })?;
-    Ok(if matches!(answer, CommandOutcome::Refused { .. }) { ExitCode::from(3) } else { ExitCode::SUCCESS })
+    Ok(if matches!(outcome, CommandOutcome::Refused { .. }) { ExitCode::from(3) } else { ExitCode::SUCCESS })
 }
 
-/// Asks the proxy that runs by some settings; nothing where those are unfit.
-fn ask<T: DeserializeOwned>(config: &Path, word: &str) -> Result<Option<T>> {
-    let Some(plan) = plan(config)? else { return Ok(None) };
-    runtime()?.block_on(control::ask(&plan.control, word)).map(Some)
+/// Sends a request to the proxy that runs with these settings; none if the settings are invalid.
+fn request<T: DeserializeOwned>(config: &Path, word: &str) -> Result<Option<T>> {
+    let Some(proxy_settings) = read_settings(config)? else { return Ok(None) };
+    runtime()?.block_on(control::request(&proxy_settings.control_socket, word)).map(Some)
 }
 
-fn tell(json: bool, what: &impl Serialize, show: impl FnOnce()) -> Result<()> {
+/// Prints a status as JSON, or with `show`.
+fn print_status(json: bool, status: &impl Serialize, show: impl FnOnce()) -> Result<()> {
     if json {
-        println!("{}", serde_json::to_string(what)?);
+        println!("{}", serde_json::to_string(status)?);
     } else {
         show();
     }
--- a/daemon/src/tables.rs
+++ b/daemon/src/tables.rs
@@ -1,4 +1,4 @@
-//! What a running proxy answers, as tables for people.
+//! Prints the status of a running proxy as tables.
 
 use border::decided::{
     AvailabilityStatus, CouncilStatus, DrainStatus, ReleaseStatus, UnavailabilityStatus, VoterStatus,
@@ -7,6 +7,7 @@
 use border::status::{GossipStatus, LimitStatus, LimitsStatus, MemberStatus, Status, SuspicionStatus};
 use tabled::{Table, Tabled, settings::Style};
 
+/// A server's line in [`show`].
 #[derive(Tabled)]
 struct Row {
     server: String,
@@ -18,6 +19,7 @@
     rate: String,
 }
 
+/// Prints the gossip members and counters.
 pub fn show_members(gossip: &GossipStatus) {
     #[derive(Tabled)]
     struct Row<'a> {
@@ -29,22 +31,23 @@
         Row { proxy: &m.name, address: &m.address, standing: &m.state }
     }
     println!("{}", Table::new(gossip.members.iter().map(row)).with(Style::sharp()));
-    let tally = gossip.counters;
+    let counters = gossip.counters;
     println!(
         "sent {} packets, {} bytes, put off {}; dropped: malformed {}, untagged {}, forged {}, replayed {}, \
          bad statements {}; clashes {}",
-        tally.packets,
-        tally.sent_bytes,
+        counters.packets,
+        counters.sent_bytes,
         gossip.deferred,
-        tally.malformed,
-        tally.untagged,
-        tally.forged,
-        tally.replayed,
-        tally.bad_statements,
-        tally.clashes
+        counters.malformed,
+        counters.untagged,
+        counters.forged,
+        counters.replayed,
+        counters.bad_statements,
+        counters.clashes
     );
 }
 
+/// Prints the servers suspected to be silent.
 pub fn show_suspicions(gossip: &GossipStatus) {
     #[derive(Tabled)]
     struct Row<'a> {
@@ -70,6 +73,7 @@
     println!("{}", Table::new(gossip.suspicions.iter().map(row)).with(Style::sharp()));
 }
 
+/// Prints the fleet limits and their counters.
 pub fn show_limits(status: &LimitsStatus) {
     #[derive(Tabled)]
     struct Row<'a> {
@@ -109,6 +113,7 @@
     );
 }
 
+/// Prints servers, conversations and counters.
 pub fn show(status: &Status) {
     let row = |server: &border::status::ServerStatus| Row {
         server: server.name.clone(),
@@ -124,24 +129,24 @@
         rate: server.reported_rate.map_or("-".to_owned(), |rate| format!("{rate:.1}/s")),
     };
     println!("{}", Table::new(status.servers.iter().map(row)).with(Style::sharp()));
-    let (present, tally) = (status.conversations, status.counters);
+    let (present, counters) = (status.conversations, status.counters);
     println!("held {}, shot {}, standing {}", present.waiting, present.attempting, present.established);
     println!(
         "taken {}, stood {}, refused {}, failed {}, left {}, cut {}; shots {}, nacked {}, timed out {}, reset {}",
-        tally.accepted,
-        tally.established,
-        tally.refused,
-        tally.failed,
-        tally.caller_gone,
-        tally.cut,
-        tally.attempts,
-        tally.rejected,
-        tally.timed_out,
-        tally.reset
+        counters.accepted,
+        counters.established,
+        counters.refused,
+        counters.failed,
+        counters.caller_gone,
+        counters.cut,
+        counters.attempts,
+        counters.rejected,
+        counters.timed_out,
+        counters.reset
     );
     println!(
         "unrouted {}, turned away {}, unrecordable {}",
-        tally.unrouted, tally.turned_away, tally.unrecordable
+        counters.unrouted, counters.turned_away, counters.unrecordable
     );
     if let Some(watch) = status.watch {
         println!(
@@ -165,6 +170,7 @@
     }
 }
 
+/// Prints the council's members and this proxy's role.
 pub fn show_council(council: &CouncilStatus) {
     #[derive(Tabled)]
     struct Row<'a> {
@@ -172,17 +178,17 @@
         life: u64,
         has: String,
     }
-    fn row(seat: &VoterStatus) -> Row<'_> {
+    fn row(voter: &VoterStatus) -> Row<'_> {
         Row {
-            member: &seat.name,
-            life: seat.generation,
-            has: seat.log_index.map_or("-".to_owned(), |has| has.to_string()),
+            member: &voter.name,
+            life: voter.generation,
+            has: voter.log_index.map_or("-".to_owned(), |has| has.to_string()),
         }
     }
     println!("{}", Table::new(council.voters.iter().map(row)).with(Style::sharp()));
     let proved = if council.proved { "" } else { ", not proved yet" };
     println!("votes since decision {}{proved}", council.since);
-    let leader = council.leader.as_deref().unwrap_or("nobody that is heard");
+    let leader = council.leader.as_deref().unwrap_or("no known leader");
     println!(
         "this proxy {:?} with life {}, term {}, led by {leader}",
         council.role, council.generation, council.term
@@ -195,14 +201,18 @@
         council.hash,
         council.age_ms.map_or("never".to_owned(), |age| format!("{:.1} s ago", age / 1000.0))
     );
-    for seat in &council.non_voters {
-        println!("{} has no vote by its disk: to be let in as {}", seat.name, seat.generation);
+    for voter in &council.non_voters {
+        println!(
+            "{} lost its state and has no vote: admit it again with life {}",
+            voter.name, voter.generation
+        );
     }
     if let Some(stopped) = &council.stopped {
         println!("stopped: {stopped}");
     }
 }
 
+/// Prints drains and unavailable proxies.
 pub fn show_outs(outs: &AvailabilityStatus) {
     #[derive(Tabled)]
     struct Row<'a> {
@@ -214,7 +224,7 @@
         here: usize,
     }
     #[derive(Tabled)]
-    struct Away<'a> {
+    struct UnavailableRow<'a> {
         proxy: &'a str,
         how: &'a str,
         since: String,
@@ -224,14 +234,14 @@
         let DrainStatus { server, pool, by, why, decision, conversations_here: here, .. } = drain;
         Row { server, pool: *pool, by, why, decision: *decision, here: *here }
     }
-    fn away(of: &UnavailabilityStatus) -> Away<'_> {
-        let since = of.since.map_or("-".to_owned(), |since| since.to_string());
-        Away { proxy: &of.proxy, how: &of.state, since, waits_for: &of.waits_for }
+    fn unavailable_row(status: &UnavailabilityStatus) -> UnavailableRow<'_> {
+        let since = status.since.map_or("-".to_owned(), |since| since.to_string());
+        UnavailableRow { proxy: &status.proxy, how: &status.state, since, waits_for: &status.waits_for }
     }
     println!("{}", Table::new(outs.drains.iter().map(row)).with(Style::sharp()));
-    println!("{}", Table::new(outs.proxies.iter().map(away)).with(Style::sharp()));
+    println!("{}", Table::new(outs.proxies.iter().map(unavailable_row)).with(Style::sharp()));
     println!(
-        "{} of {} proxies that may be out; {} see one well",
+        "{} of at most {} proxies unavailable; {} witnesses to call one healthy",
         outs.proxies.len(),
         outs.max_unavailable,
         outs.witnesses
@@ -242,21 +252,23 @@
     );
 }
 
+/// Prints a release's phase and waves.
 pub fn show_release(release: Option<&ReleaseStatus>) {
-    let Some(release) = release else { return println!("no release was staged") };
+    let Some(release) = release else { return println!("no release is staged") };
     println!(
         "release {} of {:?} {}, by {}: {}",
         release.release, release.kind, release.sum, release.by, release.why
     );
     println!("{:?}; ready {}", release.phase, release.ready);
     for (proxy, why) in &release.rejected {
-        println!("{proxy} finds it unfit: {why}");
+        println!("{proxy} rejects it: {why}");
     }
     for (i, (all, run)) in release.waves.iter().enumerate() {
         println!("wave {i}: {run} of {all} run it");
     }
 }
 
+/// Prints the scopes of distributed state and the channel's counters.
 pub fn show_distribution(status: &DistributionStatus) {
     #[derive(Tabled)]
     struct Row<'a> {
@@ -266,28 +278,28 @@
         age: String,
     }
     #[derive(Tabled)]
-    struct Drained<'a> {
+    struct DrainRow<'a> {
         server: &'a str,
         by: &'a str,
         why: &'a str,
         decision: u64,
     }
-    fn row(of: &ScopeStatus) -> Row<'_> {
-        let age = of.age_ms.map_or("-".to_owned(), seconds);
-        Row { scope: &of.scope, version: of.version, entries: of.entries, age }
+    fn row(status: &ScopeStatus) -> Row<'_> {
+        let age = status.age_ms.map_or("-".to_owned(), seconds);
+        Row { scope: &status.scope, version: status.version, entries: status.entries, age }
     }
-    fn drained(of: &DistributedDrain) -> Drained<'_> {
-        Drained { server: &of.server, by: &of.by, why: &of.why, decision: of.decision }
+    fn drain_row(status: &DistributedDrain) -> DrainRow<'_> {
+        DrainRow { server: &status.server, by: &status.by, why: &status.why, decision: status.decision }
     }
     println!("{}", Table::new(status.scopes.iter().map(row)).with(Style::sharp()));
     if let Some(control) = &status.control {
-        println!("{}", Table::new(status.drains.iter().map(drained)).with(Style::sharp()));
+        println!("{}", Table::new(status.drains.iter().map(drain_row)).with(Style::sharp()));
         let since = status.control_since_ms.map_or("-".to_owned(), seconds);
         println!("a subscriber of {control} for {since}; council since decision {}", status.council);
     }
     if let Some(served) = status.subscribers {
         println!(
-            "a control machine with {} subscribers, {} of them reading a scope anew; proved up to {}",
+            "a control machine with {} subscribers, {} of them fetching whole scopes; proved up to {}",
             served.sessions, served.snapshots, served.certified
         );
     }
@@ -310,6 +322,7 @@
     println!("{}", counts.join(", "));
 }
 
+/// Prints which subscribers have the newest changes.
 pub fn show_changes(changes: &[ChangeStatus]) {
     #[derive(Tabled)]
     struct Row<'a> {
@@ -321,21 +334,23 @@
         have: String,
         lacking: String,
     }
-    fn row(of: &ChangeStatus) -> Row<'_> {
-        let lacks = of.lacking.iter().map(|one| format!("{} for {}", one.subscriber, seconds(one.since_ms)));
+    fn row(status: &ChangeStatus) -> Row<'_> {
+        let lacking =
+            status.lacking.iter().map(|one| format!("{} for {}", one.subscriber, seconds(one.since_ms)));
         Row {
-            version: of.version,
-            scope: &of.scope,
-            key: &of.key,
-            change: if of.removed { "removed" } else { "set" },
-            since: seconds(of.since_ms),
-            have: format!("{} of {}", of.have, of.of),
-            lacking: lacks.collect::<Vec<_>>().join(", "),
+            version: status.version,
+            scope: &status.scope,
+            key: &status.key,
+            change: if status.removed { "removed" } else { "set" },
+            since: seconds(status.since_ms),
+            have: format!("{} of {}", status.have, status.of),
+            lacking: lacking.collect::<Vec<_>>().join(", "),
         }
     }
     println!("{}", Table::new(changes.iter().map(row)).with(Style::sharp()));
 }
 
+/// Formats milliseconds as seconds.
 fn seconds(ms: f64) -> String {
     format!("{:.1} s", ms / 1000.0)
 }
--- a/distribution/src/control.rs
+++ b/distribution/src/control.rs
@@ -1,8 +1,9 @@
-//! A control machine's part: it follows the log whole and serves the scopes of its subscribers, by seals that
-//! they can verify.
+//! The control machine's part: it follows the whole log and serves scopes to its subscribers, with
+//! certificates that they can verify.
 //!
-//! What a subscriber is to be sent follows from what it says that it has, so that there is no queue for it:
-//! its newest acknowledged place in the changes is the queue, and a key that is changed twice is sent once.
+//! What a subscriber is sent follows from the position that it reports, so there is no queue for it: its
+//! newest acknowledged position in the changes takes the place of a queue, and a key that changes twice is
+//! sent once.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,152 +14,153 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::batch::Batch;
-use crate::budget::Budget;
 use crate::cursor::Cursor;
 use crate::entry::Change;
-use crate::faults::{Fault, planted};
-use crate::progress::{ChangeProgress, Progress};
+use crate::faults::{Fault, is_injected};
+use crate::progress::{ChangeProgress, ChangeTracker};
 use crate::replica::Replica;
 use crate::scope::Scope;
-use crate::sessions::{MOST_SESSION_SCOPES, Sent, Sessions, Subscribed};
+use crate::sessions::{MAX_SESSION_SCOPES, ScopeSubscription, Sent, Sessions};
 use crate::state::ScopedState;
-use crate::trust::MOST_LINKS;
-use crate::wire::{self, Changes, KeyChange, MOST_CHANGES_BYTES, Message, Poll, Transfer};
+use crate::token_bucket::TokenBucket;
+use crate::trust::MAX_COUNCIL_PROOFS;
+use crate::wire::{self, Changes, KeyChange, MAX_CHANGES_BYTES, Message, Poll, Transfer};
 use crate::{Outgoing, Version};
 
-/// What is not acknowledged is sent again so many times a heartbeat. At 30% loss each way all but one in a
-/// million have it after some 12 times, within the 4 s in which a change must be in force. It costs bytes
-/// where packets take longer than this both ways.
-const REPEATS: f64 = 4.0;
-/// One subscriber is sent changes so many times a heartbeat at the most: what is decided in between goes
-/// along with the next, under one seal. More costs bytes in a burst, for a seal and a proof each time; less
-/// delays the later changes of a burst.
-const PUSHES: f64 = 4.0;
-/// A newer seal is proved to a subscriber of an unchanged scope once in this part of a heartbeat: that keeps
-/// the scope's age low. Less costs bytes while other scopes change.
-const REFRESH: f64 = 0.75;
-/// What was sent is not sent again within this part of a heartbeat, though a poll that was on its way before
-/// still asks for it.
-const IN_FLIGHT: f64 = 1.0 / 8.0;
-/// A subscriber that has not polled for so many heartbeats is forgotten. Less forgets those with bad links;
-/// more keeps sending to those who are gone.
-const GONE_HEARTBEATS: f64 = 10.0;
-/// To one that has not polled for so many heartbeats nothing is sent again, until it polls. At 30% loss one
-/// in some 10,000 is silent for as long that is there; more would send to those who are gone.
+/// Retransmissions per heartbeat of what is not acknowledged. At 30% loss in each direction all but one in a
+/// million have it after some 12 transmissions, within the 4 s in which a change must be in force. It costs
+/// bytes if the round trip takes longer than this interval.
+const REPEATS_PER_HEARTBEAT: f64 = 4.0;
+/// Maximum number of times per heartbeat that one subscriber is sent changes; what is decided in between goes
+/// with the next, under one certificate. A larger value costs bytes in a burst, for a certificate and a proof
+/// each time; a smaller one delays the later changes of a burst.
+const PUSHES_PER_HEARTBEAT: f64 = 4.0;
+/// Interval in heartbeats at which a newer certificate is proved to a subscriber of an unchanged scope, which
+/// keeps the scope's age low. A smaller value costs bytes while other scopes change.
+const REFRESH_HEARTBEATS: f64 = 0.75;
+/// What was sent is not sent again within this part of a heartbeat, even if a poll that was already on its
+/// way still requests it.
+const IN_FLIGHT_HEARTBEATS: f64 = 1.0 / 8.0;
+/// A subscriber that has not polled for this many heartbeats is removed. A smaller value removes those with
+/// bad links; a larger one keeps sending to those that are gone.
+const EXPIRY_HEARTBEATS: f64 = 10.0;
+/// Nothing is retransmitted to a subscriber that has not polled for this many heartbeats, until it polls. At
+/// 30% loss one in some 10,000 that are present is silent for as long; a larger value sends to those that are
+/// gone.
 const SILENT_HEARTBEATS: f64 = 2.5;
-/// The right to read a snapshot lapses when its holder has got no further for so many heartbeats.
-const SNAPSHOT_HEARTBEATS: f64 = 2.0;
-/// Polls are gathered for this part of a heartbeat before the council is asked how far decisions are. Less
-/// asks it more often; more adds to every subscriber's age.
-const GATHER: f64 = 1.0 / 8.0;
-/// Batches of polls that wait for the council's answer.
-const MOST_BATCHES: usize = 16;
-/// Whoever is told to come later is told so many heartbeats at most.
-const LATEST_HEARTBEATS: f64 = 8.0;
-/// The part of a second's bytes that may be sent at once after a pause. The rest comes evenly, so that no
-/// second has more than the setting.
-const BURST: f64 = 0.25;
-/// Bytes run short where less than this part of what may be sent at once is left.
-const BUSY: f64 = 0.5;
-/// Bytes of the packet around a datagram, as they count against the bounds.
-const PACKET: usize = 120;
-/// Councils that are proved to a subscriber at once: each fills most of a datagram.
-const LINKS_AT_ONCE: usize = 2;
-/// Datagrams that wait to be sent for each subscriber that may be there; past that the oldest are lost, as on
-/// the network.
-const MOST_OUT_EACH: usize = 8;
-
-/// What is agreed for a control machine.
+/// A snapshot slot expires if its holder has made no progress for this many heartbeats.
+const SNAPSHOT_SLOT_HEARTBEATS: f64 = 2.0;
+/// Time in heartbeats for which polls are collected before the council is asked for a freshness proof. A
+/// smaller value asks it more often; a larger one adds to every subscriber's age.
+const GATHER_HEARTBEATS: f64 = 1.0 / 8.0;
+/// Maximum number of batches of polls that wait for the council's answer.
+const MAX_BATCHES: usize = 16;
+/// Maximum delay in heartbeats that a subscriber is asked to wait before it polls again.
+const MAX_RETRY_HEARTBEATS: f64 = 8.0;
+/// The fraction of a second's bytes that may be sent at once after a pause. The rest is spread evenly, so
+/// that no second exceeds the setting.
+const BURST_FRACTION: f64 = 0.25;
+/// Bytes are short if less than this fraction of the burst is left.
+const BUSY_FRACTION: f64 = 0.5;
+/// Bytes of the packet around a datagram, which count against the limits.
+const PACKET_OVERHEAD_BYTES: usize = 120;
+/// Number of council proofs sent to a subscriber at once: each fills most of a datagram.
+const COUNCIL_PROOFS_AT_ONCE: usize = 2;
+/// Maximum number of datagrams waiting to be sent, for each allowed subscriber; past that the oldest are
+/// dropped, as on the network.
+const MAX_OUTGOING_PER_SUBSCRIBER: usize = 8;
+
+/// Configuration of a control machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlTerms {
-    /// How often subscribers poll: milliseconds.
+    /// Interval between polls of a subscriber, in milliseconds.
     pub heartbeat: f64,
-    /// Subscribers at most.
-    pub most_subscribers: usize,
-    /// Bytes that all of them are sent in a second.
+    /// Maximum number of subscribers.
+    pub max_subscribers: usize,
+    /// Bytes per second to all subscribers together.
     pub bytes_per_second: f64,
-    /// Bytes that one of them is sent in a second.
+    /// Bytes per second to one subscriber.
     pub subscriber_bytes_per_second: f64,
-    /// Subscribers that read a scope from its beginning at once.
+    /// Maximum number of subscribers that read a scope from its beginning at the same time.
     pub snapshots_at_once: usize,
 }
 
-/// What has happened so far.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ControlCounts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes, without what carries them.
+    /// Bytes sent, without the packets around them.
     pub sent_bytes: u64,
     /// Datagrams received.
     pub received: u64,
     /// Bytes received.
     pub received_bytes: u64,
-    /// Datagrams of no form, or of a version that is not known.
+    /// Datagrams that could not be decoded, or of an unknown version.
     pub malformed: u64,
     /// Messages that only control machines send.
-    pub stray: u64,
-    /// Polls left unread as their sender sends too many.
-    pub crowded: u64,
-    /// Subscribers that were told to come later.
+    pub unexpected: u64,
+    /// Polls ignored because their sender sent too many.
+    pub rate_limited: u64,
+    /// Subscribers that were asked to poll again later.
     pub deferred: u64,
-    /// Subscribers that were forgotten as they polled no more.
+    /// Subscribers that were removed because they stopped polling.
     pub expired: u64,
-    /// Datagrams dropped as too many waited.
+    /// Datagrams dropped because too many were waiting.
     pub dropped: u64,
-    /// Positions of what no council has signed yet, as far as is known here: their sender is ahead, or lies.
+    /// Reported positions that no known certificate covers yet: the sender is ahead, or faulty.
     pub ahead: u64,
-    /// States that came to another root than the one that a majority signed.
+    /// States whose root differed from the one that a majority signed.
     pub diverged: u64,
 }
 
-/// How a control machine stands.
+/// Status of a control machine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ControlStanding {
-    /// The sealed index that is served; 0 before the first.
+pub struct ControlStatus {
+    /// The certified index that is served; 0 before the first.
     pub index: Version,
-    /// Subscribers.
+    /// Number of subscribers.
     pub subscribers: usize,
-    /// Of these, how many read a scope from its beginning.
+    /// Number of subscribers that read a scope from its beginning.
     pub snapshots: usize,
-    /// What has happened so far.
+    /// Counters since the start.
     pub counts: ControlCounts,
 }
 
 #[derive(Clone, Debug)]
-struct Asked {
+struct PendingBatch {
     batch: Batch,
     polls: Vec<(Id, u64)>,
-    at: f64,
+    requested_at: f64,
 }
 
-/// What a subscriber is to be sent of a scope.
+/// What to send a subscriber for a scope.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Plan {
     Nothing,
-    /// What it lacks was sent just now.
+    /// What it is missing was sent just now.
     InFlight,
-    /// That its newest content is the newest.
+    /// A proof that the content it has received is the newest.
     Proof,
-    /// That what is in force has not changed.
+    /// A proof that the content in force has not changed.
     Refresh,
-    /// What follows, from there on.
+    /// The changes after its position.
     Transfer(Transfer),
-    /// All of it, from the beginning.
+    /// The whole scope, from the beginning.
     Snapshot(Transfer),
 }
 
-/// What was put together for a subscriber.
+/// The messages for one subscriber.
 #[derive(Debug, Default)]
-struct Served {
+struct Response {
     messages: Vec<Message>,
-    /// A proof is among them: the seal goes along.
-    proves: bool,
-    /// It is to be sent again until it is acknowledged.
-    repeats: bool,
-    /// Some scope is read from its beginning.
-    reads: bool,
-    /// It is to come later for that.
+    /// A proof is included, so the certificate is sent too.
+    includes_proof: bool,
+    /// To be retransmitted until acknowledged.
+    needs_repeat: bool,
+    /// A scope is read from its beginning.
+    reads_snapshot: bool,
+    /// The subscriber has to come back later for a snapshot.
     deferred: bool,
 }
 
@@ -166,74 +168,76 @@
 #[derive(Clone, Debug)]
 pub struct Control {
     terms: ControlTerms,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     replica: Replica,
-    links: Vec<CouncilProof>,
+    council_proofs: Vec<CouncilProof>,
     sessions: Sessions,
-    /// Who reads a snapshot, and when each got further last.
+    /// Subscribers that read a snapshot, and when each last made progress.
     snapshots: BTreeMap<Id, f64>,
-    /// Who was told to come later in this heartbeat, and in the one before.
+    /// Number of subscribers deferred in this heartbeat, and in the one before.
     deferred: (usize, usize),
-    progress: Progress,
-    bytes: Budget,
-    /// Polls whose senders are to be told how far decisions are.
+    progress: ChangeTracker,
+    byte_budget: TokenBucket,
+    /// Subscriber and nonce of the polls to be answered with a freshness proof.
     polls: Vec<(Id, u64)>,
     gather_until: f64,
-    wanted: VecDeque<Nonce>,
-    asked: VecDeque<Asked>,
+    freshness_requests: VecDeque<Nonce>,
+    pending_batches: VecDeque<PendingBatch>,
     sweep_at: f64,
-    out: VecDeque<Outgoing>,
+    outgoing: VecDeque<Outgoing>,
     counts: ControlCounts,
 }
 
 impl Control {
-    /// One that serves nothing yet: [`Control::restore`] and [`Control::sealed`] give it what to serve.
+    /// Creates a control machine that serves nothing yet: [`Control::restore`] and
+    /// [`Control::update_certificate`] provide what to serve.
     pub fn new(terms: ControlTerms, seed: u64, now: f64) -> Self {
-        let bytes = even(terms.bytes_per_second, now);
+        let byte_budget = new_byte_budget(terms.bytes_per_second, now);
         Self {
             sweep_at: now + terms.heartbeat,
             terms,
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             replica: Replica::default(),
-            links: Vec::new(),
+            council_proofs: Vec::new(),
             sessions: Sessions::default(),
             snapshots: BTreeMap::new(),
             deferred: (0, 0),
-            progress: Progress::default(),
-            bytes,
+            progress: ChangeTracker::default(),
+            byte_budget,
             polls: Vec::new(),
             gather_until: f64::INFINITY,
-            wanted: VecDeque::new(),
-            asked: VecDeque::new(),
-            out: VecDeque::new(),
+            freshness_requests: VecDeque::new(),
+            pending_batches: VecDeque::new(),
+            outgoing: VecDeque::new(),
             counts: ControlCounts::default(),
         }
     }
 
-    /// Whether [`Control::restore`] is to be called: at the start, or as the state here is not the signed
-    /// one.
-    pub fn wants_state(&self) -> bool {
-        self.replica.wants_state()
+    /// Whether to call [`Control::restore`]: at the start, or if the state here is not the signed one.
+    pub fn needs_state(&self) -> bool {
+        self.replica.needs_state()
     }
 
-    /// Takes the state that all decisions up to an index came to. Decisions after it are given by
-    /// [`Control::decided`].
+    /// Replaces the state with the result of all decisions up to an index. Later decisions are given by
+    /// [`Control::add_decided_changes`].
     pub fn restore(&mut self, index: Version, state: ScopedState) {
         self.replica.restore(index, state);
     }
 
-    /// The decisions up to an index are carried out, and changed this. To be called also where they changed
-    /// nothing.
-    pub fn decided(&mut self, index: Version, changes: impl IntoIterator<Item = Change>) {
-        self.replica.decided(index, changes);
+    /// Adds the changes of the decisions up to an index. To be called even if they changed nothing.
+    pub fn add_decided_changes(&mut self, index: Version, changes: impl IntoIterator<Item = Change>) {
+        self.replica.add_decided_changes(index, changes);
     }
 
-    /// The newest seal that is known, and the proofs of the councils since the founding, as far as they are
-    /// kept, the oldest first. To be called also where they are the same again.
-    pub fn sealed(&mut self, seal: &Certificate, links: &[CouncilProof]) {
-        self.replica.sealed(seal);
-        if self.links.len() != links.len() || self.links.last() != links.last() {
-            self.links = links[links.len().saturating_sub(MOST_LINKS)..].to_vec();
+    /// Updates the newest known certificate, and the proofs of the councils since the bootstrap members, as
+    /// far as they are kept, the oldest first. To be called even if they have not changed.
+    pub fn update_certificate(&mut self, certificate: &Certificate, council_proofs: &[CouncilProof]) {
+        self.replica.update_certificate(certificate);
+        if self.council_proofs.len() != council_proofs.len()
+            || self.council_proofs.last() != council_proofs.last()
+        {
+            self.council_proofs =
+                council_proofs[council_proofs.len().saturating_sub(MAX_COUNCIL_PROOFS)..].to_vec();
         }
     }
 
@@ -241,55 +245,56 @@
         let Some(changes) = self.replica.advance() else { return };
         let mut changed: BTreeMap<Scope, Version> = BTreeMap::new();
         for change in changes {
-            self.progress.note(&change, now);
+            self.progress.record(&change, now);
             changed.insert(change.scope, change.version);
         }
         for (scope, version) in changed {
-            for id in self.sessions.lacking(scope, version) {
-                let pushed = self.sessions.get(id).map_or(f64::NEG_INFINITY, |session| session.pushed);
-                self.sessions.serve_by(id, now.max(pushed + self.terms.heartbeat / PUSHES));
+            for id in self.sessions.missing(scope, version) {
+                let pushed = self.sessions.get(id).map_or(f64::NEG_INFINITY, |session| session.pushed_at);
+                self.sessions.serve_by(id, now.max(pushed + self.terms.heartbeat / PUSHES_PER_HEARTBEAT));
             }
         }
     }
 
-    /// What the council is to be asked with, for the polls of many: [`agree::Agreement::request_freshness`].
-    pub fn ask(&mut self) -> Option<Nonce> {
-        self.wanted.pop_front()
+    /// The next nonce to send to the council, on behalf of many polls:
+    /// [`agree::Agreement::request_freshness`].
+    pub fn next_freshness_request(&mut self) -> Option<Nonce> {
+        self.freshness_requests.pop_front()
     }
 
-    /// A voter's answer to what [`Control::ask`] gave.
-    pub fn fresh(&mut self, now: f64, proof: FreshnessProof) {
-        let found = self.asked.iter().position(|asked| asked.batch.nonce() == proof.nonce);
-        let Some(asked) = found.and_then(|found| self.asked.remove(found)) else { return };
-        for (place, &(id, nonce)) in asked.polls.iter().enumerate() {
-            let path = asked.batch.path(place);
-            self.send(now, id, &[Message::Fresh { nonce, path, proof: proof.clone() }]);
+    /// Handles a voter's answer to a nonce of [`Control::next_freshness_request`].
+    pub fn receive_freshness_proof(&mut self, now: f64, proof: FreshnessProof) {
+        let found = self.pending_batches.iter().position(|pending| pending.batch.nonce() == proof.nonce);
+        let Some(pending) = found.and_then(|found| self.pending_batches.remove(found)) else { return };
+        for (leaf_index, &(id, nonce)) in pending.polls.iter().enumerate() {
+            let path = pending.batch.path(leaf_index);
+            self.send(now, id, &[Message::Freshness { nonce, path, proof: proof.clone() }]);
         }
     }
 
-    /// One is no longer a member of the fleet.
-    pub fn forget(&mut self, id: Id) {
+    /// Removes a subscriber that is no longer a member of the fleet.
+    pub fn remove_subscriber(&mut self, id: Id) {
         self.close(id);
     }
 
-    /// A datagram came from a member, as its packet proves.
+    /// Handles a datagram whose sender was authenticated by its packet.
     pub fn receive(&mut self, now: f64, from: Id, bytes: &[u8]) {
         self.counts.received += 1;
         self.counts.received_bytes += bytes.len() as u64;
-        let Ok(messages) = wire::read(bytes) else {
+        let Ok(messages) = wire::decode(bytes) else {
             self.counts.malformed += 1;
             return;
         };
         for message in messages {
             match message {
-                Message::Poll(poll) => self.polled(now, from, poll),
-                Message::Unsubscribe { scopes } => self.unsubscribed(from, &scopes),
-                _ => self.counts.stray += 1,
+                Message::Poll(poll) => self.handle_poll(now, from, poll),
+                Message::Unsubscribe { scopes } => self.handle_unsubscribe(from, &scopes),
+                _ => self.counts.unexpected += 1,
             }
         }
     }
 
-    fn unsubscribed(&mut self, from: Id, scopes: &[Scope]) {
+    fn handle_unsubscribe(&mut self, from: Id, scopes: &[Scope]) {
         let Some(session) = self.sessions.get_mut(from) else { return };
         session.scopes.retain(|scope, _| !scopes.contains(scope));
         if session.scopes.is_empty() {
@@ -302,40 +307,49 @@
         self.snapshots.remove(&id);
     }
 
-    fn polled(&mut self, now: f64, from: Id, poll: Poll) {
+    fn handle_poll(&mut self, now: f64, from: Id, poll: Poll) {
         let (known, full) =
-            (self.sessions.get(from).is_some(), self.sessions.len() >= self.terms.most_subscribers);
+            (self.sessions.get(from).is_some(), self.sessions.len() >= self.terms.max_subscribers);
         let index = self.replica.index();
         let alive = Message::Alive { nonce: poll.nonce, index };
         if !known && poll.scopes.is_empty() {
-            // It only wants to know whether this one is there.
+            // A poll without scopes only checks whether this machine is reachable.
             return if full { self.defer(now, from) } else { self.send(now, from, &[alive]) };
         }
         if !known && full {
             return self.defer(now, from);
         }
-        let bytes = even(self.terms.subscriber_bytes_per_second, now);
-        let session = self.sessions.open(from, bytes, self.terms.heartbeat, now);
-        if !session.polls.take(now, 1.0) {
-            self.counts.crowded += 1;
+        let byte_budget = new_byte_budget(self.terms.subscriber_bytes_per_second, now);
+        let session = self.sessions.open(from, byte_budget, self.terms.heartbeat, now);
+        if !session.poll_budget.try_spend(now, 1.0) {
+            self.counts.rate_limited += 1;
             return;
         }
-        (session.polled, session.council) = (now, poll.council);
+        (session.polled_at, session.council_since) = (now, poll.council_since);
         for (scope, position) in poll.scopes {
-            if !session.scopes.contains_key(&scope) && session.scopes.len() >= MOST_SESSION_SCOPES {
+            if !session.scopes.contains_key(&scope) && session.scopes.len() >= MAX_SESSION_SCOPES {
                 continue;
             }
             self.counts.ahead += u64::from(position.in_force > index);
-            let before = session.scopes.remove(&scope);
-            if before.as_ref().is_some_and(|before| before.position != position)
-                && let Some(at) = self.snapshots.get_mut(&from)
+            let previous = session.scopes.remove(&scope);
+            if previous.as_ref().is_some_and(|previous| previous.position != position)
+                && let Some(progress_at) = self.snapshots.get_mut(&from)
             {
-                *at = now;
+                *progress_at = now;
             }
-            let (sent, proved) = before.map_or((None, f64::NEG_INFINITY), |of| (of.sent, of.proved));
+            let (sent, proved_at) = previous.map_or((None, f64::NEG_INFINITY), |subscription| {
+                (subscription.sent, subscription.proved_at)
+            });
             let acknowledged = position.in_force.min(index);
-            let of = Subscribed { position, acknowledged, polled: now, wants_proof: true, proved, sent };
-            session.scopes.insert(scope, of);
+            let subscription = ScopeSubscription {
+                position,
+                acknowledged,
+                polled_at: now,
+                wants_proof: true,
+                proved_at,
+                sent,
+            };
+            session.scopes.insert(scope, subscription);
         }
         self.send(now, from, &[alive]);
         self.sessions.serve_by(from, now);
@@ -343,127 +357,132 @@
     }
 
     fn gather(&mut self, now: f64, from: Id, nonce: u64) {
-        if self.polls.len() >= Batch::MOST {
+        if self.polls.len() >= Batch::MAX_NONCES {
             return;
         }
         self.polls.push((from, nonce));
-        self.gather_until = self.gather_until.min(now + GATHER * self.terms.heartbeat);
+        self.gather_until = self.gather_until.min(now + GATHER_HEARTBEATS * self.terms.heartbeat);
     }
 
-    /// Tells one to come later, in more time the more are told so.
+    /// Asks a subscriber to poll again later; the delay grows with the number of deferred subscribers.
     fn defer(&mut self, now: f64, id: Id) {
         self.counts.deferred += 1;
         self.deferred.0 += 1;
         let waiting = self.deferred.0.max(self.deferred.1) as f64;
         let rounds = (waiting / self.terms.snapshots_at_once.max(1) as f64).ceil();
-        let heartbeats = 0.5 + self.chance.random::<f64>() * rounds;
-        let after = heartbeats.min(LATEST_HEARTBEATS) * self.terms.heartbeat;
-        self.send(now, id, &[Message::Later { after_ms: after as u32 }]);
+        let heartbeats = 0.5 + self.rng.random::<f64>() * rounds;
+        let after = heartbeats.min(MAX_RETRY_HEARTBEATS) * self.terms.heartbeat;
+        self.send(now, id, &[Message::RetryLater { after_ms: after as u32 }]);
     }
 
-    /// Time has passed, or something was decided or sealed.
+    /// One turn of the event loop: to be called when time has passed, or something was decided or certified.
     pub fn turn(&mut self, now: f64) {
         self.advance(now);
         if now >= self.sweep_at {
             self.sweep(now);
         }
         if now >= self.gather_until {
-            self.ask_council(now);
+            self.request_freshness(now);
         }
-        while self.bytes.left(now) > 0.0
+        while self.byte_budget.available(now) > 0.0
             && let Some(id) = self.sessions.next(now)
         {
             self.serve(now, id);
         }
     }
 
-    /// Forgets who is gone.
+    /// Removes subscribers, snapshot slots and batches that have expired.
     fn sweep(&mut self, now: f64) {
         let heartbeat = self.terms.heartbeat;
         self.sweep_at = now + heartbeat;
         self.deferred = (0, self.deferred.0);
-        let ended = self.sessions.expire(now - GONE_HEARTBEATS * heartbeat);
-        self.counts.expired += ended.len() as u64;
-        let lapsed = now - SNAPSHOT_HEARTBEATS * heartbeat;
-        self.snapshots.retain(|_, at| *at >= lapsed);
-        self.asked.retain(|asked| asked.at >= lapsed);
+        let expired_ids = self.sessions.expire(now - EXPIRY_HEARTBEATS * heartbeat);
+        self.counts.expired += expired_ids.len() as u64;
+        let expired_before = now - SNAPSHOT_SLOT_HEARTBEATS * heartbeat;
+        self.snapshots.retain(|_, progress_at| *progress_at >= expired_before);
+        self.pending_batches.retain(|pending| pending.requested_at >= expired_before);
     }
 
-    /// Asks the council for all polls that were gathered.
-    fn ask_council(&mut self, now: f64) {
+    /// Asks the council for a freshness proof for all collected polls.
+    fn request_freshness(&mut self, now: f64) {
         self.gather_until = f64::INFINITY;
         let polls = std::mem::take(&mut self.polls);
         let nonces: Vec<u64> = polls.iter().map(|(_, nonce)| *nonce).collect();
         let batch = Batch::new(&nonces);
-        self.wanted.push_back(batch.nonce());
-        self.asked.push_back(Asked { batch, polls, at: now });
-        while self.asked.len() > MOST_BATCHES {
-            self.asked.pop_front();
+        self.freshness_requests.push_back(batch.nonce());
+        self.pending_batches.push_back(PendingBatch { batch, polls, requested_at: now });
+        while self.pending_batches.len() > MAX_BATCHES {
+            self.pending_batches.pop_front();
         }
-        while self.wanted.len() > MOST_BATCHES {
-            self.wanted.pop_front();
+        while self.freshness_requests.len() > MAX_BATCHES {
+            self.freshness_requests.pop_front();
         }
     }
 
-    /// Sends a subscriber what it lacks, as far as its share of bytes goes.
+    /// Sends a subscriber what it is missing, as far as its byte budget allows.
     fn serve(&mut self, now: f64, id: Id) {
         let Some(session) = self.sessions.get_mut(id) else { return };
-        if session.bytes.left(now) <= 0.0 {
-            let at = session.bytes.when(1.0);
+        if session.byte_budget.available(now) <= 0.0 {
+            let at = session.byte_budget.available_at(1.0);
             return self.sessions.serve_by(id, at);
         }
-        let listens = now - session.polled <= SILENT_HEARTBEATS * self.terms.heartbeat;
+        let is_listening = now - session.polled_at <= SILENT_HEARTBEATS * self.terms.heartbeat;
         let scopes: Vec<Scope> = session.scopes.keys().copied().collect();
-        let council = session.council;
-        let mut served = Served::default();
-        self.link(council, &mut served);
-        // It verifies seals of the newest council that it knows alone.
-        let verifies = self.replica.served().is_some_and(|(seal, _)| seal.statement.version == council);
-        for scope in scopes.into_iter().filter(|_| verifies) {
+        let council = session.council_since;
+        let mut response = Response::default();
+        self.add_council_proofs(council, &mut response);
+        // It verifies only certificates of the newest council that it knows.
+        let knows_council =
+            self.replica.served().is_some_and(|(certificate, _)| certificate.statement.version == council);
+        for scope in scopes.into_iter().filter(|_| knows_council) {
             let plan = self.plan(now, id, scope);
-            if matches!(plan, Plan::Snapshot(_)) && !self.may_read(now, id) {
-                served.deferred = true;
+            if matches!(plan, Plan::Snapshot(_)) && !self.may_read_snapshot(now, id) {
+                response.deferred = true;
             } else {
-                served.reads |= matches!(plan, Plan::Snapshot(_));
-                self.carry_out(now, id, scope, plan, &mut served);
+                response.reads_snapshot |= matches!(plan, Plan::Snapshot(_));
+                self.add_messages(now, id, scope, plan, &mut response);
             }
         }
-        if !served.reads && !self.reads(id) {
+        if !response.reads_snapshot && !self.is_reading_snapshot(id) {
             self.snapshots.remove(&id);
         }
-        if let Some((seal, _)) = self.replica.served().filter(|_| served.proves) {
-            served.messages.push(Message::Seal(Certificate::clone(seal)));
+        if let Some((certificate, _)) = self.replica.served().filter(|_| response.includes_proof) {
+            response.messages.push(Message::Certificate(Certificate::clone(certificate)));
         }
-        self.send(now, id, &served.messages);
-        if let Some(session) = self.sessions.get_mut(id).filter(|_| served.repeats) {
-            session.pushed = now;
+        self.send(now, id, &response.messages);
+        if let Some(session) = self.sessions.get_mut(id).filter(|_| response.needs_repeat) {
+            session.pushed_at = now;
         }
-        if served.deferred {
+        if response.deferred {
             self.defer(now, id);
         }
-        if served.repeats && listens {
-            self.sessions.serve_by(id, now + self.terms.heartbeat / REPEATS);
+        if response.needs_repeat && is_listening {
+            self.sessions.serve_by(id, now + self.terms.heartbeat / REPEATS_PER_HEARTBEAT);
         }
     }
 
-    /// Proves the councils after one, until a poll names a newer one.
-    fn link(&self, council: Version, served: &mut Served) {
-        let newer = self.links.iter().filter(|link| link.certificate.statement.version > council);
-        served.messages.extend(newer.take(LINKS_AT_ONCE).cloned().map(Message::Council));
-        served.repeats |= !served.messages.is_empty();
+    /// Adds proofs of the councils after a given one, to be repeated until a poll names a newer one.
+    fn add_council_proofs(&self, council: Version, response: &mut Response) {
+        let newer = self
+            .council_proofs
+            .iter()
+            .filter(|council_proof| council_proof.certificate.statement.version > council);
+        response.messages.extend(newer.take(COUNCIL_PROOFS_AT_ONCE).cloned().map(Message::CouncilProof));
+        response.needs_repeat |= !response.messages.is_empty();
     }
 
-    /// Whether one has begun to read a scope that it has not acknowledged as in force.
-    fn reads(&self, id: Id) -> bool {
-        let reading = |of: &Subscribed| {
-            let base = of.position.transfer.as_ref().map(|transfer| transfer.base);
-            of.position.in_force == 0 || base.is_some_and(|base| base != of.position.in_force)
+    /// Whether a subscriber has begun to read a scope that it has not acknowledged as in force.
+    fn is_reading_snapshot(&self, id: Id) -> bool {
+        let reading = |subscription: &ScopeSubscription| {
+            let base = subscription.position.transfer.as_ref().map(|transfer| transfer.base);
+            subscription.position.in_force == 0
+                || base.is_some_and(|base| base != subscription.position.in_force)
         };
         self.sessions.get(id).is_some_and(|session| session.scopes.values().any(reading))
     }
 
-    /// Whether one may read a scope from its beginning: so many do at once.
-    fn may_read(&mut self, now: f64, id: Id) -> bool {
+    /// Whether a subscriber may read a scope from its beginning; the number of concurrent readers is limited.
+    fn may_read_snapshot(&mut self, now: f64, id: Id) -> bool {
         if self.snapshots.len() < self.terms.snapshots_at_once {
             self.snapshots.entry(id).or_insert(now);
         }
@@ -471,17 +490,25 @@
     }
 
     fn plan(&self, now: f64, id: Id, scope: Scope) -> Plan {
-        let of = self.sessions.get(id).and_then(|session| session.scopes.get(&scope));
-        let (Some(of), Some((seal, state))) = (of, self.replica.served()) else { return Plan::Nothing };
-        let index = seal.index();
-        if of.position.in_force >= index {
+        let subscription = self.sessions.get(id).and_then(|session| session.scopes.get(&scope));
+        let (Some(subscription), Some((certificate, state))) = (subscription, self.replica.served()) else {
+            return Plan::Nothing;
+        };
+        let index = certificate.index();
+        if subscription.position.in_force >= index {
             return Plan::Nothing;
         }
-        let same = of.sent.as_ref().filter(|sent| sent.index == index && sent.position == of.position);
-        match same {
-            Some(sent) if now - sent.at < IN_FLIGHT * self.terms.heartbeat => Plan::InFlight,
-            _ => match plan(of, index, state, scope) {
-                Plan::Refresh if self.is_busy() || now - of.proved < REFRESH * self.terms.heartbeat => {
+        let last_sent = subscription
+            .sent
+            .as_ref()
+            .filter(|sent| sent.index == index && sent.position == subscription.position);
+        match last_sent {
+            Some(sent) if now - sent.sent_at < IN_FLIGHT_HEARTBEATS * self.terms.heartbeat => Plan::InFlight,
+            _ => match plan(subscription, index, state, scope) {
+                Plan::Refresh
+                    if self.is_busy()
+                        || now - subscription.proved_at < REFRESH_HEARTBEATS * self.terms.heartbeat =>
+                {
                     Plan::Nothing
                 }
                 plan => plan,
@@ -489,83 +516,85 @@
         }
     }
 
-    /// Whether bytes run short: what keeps ages low waits then for what has changed.
+    /// Whether bytes are short: refreshes of unchanged scopes then wait in favour of changes.
     fn is_busy(&self) -> bool {
-        self.bytes.share() < BUSY
+        self.byte_budget.fraction_left() < BUSY_FRACTION
     }
 
-    /// Puts together what a plan comes to.
-    fn carry_out(&mut self, now: f64, id: Id, scope: Scope, plan: Plan, served: &mut Served) {
-        let (Some(session), Some((seal, state))) = (self.sessions.get_mut(id), self.replica.served()) else {
+    /// Adds the messages of a plan to the response.
+    fn add_messages(&mut self, now: f64, id: Id, scope: Scope, plan: Plan, response: &mut Response) {
+        let (Some(session), Some((certificate, state))) = (self.sessions.get_mut(id), self.replica.served())
+        else {
             return;
         };
-        let Some(of) = session.scopes.get_mut(&scope) else { return };
-        let index = seal.index();
+        let Some(subscription) = session.scopes.get_mut(&scope) else { return };
+        let index = certificate.index();
         let repeats = matches!(plan, Plan::Transfer(_));
         let transfer = match plan {
             Plan::Nothing => return,
             Plan::InFlight => {
-                served.repeats |= of.sent.as_ref().is_some_and(|sent| sent.repeats);
+                response.needs_repeat |= subscription.sent.as_ref().is_some_and(|sent| sent.repeats);
                 return;
             }
             Plan::Proof | Plan::Refresh => None,
             Plan::Transfer(transfer) | Plan::Snapshot(transfer) => Some(transfer),
         };
-        of.wants_proof = false;
-        of.sent = Some(Sent { position: of.position.clone(), index, at: now, repeats });
-        served.repeats |= repeats;
-        let mut room = session.bytes.left(now);
+        subscription.wants_proof = false;
+        subscription.sent =
+            Some(Sent { position: subscription.position.clone(), index, sent_at: now, repeats });
+        response.needs_repeat |= repeats;
+        let mut remaining_bytes = session.byte_budget.available(now);
         let complete = transfer.is_none_or(|mut transfer| {
-            while let Some(changes) = read_on(state, scope, index, &transfer) {
+            while let Some(changes) = read_changes(state, scope, index, &transfer) {
                 let complete = changes.complete;
-                transfer.after = changes.until();
-                served.messages.push(Message::Changes(changes));
-                room -= MOST_CHANGES_BYTES as f64;
-                if complete || room <= 0.0 {
+                transfer.after = changes.end();
+                response.messages.push(Message::Changes(changes));
+                remaining_bytes -= MAX_CHANGES_BYTES as f64;
+                if complete || remaining_bytes <= 0.0 {
                     return complete;
                 }
             }
             false
         });
         if complete {
-            of.proved = now;
-            served.messages.push(Message::Proof { scope, index, proof: state.proof(scope) });
-            served.proves = true;
+            subscription.proved_at = now;
+            response.messages.push(Message::Proof { scope, index, proof: state.proof(scope) });
+            response.includes_proof = true;
         }
     }
 
     fn send(&mut self, now: f64, to: Id, messages: &[Message]) {
-        for bytes in wire::pack(messages) {
-            let size = (bytes.len() + PACKET) as f64;
-            self.bytes.spend(now, size);
+        for bytes in wire::encode(messages) {
+            let size = (bytes.len() + PACKET_OVERHEAD_BYTES) as f64;
+            self.byte_budget.spend(now, size);
             if let Some(session) = self.sessions.get_mut(to) {
-                session.bytes.spend(now, size);
+                session.byte_budget.spend(now, size);
             }
             self.counts.sent += 1;
             self.counts.sent_bytes += bytes.len() as u64;
-            self.out.push_back(Outgoing { to, bytes });
+            self.outgoing.push_back(Outgoing { to, bytes });
         }
-        while self.out.len() > MOST_OUT_EACH * self.terms.most_subscribers.max(1) {
-            self.out.pop_front();
+        while self.outgoing.len() > MAX_OUTGOING_PER_SUBSCRIBER * self.terms.max_subscribers.max(1) {
+            self.outgoing.pop_front();
             self.counts.dropped += 1;
         }
     }
 
-    /// When [`Control::turn`] is to be called at the latest.
+    /// Time of the next turn.
     pub fn due(&self) -> f64 {
-        let serve = self.sessions.due().max(self.bytes.when(1.0));
-        let serve = if self.replica.may_advance() { f64::NEG_INFINITY } else { serve };
+        let serve = self.sessions.due().max(self.byte_budget.available_at(1.0));
+        let serve = if self.replica.can_advance() { f64::NEG_INFINITY } else { serve };
         serve.min(self.gather_until).min(self.sweep_at)
     }
 
-    /// The next datagram to be sent.
+    /// The next datagram to send.
     pub fn outgoing(&mut self) -> Option<Outgoing> {
-        self.out.pop_front()
+        self.outgoing.pop_front()
     }
 
-    /// How it stands.
-    pub fn standing(&self) -> ControlStanding {
-        ControlStanding {
+    /// Status for operators.
+    pub fn status(&self) -> ControlStatus {
+        ControlStatus {
             index: self.replica.index(),
             subscribers: self.sessions.len(),
             snapshots: self.snapshots.len(),
@@ -573,58 +602,64 @@
         }
     }
 
-    /// How far the newest changes have come, the newest first, as subscribers say.
+    /// Progress of the newest changes, the newest first, as reported by subscribers.
     pub fn changes(&self, now: f64) -> Vec<ChangeProgress> {
         self.progress.changes(&self.sessions, now)
     }
 }
 
-/// A budget of so many bytes in any second.
-fn even(bytes_per_second: f64, now: f64) -> Budget {
-    Budget::new((1.0 - BURST) * bytes_per_second, BURST * bytes_per_second, now)
+/// A token bucket that allows no more than this many bytes in any second.
+fn new_byte_budget(bytes_per_second: f64, now: f64) -> TokenBucket {
+    TokenBucket::new((1.0 - BURST_FRACTION) * bytes_per_second, BURST_FRACTION * bytes_per_second, now)
 }
 
-/// What follows for a subscriber that has this much of a scope. A snapshot is read at the pace of the
-/// reader's polls; what has changed is sent of its own accord.
-fn plan(of: &Subscribed, index: Version, state: &ScopedState, scope: Scope) -> Plan {
-    let position = &of.position;
+/// Plans what to send a subscriber with this position in a scope. A snapshot proceeds at the pace of the
+/// reader's polls; changes are pushed.
+fn plan(subscription: &ScopeSubscription, index: Version, state: &ScopedState, scope: Scope) -> Plan {
+    let position = &subscription.position;
     let in_force = position.in_force;
-    let from_force = Transfer { base: in_force, seen: in_force, after: Cursor::all_of(in_force) };
-    let transfer = position.transfer.clone().unwrap_or(from_force);
-    if transfer.seen > index {
+    let from_in_force =
+        Transfer { base: in_force, source_version: in_force, after: Cursor::end_of(in_force) };
+    let transfer = position.transfer.clone().unwrap_or(from_in_force);
+    if transfer.source_version > index {
         return Plan::Nothing;
     }
-    let snapshot = |transfer| if of.wants_proof { Plan::Snapshot(transfer) } else { Plan::Nothing };
-    let anew = Transfer { base: index, seen: index, after: Cursor::all_of(0) };
+    let snapshot = |transfer| if subscription.wants_proof { Plan::Snapshot(transfer) } else { Plan::Nothing };
+    let from_start = Transfer { base: index, source_version: index, after: Cursor::end_of(0) };
     if in_force == 0 && position.transfer.is_none() {
-        return snapshot(anew);
+        return snapshot(from_start);
     }
-    if transfer.after >= Cursor::all_of(state.summary(scope).version) {
-        // Its content is the newest: what is wanting is the proof.
+    if transfer.after >= Cursor::end_of(state.summary(scope).version) {
+        // It has the newest content; only the proof is missing.
         return match position.transfer {
-            _ if !of.wants_proof => Plan::Nothing,
+            _ if !subscription.wants_proof => Plan::Nothing,
             Some(_) => Plan::Proof,
             None => Plan::Refresh,
         };
     }
     match state.changes(scope, transfer.base, &transfer.after, 0) {
-        Err(_) => snapshot(anew),
+        Err(_) => snapshot(from_start),
         Ok(_) if transfer.base != in_force => snapshot(transfer),
         Ok(_) => Plan::Transfer(transfer),
     }
 }
 
-/// The changes of one message.
-fn read_on(state: &ScopedState, scope: Scope, seen: Version, transfer: &Transfer) -> Option<Changes> {
+/// Reads the changes of one message.
+fn read_changes(
+    state: &ScopedState,
+    scope: Scope,
+    source_version: Version,
+    transfer: &Transfer,
+) -> Option<Changes> {
     let (base, after) = (transfer.base, transfer.after.clone());
-    let run = state.changes(scope, base, &after, MOST_CHANGES_BYTES).ok()?;
+    let run = state.changes(scope, base, &after, MAX_CHANGES_BYTES).ok()?;
     let change = |(version, key, value)| KeyChange { version, key, value };
     let mut changes: Vec<KeyChange> = run.changes.into_iter().map(change).collect();
     let mut complete = run.complete;
-    if planted(Fault::NoDeltas) && base != 0 {
+    if is_injected(Fault::OmitDeltas) && base != 0 {
         let before = changes.len();
         changes.retain(|change| change.version <= base);
         complete |= changes.len() < before;
     }
-    Some(Changes { scope, base, seen, after, changes, complete })
+    Some(Changes { scope, base, source_version, after, changes, complete })
 }
--- a/distribution/src/progress.rs
+++ b/distribution/src/progress.rs
@@ -1,5 +1,5 @@
-//! How far changes have come, for operators. What is told is what subscribers say: that a change is in force
-//! at them. Whether they obey it nobody but their central servers sees.
+//! Progress of changes, for operators. It shows what subscribers report: that a change is in force at them.
+//! Only their central servers see whether they actually apply it.
 
 use std::collections::VecDeque;
 
@@ -10,93 +10,109 @@
 use crate::scope::Scope;
 use crate::sessions::Sessions;
 
-/// Changes that are shown; older ones are forgotten.
-const MOST_SHOWN: usize = 256;
-/// Subscribers that are named as lacking a change.
-const MOST_NAMED: usize = 8;
+/// Maximum number of tracked changes; older ones are forgotten.
+const MAX_TRACKED_CHANGES: usize = 256;
+/// Maximum number of subscribers named as missing a change.
+const MAX_NAMED_SUBSCRIBERS: usize = 8;
 
-/// A subscriber that lacks a change.
+/// A subscriber that is missing a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Lacking {
-    /// Who.
+pub struct MissingSubscriber {
+    /// The subscriber.
     pub id: Id,
-    /// Milliseconds since it polled last: one that is gone is told from one that is slow.
+    /// Milliseconds since its last poll, which distinguishes a subscriber that is gone from a slow one.
     pub silent_ms: f64,
-    /// Milliseconds for which it has lacked the change: since the change, or since it came if that was later.
+    /// Milliseconds for which it has been missing the change: since the change, or since the subscriber
+    /// connected if that was later.
     pub since_ms: f64,
 }
 
-/// How far a change has come among the subscribers of one control machine.
+/// Progress of a change among the subscribers of one control machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChangeProgress {
-    /// Where the key belongs.
+    /// The scope of the key.
     pub scope: Scope,
-    /// Which entry.
+    /// The key that changed.
     pub key: Key,
     /// The decision that changed it.
     pub version: Version,
-    /// Whether it was removed.
+    /// Whether the entry was removed.
     pub removed: bool,
-    /// Milliseconds since the change was served here first.
+    /// Milliseconds since the change was first served here.
     pub since_ms: f64,
-    /// Subscribers of the scope that say they have it in force: no more than that is known.
+    /// Subscribers of the scope that report it in force; nothing more is known of them.
     pub acknowledged: usize,
-    /// Subscribers of the scope that do not say so.
-    pub lacking: usize,
-    /// Some of these, those that have lacked it for longest first.
-    pub names: Vec<Lacking>,
+    /// Subscribers of the scope that do not report it.
+    pub missing: usize,
+    /// Some of those, longest missing first.
+    pub longest_missing: Vec<MissingSubscriber>,
 }
 
 #[derive(Clone, Debug)]
-struct Served {
+struct TrackedChange {
     scope: Scope,
     key: Key,
     version: Version,
     removed: bool,
-    at: f64,
+    served_at: f64,
 }
 
 /// The newest changes.
 #[derive(Clone, Debug, Default)]
-pub struct Progress {
-    served: VecDeque<Served>,
+pub struct ChangeTracker {
+    tracked: VecDeque<TrackedChange>,
 }
 
-impl Progress {
-    /// A change is served from now on.
-    pub fn note(&mut self, change: &Change, now: f64) {
+impl ChangeTracker {
+    /// Tracks a change that is served from now on.
+    pub fn record(&mut self, change: &Change, now: f64) {
         let Change { scope, key, version, value } = change;
         let (scope, key, version) = (*scope, key.clone(), *version);
-        self.served.push_back(Served { scope, key, version, removed: value.is_none(), at: now });
-        if self.served.len() > MOST_SHOWN {
-            self.served.pop_front();
+        self.tracked.push_back(TrackedChange {
+            scope,
+            key,
+            version,
+            removed: value.is_none(),
+            served_at: now,
+        });
+        if self.tracked.len() > MAX_TRACKED_CHANGES {
+            self.tracked.pop_front();
         }
     }
 
-    /// How far each has come, the newest first.
+    /// Progress of each tracked change, the newest first.
     pub fn changes(&self, sessions: &Sessions, now: f64) -> Vec<ChangeProgress> {
-        self.served.iter().rev().map(|served| served.progress(sessions, now)).collect()
+        self.tracked.iter().rev().map(|tracked| tracked.progress(sessions, now)).collect()
     }
 }
 
-impl Served {
+impl TrackedChange {
     fn progress(&self, sessions: &Sessions, now: f64) -> ChangeProgress {
-        let (mut acknowledged, mut names) = (0, Vec::new());
+        let (mut acknowledged, mut longest_missing) = (0, Vec::new());
         for (id, session) in sessions.iter() {
             match session.has(self.scope, self.version) {
                 Some(true) => acknowledged += 1,
-                Some(false) => names.push(Lacking {
+                Some(false) => longest_missing.push(MissingSubscriber {
                     id,
-                    silent_ms: now - session.polled,
-                    since_ms: now - self.at.max(session.began),
+                    silent_ms: now - session.polled_at,
+                    since_ms: now - self.served_at.max(session.started_at),
                 }),
                 None => {}
             }
         }
-        let lacking = names.len();
-        names.sort_by(|a, b| b.since_ms.total_cmp(&a.since_ms).then(a.id.cmp(&b.id)));
-        names.truncate(MOST_NAMED);
+        let missing = longest_missing.len();
+        longest_missing.sort_by(|a, b| b.since_ms.total_cmp(&a.since_ms).then(a.id.cmp(&b.id)));
+        longest_missing.truncate(MAX_NAMED_SUBSCRIBERS);
         let (scope, key, version, removed) = (self.scope, self.key.clone(), self.version, self.removed);
-        ChangeProgress { scope, key, version, removed, since_ms: now - self.at, acknowledged, lacking, names }
+        ChangeProgress {
+            scope,
+            key,
+            version,
+            removed,
+            since_ms: now - self.served_at,
+            acknowledged,
+            missing,
+            longest_missing,
+        }
     }
 }
--- a/distribution/src/replica.rs
+++ b/distribution/src/replica.rs
@@ -1,5 +1,5 @@
-//! A control machine's copy of the state, as it was at the newest sealed index: proofs of scopes hold against
-//! that index alone. Decisions after it wait.
+//! A control machine's copy of the state as of the newest certified index. Proofs of scopes hold only against
+//! that index, so later decisions wait.
 
 use std::collections::VecDeque;
 
@@ -8,86 +8,89 @@
 use crate::Version;
 use crate::entry::Change;
 use crate::state::ScopedState;
-use crate::trust::SharedSeal;
+use crate::trust::SharedCertificate;
 
-/// Changes that wait for a seal at most; past that the state is to be given anew. Seals follow decisions
-/// within a few probe intervals of the council, so that this many mean that no majority signs.
-const MOST_WAITING: usize = 65_536;
+/// Maximum number of changes that wait for a certificate; past that the state has to be restored.
+/// Certificates follow decisions within a few heartbeats of the council, so this many mean that no majority
+/// signs.
+const MAX_WAITING_CHANGES: usize = 65_536;
 
-/// The state at the newest sealed index.
+/// The state at the newest certified index.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     state: ScopedState,
-    /// The state holds all decisions up to here; none where it is to be given first.
-    at: Option<Version>,
-    /// What was decided later, and up to where.
+    /// The state holds all decisions up to this index; `None` if it has to be restored first.
+    applied_to: Option<Version>,
+    /// Changes decided later, and the index of the last decision.
     waiting: VecDeque<Change>,
     decided: Version,
-    /// The seal of the state as it is served.
-    seal: Option<SharedSeal>,
-    /// A seal of more than is decided here.
-    ahead: Option<SharedSeal>,
-    /// States that came to another root than the one that a majority signed.
+    /// The certificate of the state that is served.
+    certificate: Option<SharedCertificate>,
+    /// A certificate of an index that is not decided here yet.
+    pending_certificate: Option<SharedCertificate>,
+    /// States whose root differed from the one that a majority signed.
     diverged: u64,
 }
 
 impl Replica {
-    /// Whether a state is to be given by [`Replica::restore`].
-    pub fn wants_state(&self) -> bool {
-        self.at.is_none()
+    /// Whether to call [`Replica::restore`].
+    pub fn needs_state(&self) -> bool {
+        self.applied_to.is_none()
     }
 
-    /// States that came to another root than the one that a majority signed.
+    /// States whose root differed from the one that a majority signed.
     pub fn diverged(&self) -> u64 {
         self.diverged
     }
 
-    /// Takes a state that holds all decisions up to an index. It is served from the first seal on that is not
-    /// older.
+    /// Replaces the state with one that holds all decisions up to an index. It is served from the first
+    /// certificate that is not older.
     pub fn restore(&mut self, index: Version, state: ScopedState) {
-        (self.state, self.at, self.decided) = (state, Some(index), index);
+        (self.state, self.applied_to, self.decided) = (state, Some(index), index);
         self.waiting.clear();
-        self.seal = None;
+        self.certificate = None;
     }
 
-    /// Decisions up to an index changed this.
-    pub fn decided(&mut self, index: Version, changes: impl IntoIterator<Item = Change>) {
-        if self.at.is_none() || index <= self.decided {
+    /// Adds the changes of the decisions up to an index.
+    pub fn add_decided_changes(&mut self, index: Version, changes: impl IntoIterator<Item = Change>) {
+        if self.applied_to.is_none() || index <= self.decided {
             return;
         }
         self.waiting.extend(changes);
         self.decided = index;
-        if self.waiting.len() > MOST_WAITING {
-            self.forget();
+        if self.waiting.len() > MAX_WAITING_CHANGES {
+            self.discard();
         }
     }
 
-    fn forget(&mut self) {
-        (self.at, self.seal) = (None, None);
+    fn discard(&mut self) {
+        (self.applied_to, self.certificate) = (None, None);
         self.waiting = VecDeque::new();
     }
 
-    /// A majority signed the state at an index. It is kept until as much is decided here.
-    pub fn sealed(&mut self, seal: &Certificate) {
-        let newest = self.ahead.as_ref().map_or(self.index(), SharedSeal::index);
-        if seal.statement.index > newest {
-            self.ahead = Some(seal.clone().into());
+    /// Records that a majority signed the state at an index. The certificate waits until that index is
+    /// decided here.
+    pub fn update_certificate(&mut self, certificate: &Certificate) {
+        let newest = self.pending_certificate.as_ref().map_or(self.index(), SharedCertificate::index);
+        if certificate.statement.index > newest {
+            self.pending_certificate = Some(certificate.clone().into());
         }
     }
 
     /// Whether [`Replica::advance`] has something to do.
-    pub fn may_advance(&self) -> bool {
-        let reached = |seal: &SharedSeal| seal.index() <= self.decided;
-        self.at.is_some() && self.ahead.as_ref().is_some_and(reached)
+    pub fn can_advance(&self) -> bool {
+        let reached = |certificate: &SharedCertificate| certificate.index() <= self.decided;
+        self.applied_to.is_some() && self.pending_certificate.as_ref().is_some_and(reached)
     }
 
-    /// Goes on to the newest seal, as far as it is decided here. Gives what has changed with it; none where
-    /// it stays.
+    /// Advances to the newest certificate whose index is decided here. Returns the changes, or `None` if the
+    /// state stays as it is.
     pub fn advance(&mut self) -> Option<Vec<Change>> {
-        let at = self.at?;
-        let seal = self.ahead.take_if(|seal| seal.index() <= self.decided)?;
-        let index = seal.index();
-        if index < at {
+        let applied_to = self.applied_to?;
+        let certificate =
+            self.pending_certificate.take_if(|certificate| certificate.index() <= self.decided)?;
+        let index = certificate.index();
+        if index < applied_to {
             return None;
         }
         let mut changes = Vec::new();
@@ -95,22 +98,22 @@
             changes.extend(self.waiting.pop_front());
         }
         let applied = changes.iter().all(|change| self.state.apply(change.clone()).is_ok());
-        if !applied || self.state.root() != seal.statement.state_root {
+        if !applied || self.state.root() != certificate.statement.state_root {
             self.diverged += 1;
-            self.forget();
+            self.discard();
             return None;
         }
-        (self.at, self.seal) = (Some(index), Some(seal));
+        (self.applied_to, self.certificate) = (Some(index), Some(certificate));
         Some(changes)
     }
 
-    /// The sealed index that is served; 0 before the first.
+    /// The certified index that is served; 0 before the first.
     pub fn index(&self) -> Version {
-        self.seal.as_ref().map_or(0, SharedSeal::index)
+        self.certificate.as_ref().map_or(0, SharedCertificate::index)
     }
 
-    /// The seal, and the state that it is of.
-    pub fn served(&self) -> Option<(&SharedSeal, &ScopedState)> {
-        Some((self.seal.as_ref()?, &self.state))
+    /// The certificate and the state that it covers.
+    pub fn served(&self) -> Option<(&SharedCertificate, &ScopedState)> {
+        Some((self.certificate.as_ref()?, &self.state))
     }
 }
--- a/lab/src/scale/virtual_run.rs
+++ b/lab/src/scale/virtual_run.rs
@@ -1,12 +1,12 @@
-//! Plays a scale run under the virtual clock and judges it.
+//! Executes a scale run under the virtual clock and evaluates it.
 
 use std::time::Duration;
 
 use anyhow::{Result, ensure};
 
-use super::engine::{self, Plan, Played};
+use super::engine::{self, Plan, RunResult};
+use super::evaluation::{self, RoleCost};
 use super::flat::FlatFleet;
-use super::judge::{self, RoleCost};
 use super::layout::{Layout, LayoutTerms};
 use super::node::Fleet;
 use super::proposals;
@@ -15,25 +15,25 @@
 use super::script::Script;
 use super::tier::TierFleet;
 
-/// Bytes that a member of a flat fleet holds of each other member, and that any node holds of itself.
+/// Estimated bytes that a node holds per other node it gossips with, and for itself.
 const FLAT_BYTES_PER_PAIR: f64 = 900.0;
 const BYTES_PER_NODE: f64 = 200_000.0;
 
-/// What is to be played.
+/// Settings of a scale run.
 #[derive(Clone, Debug)]
 pub struct VirtualRun {
     pub layout: LayoutTerms,
     pub script: Script,
     pub seed: u64,
     pub threads: usize,
-    /// Everybody gossips with everybody, without control machines.
+    /// Every node gossips with every other, without control machines.
     pub flat: bool,
-    /// The run is broken off when it has taken so long by the wall clock.
-    pub most: Duration,
+    /// The run is stopped after this much wall-clock time.
+    pub max_wall_time: Duration,
 }
 
 impl VirtualRun {
-    /// What it will take of this machine.
+    /// Estimate of the resources that the run needs.
     pub fn need(&self) -> Need {
         let controls = self.layout.regions * self.layout.controls_per_region;
         let nodes = (self.layout.proxies + controls) as f64;
@@ -42,23 +42,23 @@
         Need { memory, processes: 1, descriptors: 0 }
     }
 
-    /// Plays it; `progress` is told the virtual time in milliseconds.
+    /// Executes the run; `progress` gets the virtual time reached, in milliseconds.
     ///
     /// # Errors
     ///
-    /// When the machine does not bear it, the layout or the script is not sound, or the time is over first.
-    pub fn play(&self, progress: &(dyn Fn(f64) + Sync)) -> Result<Report> {
+    /// Fails if the machine lacks the resources, the layout or script is invalid, or the time runs out.
+    pub fn execute(&self, progress: &(dyn Fn(f64) + Sync)) -> Result<Report> {
         resources::check(&self.need(), &Free::now())?;
         let layout = Layout::new(self.layout, self.seed)?;
         self.script.check(&layout)?;
         if self.flat {
-            self.play_fleet(&FlatFleet::new(&layout), &layout, progress)
+            self.run_fleet(&FlatFleet::new(&layout), &layout, progress)
         } else {
-            self.play_fleet(&TierFleet::new(&layout, self.seed), &layout, progress)
+            self.run_fleet(&TierFleet::new(&layout, self.seed), &layout, progress)
         }
     }
 
-    fn play_fleet<F: Fleet>(
+    fn run_fleet<F: Fleet>(
         &self,
         fleet: &F,
         layout: &Layout,
@@ -71,19 +71,19 @@
             proposals: &proposals,
             seed: self.seed,
             threads: self.threads,
-            most: self.most,
+            max_wall_time: self.max_wall_time,
         };
-        let played = engine::play(fleet, &plan, progress);
-        let (reached, end) = (played.reached / 1000.0, self.script.end() / 1000.0);
-        ensure!(reached >= end, "broken off after {:?} at {reached:.1} of {end:.1} s", self.most);
-        let in_force = judge::in_force(layout, &self.script, self.seed, (&proposals, &bursts), &played);
-        Ok(self.report(layout, in_force, &played))
+        let result = engine::run(fleet, &plan, progress);
+        let (reached, end) = (result.reached_ms / 1000.0, self.script.end_ms() / 1000.0);
+        ensure!(reached >= end, "stopped after {:?} at {reached:.1} of {end:.1} s", self.max_wall_time);
+        let in_force = evaluation::in_force(layout, &self.script, self.seed, (&proposals, &bursts), &result);
+        Ok(self.report(layout, in_force, &result))
     }
 
-    fn report(&self, layout: &Layout, in_force: judge::InForce, played: &Played) -> Report {
+    fn report(&self, layout: &Layout, in_force: evaluation::InForce, result: &RunResult) -> Report {
         let seconds = self.script.seconds;
-        let (controls, proxies) = played.nodes.split_at(layout.controls);
-        let proxy = RoleCost::of(proxies.iter(), seconds);
+        let (controls, proxies) = result.nodes.split_at(layout.controls);
+        let proxy = RoleCost::from_nodes(proxies.iter(), seconds);
         Report {
             script: self.script.name.clone(),
             seed: self.seed,
@@ -92,15 +92,15 @@
             layout: self.layout,
             controls: layout.controls,
             seconds,
-            misses: judge::misses(&in_force, &proxy),
+            misses: evaluation::misses(&in_force, &proxy),
             in_force,
-            control: RoleCost::of(controls.iter(), seconds),
+            control: RoleCost::from_nodes(controls.iter(), seconds),
             proxy,
-            resident_per_node: played.resident / layout.nodes() as f64,
-            messages_arrived: played.arrived,
-            digest: played.digest.clone(),
+            resident_per_node: result.resident_bytes / layout.node_count() as f64,
+            messages_arrived: result.messages_arrived,
+            digest: result.digest.clone(),
             threads: self.threads,
-            wall_seconds: played.took.as_secs_f64(),
+            wall_seconds: result.wall_time.as_secs_f64(),
         }
     }
 }
--- a/proxy/src/distributed/service.rs
+++ b/proxy/src/distributed/service.rs
@@ -1,10 +1,10 @@
-//! A control machine's service to subscribers: what it decides with others, passed on by scope.
+//! A control machine's service: passes what it decides with others on to subscribers, by scope.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
 use agree::Id;
-use distribution::progress::{ChangeProgress, Lacking};
+use distribution::progress::{ChangeProgress, MissingSubscriber};
 use distribution::{Control, ControlTerms};
 use gossip::Outgoing;
 use gossip::channel::Channel;
@@ -17,31 +17,32 @@
 };
 use crate::decided::DecidedState;
 
-/// What is agreed for a control machine.
+/// The configuration of a control machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceTerms {
-    /// Milliseconds.
+    /// The heartbeat interval, in milliseconds.
     pub heartbeat: f64,
-    /// Subscribers at the most.
+    /// The maximum number of subscribers.
     pub max_subscribers: usize,
-    /// Bytes a second to all subscribers together, and to each of them.
+    /// Bytes per second to all subscribers together.
     pub bytes_per_second: f64,
+    /// Bytes per second to each subscriber.
     pub subscriber_bytes_per_second: f64,
-    /// Subscribers that fetch whole scopes at a time.
+    /// How many subscribers may fetch whole scopes at a time.
     pub snapshots_at_once: usize,
 }
 
-/// A control machine's side of the channel.
+/// A control machine's end of the channel.
 pub struct Service {
     channel: Channel,
     control: Control,
-    /// Where each subscriber was last heard; bounded by the roster.
+    /// The last known address of each subscriber; bounded by the roster.
     addresses: BTreeMap<Id, SocketAddr>,
-    out: VecDeque<Outgoing>,
+    queue: VecDeque<Outgoing>,
 }
 
 impl Service {
-    /// `roster` is the subscribers'; `unix` is the wall clock in milliseconds.
+    /// `roster` lists the subscribers; `unix` is the wall clock in milliseconds.
     pub fn new(
         terms: ServiceTerms,
         secrets: Secrets,
@@ -52,7 +53,7 @@
     ) -> Self {
         let control_terms = ControlTerms {
             heartbeat: terms.heartbeat,
-            most_subscribers: terms.max_subscribers,
+            max_subscribers: terms.max_subscribers,
             bytes_per_second: terms.bytes_per_second,
             subscriber_bytes_per_second: terms.subscriber_bytes_per_second,
             snapshots_at_once: terms.snapshots_at_once,
@@ -61,12 +62,12 @@
             channel: Channel::new(secrets, roster, unix),
             control: Control::new(control_terms, seed, now),
             addresses: BTreeMap::new(),
-            out: VecDeque::new(),
+            queue: VecDeque::new(),
         }
     }
 
-    /// A datagram came on the peers' socket. False where it names no subscriber as its sender: then it is
-    /// gossip.
+    /// Handles a datagram of the peers' socket. Returns false if its sender is no subscriber: then it belongs
+    /// to gossip.
     pub fn receive(&mut self, now: f64, peer: SocketAddr, datagram: &[u8]) -> bool {
         if !Channel::sender(datagram).is_some_and(|from| self.channel.roster().contains(from)) {
             return false;
@@ -76,57 +77,57 @@
         {
             self.addresses.insert(received.from, peer);
             self.control.receive(now, received.from, &received.bytes);
-            self.send();
+            self.queue_outgoing();
         }
         true
     }
 
-    /// Takes over what was decided meanwhile, and does what has fallen due.
+    /// Takes over new decisions, and runs everything that is due.
     pub fn turn(&mut self, now: f64, decided: &mut DecidedState) {
         let agreement = decided.agreement();
         let applied = agreement.applied();
         match agreement.machine_mut().take_changes() {
-            Changes::Since(changes) => self.control.decided(applied, changes),
+            Changes::Since(changes) => self.control.add_decided_changes(applied, changes),
             Changes::Reset => self.control.restore(applied, agreement.machine().scoped().clone()),
         }
-        if self.control.wants_state() {
+        if self.control.needs_state() {
             self.control.restore(applied, agreement.machine().scoped().clone());
         }
         if let Some(seal) = agreement.certificate() {
-            self.control.sealed(seal, agreement.council_proofs());
+            self.control.update_certificate(seal, agreement.council_proofs());
         }
         while let Some(proof) = agreement.next_freshness_proof() {
-            self.control.fresh(now, proof);
+            self.control.receive_freshness_proof(now, proof);
         }
         self.control.turn(now);
-        while let Some(nonce) = self.control.ask() {
+        while let Some(nonce) = self.control.next_freshness_request() {
             agreement.request_freshness(nonce);
         }
-        self.send();
+        self.queue_outgoing();
     }
 
-    fn send(&mut self) {
-        while let Some(out) = self.control.outgoing() {
-            let Some(&peer) = self.addresses.get(&out.to) else { continue };
-            let sealed = self.channel.authenticate(Subsystem::State, out.bytes);
-            self.out.extend(sealed.map(|bytes| Outgoing { peer, bytes }));
+    fn queue_outgoing(&mut self) {
+        while let Some(message) = self.control.outgoing() {
+            let Some(&peer) = self.addresses.get(&message.to) else { continue };
+            let packet = self.channel.authenticate(Subsystem::State, message.bytes);
+            self.queue.extend(packet.map(|bytes| Outgoing { peer, bytes }));
         }
     }
 
-    /// When [`Service::turn`] is wanted.
+    /// The time of the next [`Service::turn`].
     pub fn due(&self) -> f64 {
         self.control.due()
     }
 
     /// The next datagram to send.
     pub fn outgoing(&mut self) -> Option<Outgoing> {
-        self.out.pop_front()
+        self.queue.pop_front()
     }
 
-    /// Goes on with other keys, as in a rotation; `roster` is the subscribers'.
+    /// Replaces the keys, as in a rotation; `roster` lists the subscribers.
     pub fn rekey(&mut self, secrets: Secrets, roster: Roster) {
-        for (gone, _) in self.addresses.extract_if(.., |id, _| !roster.contains(*id)) {
-            self.control.forget(gone);
+        for (removed, _) in self.addresses.extract_if(.., |id, _| !roster.contains(*id)) {
+            self.control.remove_subscriber(removed);
         }
         self.channel.rekey(secrets, roster);
     }
@@ -135,9 +136,9 @@
         self.channel.roster().name(id).unwrap_or("?").to_owned()
     }
 
-    /// How it stands; `decided` is what it serves.
+    /// The status for operators; `decided` is the state that is served.
     pub fn status(&self, decided: &DecidedState) -> DistributionStatus {
-        let standing = self.control.standing();
+        let standing = self.control.status();
         let counts = standing.counts;
         let scoped = decided.scoped();
         let scope = |scope| ScopeStatus {
@@ -161,8 +162,8 @@
             channel: self.channel.counts(),
             counts: BTreeMap::from([
                 ("malformed".to_owned(), counts.malformed),
-                ("stray".to_owned(), counts.stray),
-                ("crowded".to_owned(), counts.crowded),
+                ("stray".to_owned(), counts.unexpected),
+                ("crowded".to_owned(), counts.rate_limited),
                 ("deferred".to_owned(), counts.deferred),
                 ("expired".to_owned(), counts.expired),
                 ("dropped".to_owned(), counts.dropped),
@@ -172,23 +173,23 @@
         }
     }
 
-    /// Who of those that it serves has the newest changes.
+    /// The progress of the newest changes at the subscribers of this control machine.
     pub fn changes(&self, now: f64) -> Vec<ChangeStatus> {
-        let lacking = |of: &Lacking| LackingStatus {
-            subscriber: self.name(of.id),
-            since_ms: of.since_ms,
-            silent_ms: of.silent_ms,
+        let lacking = |lacking: &MissingSubscriber| LackingStatus {
+            subscriber: self.name(lacking.id),
+            since_ms: lacking.since_ms,
+            silent_ms: lacking.silent_ms,
         };
-        let row = |change: ChangeProgress| ChangeStatus {
+        let change_status = |change: ChangeProgress| ChangeStatus {
             scope: change.scope.to_string(),
             key: change.key.to_string(),
             version: change.version,
             removed: change.removed,
             since_ms: change.since_ms,
             have: change.acknowledged,
-            of: change.acknowledged + change.lacking,
-            lacking: change.names.iter().map(lacking).collect(),
+            of: change.acknowledged + change.missing,
+            lacking: change.longest_missing.iter().map(lacking).collect(),
         };
-        self.control.changes(now).into_iter().map(row).collect()
+        self.control.changes(now).into_iter().map(change_status).collect()
     }
 }
--- a/proxy/tests/distributed.rs
+++ b/proxy/tests/distributed.rs
@@ -1,5 +1,5 @@
-//! The two ends of the distribution's channel as the border proxy drives them: what is none of theirs changes
-//! nothing, and is counted or left to gossip.
+//! Tests of both ends of the distribution's channel as the border proxy drives them: foreign datagrams change
+//! nothing, and are counted or left to gossip.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -55,25 +55,25 @@
     Service::new(terms, secrets(CONTROL), roster(&[SUBSCRIBER]), 5, 0.0, 1e12)
 }
 
-fn channel(of: u8) -> Channel {
-    Channel::new(secrets(of), roster(&[CONTROL, SUBSCRIBER]), 1e12)
+fn channel(member: u8) -> Channel {
+    Channel::new(secrets(member), roster(&[CONTROL, SUBSCRIBER]), 1e12)
 }
 
-fn words(from: u8, part: Subsystem, bytes: &[u8]) -> Vec<u8> {
+fn packet(from: u8, part: Subsystem, bytes: &[u8]) -> Vec<u8> {
     channel(from).authenticate(part, bytes.to_vec()).expect("fits")
 }
 
 #[test]
-fn what_is_no_word_of_a_control_machine_changes_nothing_at_a_subscriber() {
+fn an_invalid_or_foreign_datagram_changes_nothing_at_a_subscriber() {
     let mut subscription = subscription();
     subscription.receive(1.0, &[3; 200]);
-    subscription.receive(2.0, &words(STRANGER, Subsystem::State, &[1, 2, 3]));
+    subscription.receive(2.0, &packet(STRANGER, Subsystem::State, &[1, 2, 3]));
     let mut control = channel(CONTROL);
-    let other = control.authenticate(Subsystem::Agreement, vec![1, 2, 3]).expect("fits");
-    let rubbish = control.authenticate(Subsystem::State, vec![1, 255, 255]).expect("fits");
-    subscription.receive(3.0, &other);
-    subscription.receive(4.0, &rubbish);
-    subscription.receive(5.0, &rubbish);
+    let other_part = control.authenticate(Subsystem::Agreement, vec![1, 2, 3]).expect("fits");
+    let malformed = control.authenticate(Subsystem::State, vec![1, 255, 255]).expect("fits");
+    subscription.receive(3.0, &other_part);
+    subscription.receive(4.0, &malformed);
+    subscription.receive(5.0, &malformed);
     let status = subscription.status(6.0);
     let channel = status.channel;
     assert_eq!((channel.untagged, channel.forged, channel.received), (1, 1, 2), "{channel:?}");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_subscriber_polls_its_control_machine_at_its_address_and_is_answered_where_it_was_heard() {
+fn a_poll_goes_to_the_configured_address_and_its_answer_to_the_sender() {
     let (mut subscription, mut service) = (subscription(), service());
     let now = subscription.due();
     subscription.turn(now);
@@ -98,13 +98,14 @@
 }
 
 #[test]
-fn what_names_no_subscriber_is_left_to_gossip() {
+fn a_datagram_from_no_subscriber_is_left_to_gossip() {
     let mut service = service();
     assert!(!service.receive(1.0, address(40), &[3; 200]));
     assert!(!service.receive(2.0, address(40), &[]));
-    assert!(!service.receive(3.0, address(40), &words(STRANGER, Subsystem::State, &[1])));
-    // In a subscriber's name without its key: its own, and dropped.
-    let mut forged = words(SUBSCRIBER, Subsystem::State, &[1]);
+    assert!(!service.receive(3.0, address(40), &packet(STRANGER, Subsystem::State, &[1])));
+    // Sent under a subscriber's name without its key: the datagram belongs to the distribution and is
+    // dropped.
+    let mut forged = packet(SUBSCRIBER, Subsystem::State, &[1]);
     *forged.last_mut().expect("bytes") ^= 1;
     assert!(service.receive(4.0, address(40), &forged));
     assert!(service.outgoing().is_none());
